--- a/internal/core/block/reports.go
+++ b/internal/core/block/reports.go
@@ -85,6 +85,7 @@
 		}
 	}
 	h.detectSlowMachine(m, now)
+	h.blame(m, now)
 	for id, b := range m.Bindings {
 		if seen[id] || r.Token != h.Token {
 			// Under an older token an earlier holder's start may still be on its way.
@@ -144,6 +145,7 @@
 	b.Seen = true
 	if b.Status != model.Running && p.Status == model.Running {
 		b.RunningSince, h.Jobs[b.ID.Job].HasRun = now, true
+		h.clearFailures(m)
 		h.Log(Event{What: "runs", Machine: m.ID, Task: b.ID.String(), Attempt: b.Attempt})
 	}
 	b.Status = p.Status
@@ -165,7 +167,7 @@
 	switch p.Cause {
 	case "done":
 		h.complete(p.ID, b, now)
-		m.ErrorsInRow = 0
+		h.clearFailures(m)
 		h.unbind(b, "ended: done", now)
 		return
 	case "error":
@@ -202,31 +204,91 @@
 	h.pushDone(js, id.Index)
 }
 
-// failed judges whether the machine or the job is at fault. Mostly it is the
-// machine; a job that fails on several machines is itself to blame and must not
-// spoil more of them.
+// failed takes a failed task into account. Mostly the machine is at fault; but a
+// job that was submitted with a mistake fails on every machine, and its failures
+// must not get healthy machines set aside: each would be drained and another
+// rented for its work. Machines are therefore judged apart from the jobs that
+// fail on them (see blame), and a job that fails on several machines waits longer
+// before each new try.
 func (h *State) failed(js *model.JobState, m *model.Machine, now model.Micros) {
-	if js.FailedMachines == nil {
-		js.FailedMachines = map[string]bool{}
+	if js.NoteFailure(m.ID, now) && js.NeedsBackoff() {
+		h.Log(Event{What: "fails everywhere", Machine: m.ID, Task: js.ID, Why: "to be retried with one task, later and later"})
 	}
-	js.FailedMachines[m.ID] = true
-	if len(js.FailedMachines) >= 3 && js.Done.Len() == 0 {
-		back := model.Second << min(len(js.FailedMachines), 6)
-		js.NotBefore = max(js.NotBefore, now+back)
+	if !js.IsKnownToRun() && runsOther(js, m) {
+		js.AtFault = true
+	}
+	if !js.IsAtFault() {
+		m.NoteFailure(js.ID, now)
+	}
+}
+
+// runsOther tells whether a task of another job runs on the machine.
+func runsOther(js *model.JobState, m *model.Machine) bool {
+	for id, b := range m.Bindings {
+		if id.Job != js.ID && b.Status == model.Running {
+			return true
+		}
+	}
+	return false
+}
+
+// clearFailures takes note of a task that runs on a machine, or has completed there:
+// the machine is not faulty, so what failed on it without ever running is at fault
+// itself.
+func (h *State) clearFailures(m *model.Machine) {
+	for _, f := range m.FailuresInRow {
+		if js := h.Jobs[f.Job]; js != nil && !js.IsKnownToRun() {
+			js.AtFault = true
+		}
+	}
+	m.FailuresInRow = nil
+}
+
+// How failures are judged.
+const (
+	// faultyAfterProven is how many failures in a row, of jobs that are known to run,
+	// set a machine aside.
+	faultyAfterProven = 2
+	// faultyAfterUnproven is how many failures in a row, of jobs that have not run
+	// anywhere yet, set it aside as long as nothing else runs on it: such a job may have
+	// nowhere else to go, and would fail there for ever. It does so to one machine only.
+	faultyAfterUnproven = 3
+)
+
+// blame sets a machine aside if the failures on it are thought to be its own fault. A
+// failure weighs more once its job is known to run: the first tasks of new jobs with a
+// mistake come to the same machines at once and are no evidence. So a machine is judged
+// with every report, when its jobs may have been seen to run elsewhere meanwhile.
+func (h *State) blame(m *model.Machine, now model.Micros) {
+	if m.Faulty || len(m.FailuresInRow) < faultyAfterProven {
+		return
+	}
+	proven, unproven := 0, 0
+	for _, f := range m.FailuresInRow {
+		js := h.Jobs[f.Job]
+		switch {
+		case js == nil || js.IsAtFault():
+		case js.IsKnownToRun():
+			proven++
+		default:
+			unproven++
+		}
+	}
+	if proven < faultyAfterProven && unproven < faultyAfterUnproven {
 		return
 	}
-	if m.ErrorJobs == nil {
-		m.ErrorJobs = map[string]bool{}
+	// The jobs that have not run anywhere have had their one machine: should they fail
+	// on the next as well, the fault is theirs.
+	for _, f := range m.FailuresInRow {
+		if js := h.Jobs[f.Job]; js != nil && !js.IsKnownToRun() {
+			js.AtFault = true
+		}
 	}
-	m.ErrorJobs[js.ID] = true
-	m.ErrorsInRow++
-	if !m.Faulty && (len(m.ErrorJobs) >= 2 || m.ErrorsInRow >= 2) {
-		m.Faulty, m.Draining = true, true
-		h.Log(Event{What: "sick", Machine: m.ID, Why: "tasks fail on it"})
-		for _, b := range m.Bindings {
-			if b.Status != model.Running {
-				h.stop(b, 0, "machine is sick", now)
-			}
+	m.Faulty, m.Draining = true, true
+	h.Log(Event{What: "sick", Machine: m.ID, Why: "tasks fail on it"})
+	for _, b := range m.Bindings {
+		if b.Status != model.Running {
+			h.stop(b, 0, "machine is sick", now)
 		}
 	}
 }
--- a/internal/core/model/fleet.go
+++ b/internal/core/model/fleet.go
@@ -181,17 +181,18 @@
 	Lost                    bool   // its lease surely ran out, nothing heard since
 	// Surplus tells that no work needs it which has to be on an ordinary machine: it is
 	// to come empty, so work that may use spot machines does not go there.
-	Surplus     bool
-	Draining    bool // to be returned once empty: no new work
-	Deleting    bool // a deletion is on its way
-	Faulty      bool
-	SlowUntil   Micros // it seemed slow lately: other machines are preferred until then
-	ErrorsInRow int    // errors in a row
-	ErrorJobs   map[string]bool
-	Listed      bool
-	Failed      bool
-	Cache       []string // images, most recently used last
-	CacheGB     map[string]float64
+	Surplus   bool
+	Draining  bool // to be returned once empty: no new work
+	Deleting  bool // a deletion is on its way
+	Faulty    bool
+	SlowUntil Micros // it seemed slow lately: other machines are preferred until then
+	// FailuresInRow are the failures of tasks on it since a task last completed
+	// there: at most one a job and report, the latest few.
+	FailuresInRow []TaskFailure
+	Listed        bool
+	Failed        bool
+	Cache         []string // images, most recently used last
+	CacheGB       map[string]float64
 	// ReadyAt is when an image that is being fetched is thought to be there. An
 	// image without an entry has been seen in use.
 	ReadyAt map[string]Micros
@@ -253,18 +254,18 @@
 	*Job
 	Done Set
 	// DoneVersions are the versions of Done, by part: one if it is stored as a whole.
-	DoneVersions   []Versions
-	Ended          string // "", "done" or "withdrawn", durable
-	EndPending     bool   // all done: the end is to be written
-	Bindings       map[int][]*Binding
-	Waiting        []int // unbound and not done, ascending
-	Attempt        uint64
-	AttemptFailed  bool // gang attempt to be ended before the next
-	NotBefore      Micros
-	FailedMachines map[string]bool
-	ReadySince     Micros
-	HasRun         bool   // a task of it has run
-	IdleSince      Micros // since when nothing of it is bound
+	DoneVersions  []Versions
+	Ended         string // "", "done" or "withdrawn", durable
+	EndPending    bool   // all done: the end is to be written
+	Bindings      map[int][]*Binding
+	Waiting       []int // unbound and not done, ascending
+	Attempt       uint64
+	AttemptFailed bool // gang attempt to be ended before the next
+	NotBefore     Micros
+	Failures
+	ReadySince Micros
+	HasRun     bool   // a task of it has run
+	IdleSince  Micros // since when nothing of it is bound
 	// Suspended tells that no task of it may be bound or started now: it is lent to another
 	// cell, or lent by one without a right to run it.
 	Suspended bool
--- a/internal/core/place/cost.go
+++ b/internal/core/place/cost.go
@@ -14,6 +14,7 @@
 	costFailedBefore = 30 * model.Second // the job has failed there before
 	costLoss         = 60 * model.Second // a machine may be taken, and the job would be late
 	costSlow         = 20 * model.Second // the machine seemed slow lately
+	costSuspect      = 10 * model.Second // tasks failed there, and none has completed since
 )
 
 // fetchTime is how long the job's image takes to be there.
@@ -49,6 +50,9 @@
 	if j.FailedMachines[h.ID] {
 		c += costFailedBefore
 	}
+	if len(h.FailuresInRow) > 0 {
+		c += costSuspect
+	}
 	if w.Now < h.SlowUntil {
 		c += costSlow
 	}
--- a/internal/core/place/place.go
+++ b/internal/core/place/place.go
@@ -212,7 +212,7 @@
 
 // placeTasks places single tasks; those that are ready only where their image is.
 func (w *World) placeTasks(j *model.JobState, ready bool) {
-	left := w.teamRoom(j, len(j.Waiting))
+	left := j.TasksAtOnce(w.teamRoom(j, len(j.Waiting)))
 	if j.Starved {
 		left = min(left, 1)
 	}
--- /dev/null
+++ b/internal/node/failing_jobs_test.go
@@ -0,0 +1,82 @@
+package node
+
+import (
+	"testing"
+
+	"woadweir/internal/core/model"
+)
+
+// A job that was submitted with a mistake fails on every machine until its user
+// cancels it. Across a failover it must not burn the fleet, nor get healthy
+// machines set aside, nor be forgotten: it is retried with backoff, one task at
+// a time, its user is told that it waits, and the other jobs are served.
+func TestJobThatFailsOnEveryMachine(t *testing.T) {
+	w := newWorld(t, 41)
+	w.rules.Mistaken = map[string]bool{}
+	var healthy, mistaken []*user
+	for i := range 4 {
+		healthy = append(healthy, w.submit(sweepJob(i, 8, 20), 0))
+	}
+	// Other work goes on all the while: where it runs, a failure is not the machine's.
+	for i := range 15 {
+		w.At(model.Micros(10+10*i)*model.Second, func() {
+			healthy = append(healthy, w.submit(sweepJob(100+i, 8, 20), 0))
+		})
+	}
+	for i := range 2 {
+		sub := sweepJob(10+i, 16, 20)
+		w.rules.Mistaken[sub.ID] = true
+		mistaken = append(mistaken, w.submit(sub, 0))
+	}
+	setAside := map[string]bool{}
+	var look func()
+	look = func() {
+		if l := w.leader(); l != nil && l.ctl.leading != nil && l.ctl.leading.block != nil {
+			for _, m := range l.ctl.leading.block.Machines {
+				if m.Faulty {
+					setAside[m.ID] = true
+				}
+			}
+		}
+		w.After(model.Second/2, look)
+	}
+	w.After(0, look)
+	w.Run(60 * model.Second)
+	w.leader().crash()
+	w.Run(w.Now + 180*model.Second)
+	if len(setAside) > 0 {
+		t.Errorf("healthy machines set aside for jobs that fail everywhere: %v", setAside)
+	}
+	for _, u := range healthy {
+		if u.ended != "done" {
+			t.Errorf("%s beside jobs that fail everywhere: %q", u.sub.ID, u.ended)
+		}
+	}
+	l := w.leader()
+	if l == nil {
+		t.Fatal("nobody leads")
+	}
+	for _, u := range mistaken {
+		status, _, _, known := l.ctl.view.Status(u.sub.ID)
+		if !known || u.ended != "" || status == "done" || status == "withdrawn" {
+			t.Errorf("%s: known %v, status %q, ended %q", u.sub.ID, known, status, u.ended)
+		}
+	}
+	// Without backoff each of the 32 tasks would be tried every few seconds for
+	// four minutes, some thousands of tries.
+	if n := w.rules.MistakenTries; n > maxMistakenTries {
+		t.Errorf("%d tries of tasks that fail everywhere, more than %d", n, maxMistakenTries)
+	}
+	for _, u := range mistaken {
+		u.cancel(nil)
+	}
+	w.until(60*model.Second, "the mistaken jobs are withdrawn", func() bool {
+		return mistaken[0].ended == "withdrawn" && mistaken[1].ended == "withdrawn"
+	})
+	w.check()
+}
+
+// maxMistakenTries bounds the tries of two jobs of 16 tasks that fail everywhere
+// in four minutes: each fails on a few machines before it is found out, then one
+// task at a time is tried, with a wait that doubles up to a minute.
+const maxMistakenTries = 120
--- a/internal/node/provisioning.go
+++ b/internal/node/provisioning.go
@@ -342,7 +342,8 @@
 		}
 		need := j.Request
 		need.Mem = 0
-		k := need.Count(room[j.Team], len(j.Waiting))
+		// Nothing is rented for a job that fails everywhere beyond the task that is retried.
+		k := j.TasksAtOnce(need.Count(room[j.Team], len(j.Waiting)))
 		if j.Kind == model.Gang && k < len(j.Waiting) {
 			continue
 		}
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -43,6 +43,10 @@
 	// ExecutedAgain are starts of tasks that had completed before: no word of that had
 	// come to the service, as after the loss of a machine.
 	ExecutedAgain int
+	// Mistaken are jobs that were submitted with a mistake: their tasks fail on every
+	// machine. MistakenTries counts the tasks of theirs that got their image and failed.
+	Mistaken      map[string]bool
+	MistakenTries int
 }
 
 // NewRules makes a watch.
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -271,6 +271,9 @@
 		t.exit("done")
 	case w.Sick:
 		t.exit("error")
+	case w.rules.Mistaken[t.id.Job]:
+		w.rules.MistakenTries++
+		t.exit("error")
 	case t.job.Kind == model.Gang:
 		t.status = "gathering"
 		k := gangKey{t.job.ID, t.try}
