--- /dev/null
+++ b/internal/node/guest_team_test.go
@@ -0,0 +1,97 @@
+package node
+
+import (
+	"slices"
+	"testing"
+
+	"woadweir/internal/config"
+	"woadweir/internal/core/model"
+)
+
+// guestSettings have a third team that is guaranteed nothing.
+func guestSettings(name string) *config.Settings {
+	s := simSettings(name)
+	s.Params.Teams = append(s.Params.Teams, config.Team{Name: "guest", CPUsMax: 64})
+	s.Params.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 30, Share: 0.9}}
+	return s
+}
+
+// guestJob is of one of the guest's classes: large arrays and tiny ones, all idle work
+// that saves its progress.
+func guestJob(i, tasks int, cores, guess float64) *model.Submission {
+	s := sweepJob(i, tasks, guess)
+	s.Team, s.Priority, s.Cores, s.CheckpointS, s.SaveS = "guest", "idle", cores, 5, 1
+	return s
+}
+
+// begins notes when the first task of each job was first seen running by the leader.
+func (w *world) begins() map[string]model.Micros {
+	began := map[string]model.Micros{}
+	var look func()
+	look = func() {
+		if l := w.leader(); l != nil && l.ctl.leading.ready {
+			for ref, js := range l.ctl.leading.block.Jobs {
+				if js.HasRun && began[ref] == 0 {
+					began[ref] = w.Now
+				}
+			}
+		}
+		w.After(model.Second/2, look)
+	}
+	w.After(0, look)
+	return began
+}
+
+// A guest team without a guarantee comes with one huge sweep, many tiny probes and a class
+// for quiet hours, into a fleet that is full. They borrow what is idle: the sweep, its
+// class's largest job, begins within four minutes and goes on, and the team whose work is
+// within its guarantee does not wait for it, since the guest's tasks are evicted and
+// save their progress.
+func TestGuestTeamsHugeSweep(t *testing.T) {
+	w := newDeployment(t, 81, guestSettings, map[string]int{"small/a/false": 4, "small/b/false": 4})
+	w.led(10 * model.Second)
+	began := w.begins()
+	submitted := map[string]model.Micros{}
+	submit := func(after model.Micros, sub *model.Submission, us *[]*user) {
+		w.At(w.Now+after, func() {
+			submitted[sub.ID] = w.Now
+			*us = append(*us, w.submit(sub, 0))
+		})
+	}
+	var guests, guaranteed []*user
+	submit(0, guestJob(900, 200, 2, 90), &guests) // its tasks fill the fleet for minutes
+	for i := range model.Micros(40) {
+		submit((40+4*i)*model.Second, guestJob(800+int(i), 1, 0.25, 15), &guests)
+	}
+	for i := range model.Micros(3) {
+		submit((60+40*i)*model.Second, guestJob(700+int(i), 6, 1, 10), &guests)
+	}
+	for i := range model.Micros(24) { // 4 tasks of 2 CPUs: 8 of the 20 that are guaranteed
+		submit((60+8*i)*model.Second, sweepJob(int(i), 4, 8), &guaranteed)
+	}
+	w.At(w.Now+130*model.Second, func() { w.leader().crash() })
+	w.Run(w.Now + 460*model.Second)
+
+	late := 0
+	for _, u := range guaranteed {
+		if at := began[u.sub.ID]; at == 0 || at-submitted[u.sub.ID] > 30*model.Second {
+			late++
+		}
+		if u.ended != "done" {
+			t.Errorf("%s, within the guarantee: %q", u.sub.ID, u.ended)
+		}
+	}
+	if late > len(guaranteed)/10 {
+		t.Errorf("%d of %d jobs within the guarantee began later than 30 s", late, len(guaranteed))
+	}
+	for _, u := range guests {
+		ref := u.sub.ID
+		if at := began[ref]; at == 0 || at-submitted[ref] > 240*model.Second {
+			t.Errorf("%s of the guest, submitted at %.0f s, began at %.0f s", ref, submitted[ref].Seconds(), at.Seconds())
+		}
+	}
+	w.until(900*model.Second, "all of the guest is done", func() bool {
+		return !slices.ContainsFunc(guests, func(u *user) bool { return u.ended != "done" })
+	})
+	w.check()
+}
