--- a/internal/controller/catchup.go
+++ b/internal/controller/catchup.go
@@ -62,7 +62,7 @@
 	}
 	if m.view != nil {
 		c.view, c.loaded, c.wantList = m.view, true, false
-		c.view.TakeNews() // everything is told
+		c.view.TakeChangedJobs() // everything is told
 		if c.leading != nil {
 			c.leading.reload()
 		}
@@ -72,7 +72,7 @@
 	c.syncOK = m.sent
 	c.auth.Synced(m.sent)
 	if l := c.leading; l != nil {
-		if c.view.Leader == nil || c.view.Leader.Session != c.session || c.view.Revisions["grant/"+blockName] != l.token {
+		if c.view.Leader == nil || c.view.Leader.Session != c.session || c.view.Revisions[state.GrantKey(blockName)] != l.token {
 			c.stepDown("the state says that another leads")
 		} else if !l.ready && c.view.Revision >= l.token {
 			l.takeOver()
@@ -113,7 +113,7 @@
 	if set, err := c.view.Set(e.Set, e.Value, e.Revision); !set || err != nil {
 		return err
 	}
-	if ref, ok := strings.CutPrefix(e.Set, jobPrefix); ok {
+	if ref, ok := strings.CutPrefix(e.Set, state.JobPrefix); ok {
 		c.jobNews(ref)
 	}
 	c.spillNews(e.Set)
@@ -122,7 +122,7 @@
 
 // spillNews tells the holder of a record of spilling that has changed.
 func (c *controller) spillNews(key string) {
-	if strings.HasPrefix(key, "spill/") && c.leading != nil && c.leading.ready {
+	if strings.HasPrefix(key, state.SpillPrefix) && c.leading != nil && c.leading.ready {
 		c.leading.spill.recordNews(key)
 	}
 }
@@ -138,13 +138,11 @@
 // come with a catch-up or with our own transactions, and what waits for it may be
 // all that is left to do.
 func (c *controller) passOn() {
-	for _, ref := range c.view.TakeNews() {
+	for _, ref := range c.view.TakeChangedJobs() {
 		c.jobNews(ref)
 	}
 }
 
-const jobPrefix = "job/"
-
 // suspect tells that the state service may not be reached: the last catch-up
 // failed, or the present one takes long.
 func (c *controller) suspect() bool {
--- a/internal/controller/cells_failures_test.go
+++ b/internal/controller/cells_failures_test.go
@@ -77,7 +77,7 @@
 	return l.accepted() && l.rules.DoneTasks(l.job) == l.user.sub.Tasks
 }
 func (l *lentJob) reported() bool {
-	e, err := l.home.state.Get("", jobPrefix+l.job)
+	e, err := l.home.state.Get("", state.JobKey(l.job))
 	return err == nil && l.accepted() && jsonHas(e.Value, "end")
 }
 
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -150,11 +150,11 @@
 	if l == nil || !l.ready || c.actsThroughIntents() || !d.wanted() || c.busy[laneMisc] || c.now < c.pauses[laneMisc] || !c.auth.Holds(c.now) {
 		return
 	}
-	grant := "grant/" + blockName
+	grant := state.GrantKey(blockName)
 	c.pauses[laneMisc] = c.now + model.Second
 	c.send(laneMisc, msgCommitted{token: l.token, txn: &state.Txn{
-		Conditions: []state.Condition{{Path: "leader", Revision: c.view.Revisions["leader"]}, {Path: grant, Revision: l.token}},
-		Then:       []state.Op{{Set: "leader", Value: c.leaderRecord(), LeaseID: c.session}}}})
+		Conditions: []state.Condition{{Path: state.LeaderKey, Revision: c.view.Revisions[state.LeaderKey]}, {Path: grant, Revision: l.token}},
+		Then:       []state.Op{{Set: state.LeaderKey, Value: c.leaderRecord(), LeaseID: c.session}}}})
 }
 
 // situation is what the keeper looks at.
@@ -187,7 +187,7 @@
 		if !known || node.Session != rec.Session {
 			node = duty.Node{Name: name, Session: rec.Session, Since: d.c.now}
 		}
-		node.Candidate, node.Revision = rec.Duties, v.Revisions["node/"+name]
+		node.Candidate, node.Revision = rec.Duties, v.Revisions[state.NodeKey(name)]
 		d.nodes[name] = node
 	}
 	return d.nodes
@@ -273,10 +273,10 @@
 	}
 	span := tracing.Start(c.traceOf(a.Name), name, attribute.String("duty", string(a.Name)), attribute.String("holder", a.Lease.Holder))
 	a.Lease.Trace = span.Context()
-	txn := &state.Txn{Conditions: []state.Condition{{Path: a.Name.Key(), Revision: a.Token}, {Path: "leader", Revision: c.view.Revisions["leader"]}},
+	txn := &state.Txn{Conditions: []state.Condition{{Path: a.Name.Key(), Revision: a.Token}, {Path: state.LeaderKey, Revision: c.view.Revisions[state.LeaderKey]}},
 		Then: []state.Op{{Set: a.Name.Key(), Value: a.Lease, LeaseID: a.Lease.Session}}}
 	if a.Kind == duty.HandOver {
-		txn.Conditions = append(txn.Conditions, state.Condition{Path: "node/" + a.Successor.Name, Revision: a.Successor.Revision})
+		txn.Conditions = append(txn.Conditions, state.Condition{Path: state.NodeKey(a.Successor.Name), Revision: a.Successor.Revision})
 	}
 	d.writing = &leaseWrite{a, span}
 	c.send(laneDuty, msgCommitted{txn: txn, token: a.Token})
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -35,16 +35,16 @@
 	if c.view.Leader != nil && !ours {
 		return
 	}
-	grant := "grant/" + blockName
+	grant := state.GrantKey(blockName)
 	rec := state.GrantRecord{Holder: c.set.NodeName, Session: c.session, Credit: c.credit()}
 	if !c.fits(rec) {
 		rec.Credit = nil // which is the whole of every team's limit, too
 	}
 	t := &state.Txn{
-		Conditions: []state.Condition{{Path: "leader", Revision: c.view.Revisions["leader"]}, {Path: grant, Revision: c.view.Revisions[grant]}},
+		Conditions: []state.Condition{{Path: state.LeaderKey, Revision: c.view.Revisions[state.LeaderKey]}, {Path: grant, Revision: c.view.Revisions[grant]}},
 		Then:       []state.Op{{Set: grant, Value: rec}}}
 	if !ours {
-		t.Then = append(t.Then, state.Op{Set: "leader", Value: c.leaderRecord(), LeaseID: c.session})
+		t.Then = append(t.Then, state.Op{Set: state.LeaderKey, Value: c.leaderRecord(), LeaseID: c.session})
 	}
 	c.send(laneElect, msgCommitted{txn: t, token: c.session})
 }
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -145,7 +145,7 @@
 	if most < 1 {
 		return
 	}
-	txn := &state.Txn{Conditions: []state.Condition{{Path: "grant/" + blockName, Revision: l.token}}}
+	txn := &state.Txn{Conditions: []state.Condition{{Path: state.GrantKey(blockName), Revision: l.token}}}
 	taken := map[string]bool{}
 	names := 0
 	for len(l.intents.queue) > 0 && len(txn.Then) < most && names <= maxTxnMachines {
--- a/internal/controller/io.go
+++ b/internal/controller/io.go
@@ -178,7 +178,7 @@
 	}
 	go func() {
 		if helper == "" {
-			if err := io.state.End(session, 2*model.Second); err != nil {
+			if err := io.state.RevokeLease(session, 2*model.Second); err != nil {
 				slog.Info("resign", "err", err)
 			}
 			return
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -138,7 +138,7 @@
 		if j.End != "" {
 			l.block.EndJob(ref, j.End, l.c.now)
 		} else {
-			js.Priority, js.Deadline = j.Standing()
+			js.Priority, js.Deadline = j.EffectivePriority()
 		}
 		return
 	}
@@ -213,7 +213,7 @@
 			ws[i].Value = end
 		}
 	}
-	t := holderTxn(blockName, ws, c.view.Revisions, state.Condition{Path: "grant/" + blockName, Revision: l.token})
+	t := holderTxn(blockName, ws, c.view.Revisions, state.Condition{Path: state.GrantKey(blockName), Revision: l.token})
 	c.send(laneHolder, msgCommitted{txn: t, writes: ws, token: l.token})
 }
 
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -268,7 +268,7 @@
 		return false
 	case c.now-max(js.ReadySince, js.IdleSince) < s.policy.Wait:
 		return false
-	case view == nil || view.Submission == nil || view.End != "" || !view.Alone():
+	case view == nil || view.Submission == nil || view.End != "" || !view.IsIndependent():
 		return false
 	case js.Deadline > 0 && js.ReadySince+js.Deadline < c.now+2*s.policy.Lease:
 		return false
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -43,8 +43,8 @@
 		for len(rec.MachineTypes) > 0 && !c.fits(rec) {
 			rec.MachineTypes = rec.MachineTypes[:len(rec.MachineTypes)-1]
 		}
-		t := &state.Txn{Conditions: []state.Condition{{Path: "leader", Revision: c.view.Revisions["leader"]}, {Path: "flavors", Revision: c.view.Revisions["flavors"]}},
-			Then: []state.Op{{Set: "flavors", Value: rec}}}
+		t := &state.Txn{Conditions: []state.Condition{{Path: state.LeaderKey, Revision: c.view.Revisions[state.LeaderKey]}, {Path: state.MachineTypesKey, Revision: c.view.Revisions[state.MachineTypesKey]}},
+			Then: []state.Op{{Set: state.MachineTypesKey, Value: rec}}}
 		c.send(laneMisc, msgCommitted{txn: t, token: l.token})
 	}
 	if l.ready {
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -203,7 +203,7 @@
 
 // EndSession ends a sibling's session on its own request.
 func (f *front) EndSession(id uint64) {
-	if err := f.state.End(id, 2*model.Second); err != nil {
+	if err := f.state.RevokeLease(id, 2*model.Second); err != nil {
 		slog.Info("a sibling's session could not be ended", "id", id, "err", err)
 	}
 }
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -79,7 +79,7 @@
 // make carries a request of the session out.
 func (s *session) make(call leadership.Call) (r leadership.Reply, err error) {
 	patience := min(s.ttl/5, 2*model.Second)
-	key := "node/" + s.name
+	key := state.NodeKey(s.name)
 	switch call.Kind {
 	case leadership.CallRead:
 		var e *state.Entry
@@ -91,9 +91,9 @@
 			r.ID, r.Revision = rec.Session, e.Revision
 		}
 	case leadership.CallEnd:
-		err = s.state.End(call.ID, patience)
+		err = s.state.RevokeLease(call.ID, patience)
 	case leadership.CallGrant:
-		r.ID, err = s.state.Grant(s.ttl, patience)
+		r.ID, err = s.state.GrantLease(s.ttl, patience)
 	case leadership.CallPut:
 		var res *state.Result
 		res, err = s.state.Commit(&state.Txn{Conditions: []state.Condition{{Path: key, Revision: call.Revision}},
@@ -102,7 +102,7 @@
 			r.Outcome = leadership.Conflict
 		}
 	case leadership.CallTouch:
-		err = s.state.Touch(call.ID, patience)
+		err = s.state.RenewLease(call.ID, patience)
 	}
 	switch {
 	case err == nil:
--- a/internal/controller/spill.go
+++ b/internal/controller/spill.go
@@ -132,7 +132,7 @@
 		return
 	}
 	n := min(c.limits.TxnOps, c.budget.Left(c.now))
-	txn := &state.Txn{Conditions: []state.Condition{{Path: "grant/" + blockName, Revision: s.l.token}}}
+	txn := &state.Txn{Conditions: []state.Condition{{Path: state.GrantKey(blockName), Revision: s.l.token}}}
 	for _, key := range sortedKeys(s.changes) {
 		change := s.changes[key]
 		if s.settled(key, change) {
@@ -145,7 +145,7 @@
 		}
 		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: c.view.Revisions[key]})
 		if change.job != "" {
-			txn.Conditions = append(txn.Conditions, state.Condition{Path: jobPrefix + change.job, Revision: c.view.Revisions[jobPrefix+change.job]})
+			txn.Conditions = append(txn.Conditions, state.Condition{Path: state.JobKey(change.job), Revision: c.view.Revisions[state.JobKey(change.job)]})
 		}
 		if change.value == nil {
 			txn.Then = append(txn.Then, state.Op{Drop: key})
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -25,7 +25,7 @@
 
 // lostGrant tells that a transaction was refused as the grant is another's by now.
 func (m *msgCommitted) lostGrant() bool {
-	return m.err == nil && slices.Contains(m.res.Failed, "grant/"+blockName)
+	return m.err == nil && slices.Contains(m.res.Failed, state.GrantKey(blockName))
 }
 
 // needSync keeps a lane's user from writing until the view has caught up.
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -280,7 +280,7 @@
 		}
 		taken[u.ref] = true
 		size += bytes + 200
-		key := jobPrefix + u.ref
+		key := state.JobKey(u.ref)
 		g := state.Condition{Path: key}
 		if u.sub == nil {
 			g.Revision = c.view.Revisions[key]
@@ -344,7 +344,7 @@
 	default:
 		failed := map[string]bool{}
 		for _, p := range m.res.Failed {
-			failed[strings.TrimPrefix(p, jobPrefix)] = true
+			failed[strings.TrimPrefix(p, state.JobPrefix)] = true
 		}
 		for _, u := range m.users {
 			if !failed[u.ref] {
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -2,62 +2,68 @@
 
 import "woadweir/internal/core/model"
 
-// Budget is a node's part of a limit per second, with a burst of one second's
-// worth of it. What is its own by right is the share; as long as the service
-// refuses nothing, it may take up to most. It belongs to one actor.
+// rateRecovery is the part of the highest rate by which the rate grows back in a second.
+const rateRecovery = 0.1
+
+// minBurst is how many requests a budget may always save up.
+const minBurst = 2
+
+// Budget is one controller's part of a rate limit that several share: a token bucket
+// with a burst of one second's worth. The controller always owns its share; as long as
+// the service rejects nothing, it may use up to the highest rate. A Budget must not be
+// used by several goroutines.
 type Budget struct {
-	share, most float64 // per second
-	rate        float64 // at present
-	level       float64
-	at          model.Micros
+	share, highest float64 // per second
+	rate           float64 // at present, per second
+	tokens         float64
+	updatedAt      model.Micros
 }
 
 // NewBudget makes a full budget.
-func NewBudget(share, most float64) *Budget {
-	return &Budget{share: share, most: max(share, most), rate: max(share, most), level: max(share, most)}
+func NewBudget(share, highest float64) *Budget {
+	highest = max(share, highest)
+	return &Budget{share: share, highest: highest, rate: highest, tokens: highest}
 }
 
-// SetRate changes the share and the most.
-func (b *Budget) SetRate(share, most float64, now model.Micros) {
-	b.fill(now)
-	b.share, b.most = share, max(share, most)
-	b.rate = b.most
-	b.level = min(b.level, b.cap())
+// SetRate changes the share and the highest rate.
+func (b *Budget) SetRate(share, highest float64, now model.Micros) {
+	b.refill(now)
+	b.share, b.highest = share, max(share, highest)
+	b.rate = b.highest
+	b.tokens = min(b.tokens, b.burst())
 }
 
-// Rate is how many may be spent a second at present.
+// Rate is how many requests a second are allowed at present.
 func (b *Budget) Rate() float64 { return b.rate }
 
-func (b *Budget) cap() float64 { return max(b.rate, 2) }
-
-// recovery is the part of most by which the rate grows back in a second.
-const recovery = 0.1
+func (b *Budget) burst() float64 { return max(b.rate, minBurst) }
 
-func (b *Budget) fill(now model.Micros) {
-	if now > b.at {
-		passed := (now - b.at).Seconds()
-		b.level = min(b.cap(), b.level+b.rate*passed)
-		b.rate = min(b.most, b.rate+b.most*recovery*passed)
-		b.at = now
+func (b *Budget) refill(now model.Micros) {
+	if now <= b.updatedAt {
+		return
 	}
+	elapsed := (now - b.updatedAt).Seconds()
+	b.tokens = min(b.burst(), b.tokens+b.rate*elapsed)
+	b.rate = min(b.highest, b.rate+b.highest*rateRecovery*elapsed)
+	b.updatedAt = now
 }
 
-// Left is how many may be spent now.
+// Left is how many requests may be made now.
 func (b *Budget) Left(now model.Micros) int {
-	b.fill(now)
-	return max(0, int(b.level))
+	b.refill(now)
+	return max(0, int(b.tokens))
 }
 
-// Spend takes n, also below zero.
+// Spend takes n requests off the budget, which may become negative.
 func (b *Budget) Spend(n int, now model.Micros) {
-	b.fill(now)
-	b.level -= float64(n)
+	b.refill(now)
+	b.tokens -= float64(n)
 }
 
-// Drain empties the budget: the service said that the limit is reached. The rate
-// goes halfway back to the share.
+// Drain empties the budget after the service has rejected a request as one too many, and
+// moves the rate halfway back to the share.
 func (b *Budget) Drain(now model.Micros) {
-	b.fill(now)
+	b.refill(now)
 	b.rate = (b.rate + b.share) / 2
-	b.level = min(b.level, 0)
+	b.tokens = min(b.tokens, 0)
 }
--- /dev/null
+++ b/internal/state/bundles.go
@@ -0,0 +1,208 @@
+package state
+
+import (
+	"cmp"
+	"slices"
+	"strconv"
+	"strings"
+
+	"woadweir/internal/core/model"
+	"woadweir/internal/core/shard"
+)
+
+// bundleView is what the view knows of a bundle: one key that holds the records of many
+// machines and jobs.
+type bundleView struct {
+	revision uint64
+	names    []string // of its entries, see shard.BundleRecord.Names
+}
+
+// entryView is the latest version of a bundle's entry: the record of a machine, nil if
+// the machine is gone, or the finished tasks of a job.
+type entryView struct {
+	machine *shard.MachineRecord
+	done    []byte
+	bundle  string // the key of the bundle that it was read from
+	// duplicate is the key of another bundle with the same version, written in the same
+	// transaction: if one bundle drops the entry, it still stands in the other.
+	duplicate string
+}
+
+// Bundles gives the slots of a block's bundles with their entries, in the order in which
+// they were written.
+func (v *View) Bundles(block string) (slots []int, names [][]string) {
+	type slotBundle struct {
+		slot   int
+		bundle *bundleView
+	}
+	prefix := blockBundlePrefix(block)
+	var bundles []slotBundle
+	for key, bundle := range v.bundles {
+		suffix, ok := strings.CutPrefix(key, prefix)
+		if !ok {
+			continue
+		}
+		if slot, err := strconv.Atoi(suffix); err == nil && slot >= 0 {
+			bundles = append(bundles, slotBundle{slot, bundle})
+		}
+	}
+	slices.SortFunc(bundles, func(a, b slotBundle) int {
+		return cmp.Or(cmp.Compare(a.bundle.revision, b.bundle.revision), a.slot-b.slot)
+	})
+	for _, b := range bundles {
+		slots = append(slots, b.slot)
+		names = append(names, b.bundle.names)
+	}
+	return slots, names
+}
+
+// Machines calls visit with the latest record of every machine.
+func (v *View) Machines(visit func(machineID string, record *shard.MachineRecord)) {
+	for name, entry := range v.entries {
+		if entry.machine != nil {
+			visit(strings.TrimPrefix(name, shard.MachineEntry), entry.machine)
+		}
+	}
+}
+
+// Done is the set of a job's finished tasks. A large job is stored in parts; an entry of
+// the whole job counts too, until all parts have replaced it.
+func (v *View) Done(jobID string) model.Set {
+	var done model.Set
+	job := v.Jobs[jobID]
+	if job == nil || job.Submission == nil {
+		return done
+	}
+	if entry := v.entries[shard.DoneEntry+jobID]; entry != nil {
+		done = model.SetOf(entry.done)
+	}
+	if job.Submission.Tasks <= model.TasksPerPart {
+		return done
+	}
+	for part := range model.Parts(job.Submission.Tasks) {
+		if entry := v.entries[shard.PartEntry(jobID, part)]; entry != nil {
+			done.Merge(entry.done, part*model.TasksPerPart)
+		}
+	}
+	return done
+}
+
+// UnusedBundles calls visit for every bundle that is no longer needed: no entry is the
+// latest version of a machine or of an unfinished job, nor says that a machine is gone of
+// which an older version stands elsewhere.
+func (v *View) UnusedBundles(visit func(key string, revision uint64)) {
+	copies := map[string]int{}
+	for _, bundle := range v.bundles {
+		for _, name := range bundle.names {
+			copies[name]++
+		}
+	}
+	for key, bundle := range v.bundles {
+		needed := func(name string) bool { return v.needsEntry(name, key, copies[name]) }
+		if !slices.ContainsFunc(bundle.names, needed) {
+			visit(key, bundle.revision)
+		}
+	}
+}
+
+// needsEntry tells whether the entry of this bundle still counts. The record of a
+// deleted machine does as long as another copy exists, which would otherwise bring the
+// machine back.
+func (v *View) needsEntry(name, bundleKey string, copies int) bool {
+	entry := v.entries[name]
+	if entry == nil || entry.bundle != bundleKey && entry.duplicate != bundleKey {
+		return false
+	}
+	deletedMachine := entry.machine == nil && strings.HasPrefix(name, shard.MachineEntry)
+	return !deletedMachine || copies > 1
+}
+
+// putBundle applies a bundle, and drops the entries that only its former version had.
+func (v *View) putBundle(key string, record *shard.BundleRecord, revision uint64) {
+	if record.Dense {
+		v.Newest = LayoutDense
+	}
+	for machineID, machine := range record.Machines {
+		v.putEntry(shard.MachineEntry+machineID, entryView{machine: machine, bundle: key}, revision)
+	}
+	for name, done := range record.Done {
+		jobID, _, _ := strings.Cut(name, shard.PartMark)
+		if job := v.Jobs[jobID]; job == nil || job.End == "" {
+			v.putEntry(shard.DoneEntry+name, entryView{done: done, bundle: key}, revision)
+		}
+	}
+	if former := v.bundles[key]; former != nil {
+		for _, name := range former.names {
+			if !record.Has(name) {
+				v.dropEntry(name, key)
+			}
+		}
+	}
+	v.bundles[key] = &bundleView{revision, record.Names()}
+}
+
+// dropBundle removes a bundle with all its entries.
+func (v *View) dropBundle(key string) {
+	bundle := v.bundles[key]
+	if bundle == nil {
+		return
+	}
+	for _, name := range bundle.names {
+		v.dropEntry(name, key)
+	}
+	delete(v.bundles, key)
+}
+
+// putEntry applies an entry of a bundle, unless a newer version of it is known.
+func (v *View) putEntry(name string, entry entryView, revision uint64) {
+	if old := v.entries[name]; old != nil && old.bundle != entry.bundle {
+		if other := v.bundles[old.bundle]; other != nil && other.revision >= revision {
+			if other.revision > revision {
+				return
+			}
+			entry.duplicate = old.bundle
+		}
+	}
+	v.countBoundTasks(name, -1)
+	v.entries[name] = &entry
+	v.countBoundTasks(name, 1)
+}
+
+// dropEntry removes an entry from one bundle; a duplicate in another one stays.
+func (v *View) dropEntry(name, bundleKey string) {
+	switch entry := v.entries[name]; {
+	case entry == nil:
+	case entry.duplicate == bundleKey:
+		entry.duplicate = ""
+	case entry.bundle == bundleKey && entry.duplicate != "":
+		entry.bundle, entry.duplicate = entry.duplicate, ""
+	case entry.bundle == bundleKey:
+		v.countBoundTasks(name, -1)
+		delete(v.entries, name)
+	}
+}
+
+// dropDoneEntries removes the finished tasks of a job that has ended.
+func (v *View) dropDoneEntries(jobID string, tasks int) {
+	delete(v.entries, shard.DoneEntry+jobID)
+	if tasks <= model.TasksPerPart {
+		return
+	}
+	for part := range model.Parts(tasks) {
+		delete(v.entries, shard.PartEntry(jobID, part))
+	}
+}
+
+// countBoundTasks adds the tasks of a machine's entry to the jobs' numbers of bound
+// tasks, or subtracts them if sign is -1.
+func (v *View) countBoundTasks(name string, sign int) {
+	entry := v.entries[name]
+	if entry == nil || entry.machine == nil {
+		return
+	}
+	for jobID, tasks := range entry.machine.Tasks {
+		if v.bound[jobID] += sign * len(tasks); v.bound[jobID] == 0 {
+			delete(v.bound, jobID)
+		}
+	}
+}
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -1,11 +1,14 @@
-// Package state speaks to the state service: requests, a budget of writes, and
-// the view of the keys that every controller keeps.
+// Package state is the client of the state service, a key-value store with revisions,
+// compare-and-swap transactions, watches and leases. It also holds the records that the
+// controllers keep there, the replica of them that every controller reads from, and the
+// budget of requests.
 package state
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"strconv"
 	"strings"
@@ -16,28 +19,44 @@
 
 // Errors of the state service.
 var (
-	ErrBusy      = errors.New("state service: too many requests") // 429: not executed
-	ErrRefused   = errors.New("state service: refused")           // 503: not executed
-	ErrLost      = errors.New("state service: no response")       // may have been, or may yet be executed
-	ErrCompacted = errors.New("state service: revision too old")  // 410
-	ErrNoLease   = errors.New("state service: no such lease")
+	ErrBusy      = errors.New("state service: too many requests")                      // 429: not executed
+	ErrRefused   = errors.New("state service: refused")                                // 503: not executed
+	ErrLost      = errors.New("state service: no response")                            // may have been, or may yet be executed
+	ErrCompacted = errors.New("state service: revision too old")                       // 410
+	ErrNoLease   = errors.New("state service: no such lease")                          // 400: not executed
 	ErrTooBig    = errors.New("state service: value or transaction beyond its limits") // 400: not executed
-	ErrMissing   = errors.New("state service: not found")
+	ErrMissing   = errors.New("state service: not found")                              // 404
 )
 
-// NotExecuted tells of an error that the request was surely not carried out, and will
-// not be.
+// StatusError reports an HTTP status that the state service's protocol does not provide
+// for a request.
+type StatusError struct{ Code int }
+
+// Error names the status.
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("state service: unexpected status %d", e.Code)
+}
+
+// NotExecuted tells of an error that the request was surely not executed, and will not
+// be.
 func NotExecuted(err error) bool {
 	return errors.Is(err, ErrBusy) || errors.Is(err, ErrRefused) || errors.Is(err, ErrTooBig) || errors.Is(err, ErrNoLease)
 }
 
-// Condition is a condition of a transaction.
+// The JSON names below are those of the state service's protocol: a path is a key, a
+// stamp the revision of a key, an epoch the revision of the whole store, a tenancy the ID
+// of a lease, guards are compare-and-swap conditions, drop deletes a key, and starts is
+// the prefix of keys.
+
+// Condition is a compare-and-swap condition of a transaction: the key must still be at
+// the revision, where 0 means that it must not exist.
 type Condition struct {
 	Path     string `json:"path"`
 	Revision uint64 `json:"stamp"`
 }
 
-// Op is a change of a transaction.
+// Op is a write of a transaction: either Set a key to a value, attached to a lease unless
+// LeaseID is 0, or Drop a key.
 type Op struct {
 	Set     string `json:"set,omitempty"`
 	Value   any    `json:"value,omitempty"`
@@ -45,16 +64,16 @@
 	Drop    string `json:"drop,omitempty"`
 }
 
-// Txn is a transaction.
+// Txn is a transaction: all writes are executed if all conditions hold, else none.
 type Txn struct {
 	Conditions []Condition `json:"guards"`
 	Then       []Op        `json:"then,omitempty"`
 }
 
-// Result of a transaction.
+// Result is the outcome of a transaction.
 type Result struct {
 	Revision uint64   `json:"epoch"`
-	Failed   []string `json:"failed"`
+	Failed   []string `json:"failed"` // keys whose conditions did not hold
 	Error    string   `json:"error"`
 	OK       bool     `json:"-"`
 }
@@ -67,7 +86,7 @@
 	LeaseID  uint64          `json:"tenancy"`
 }
 
-// Event is a change seen by a watch.
+// Event is a change seen by a watch: of a key that was Set, or one that was dropped.
 type Event struct {
 	Set      string          `json:"set"`
 	Drop     string          `json:"drop"`
@@ -75,170 +94,209 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// Changes is a watch's answer.
+// Changes is a watch's response.
 type Changes struct {
 	Revision uint64  `json:"epoch"`
 	Events   []Event `json:"events"`
 }
 
-// Client speaks to the state service.
+// entryPage is one page of a listing.
+type entryPage struct {
+	Entries  []Entry `json:"entries"`
+	HasNext  bool    `json:"hasNext"`
+	Revision uint64  `json:"epoch"`
+}
+
+type grantLeaseRequest struct {
+	TTLMs int64 `json:"ttlMs"`
+}
+
+type grantLeaseResponse struct {
+	LeaseID uint64 `json:"tenancy"`
+}
+
+const (
+	// maxConnections is how many requests a client has open at the same time.
+	maxConnections = 16
+	// pageSize is how many entries the state service is asked for at once.
+	pageSize = 1000
+	// noLeaseText is how the state service says in a response with status 400 that a
+	// transaction names a lease that does not exist.
+	noLeaseText = "no such lease"
+)
+
+// Client makes requests to the state service.
 type Client struct{ http *jsonhttp.Client }
 
 // NewClient makes a client for the address.
-func NewClient(addr string) *Client { return &Client{jsonhttp.New(addr, 16)} }
+func NewClient(address string) *Client { return &Client{jsonhttp.New(address, maxConnections)} }
 
+// do makes a request and decodes the response's body into out, if out is not nil and the
+// status is one with a body.
 func (c *Client) do(method, uri string, in, out any, timeout model.Micros) (code int, err error) {
 	answered := false
 	err = c.http.Do(method, uri, in, timeout, func(status int, body []byte) error {
 		code, answered = status, true
 		switch {
-		case code == 429:
+		case code == http.StatusTooManyRequests:
 			return ErrBusy
-		case code == 503:
+		case code == http.StatusServiceUnavailable:
 			return ErrRefused
-		case out != nil && (code == 200 || code == 400 || code == 409):
+		case out != nil && hasBody(code):
 			if err := json.Unmarshal(body, out); err != nil {
-				return fmt.Errorf("%w: %v", ErrLost, err)
+				return fmt.Errorf("%w: %w", ErrLost, err)
 			}
 		}
 		return nil
 	})
 	if err != nil && !answered {
-		err = fmt.Errorf("%w: %v", ErrLost, err)
+		err = fmt.Errorf("%w: %w", ErrLost, err)
 	}
 	return code, err
 }
 
-func unexpected(code int) error { return fmt.Errorf("state service: unexpected status %d", code) }
+func hasBody(code int) bool {
+	return code == http.StatusOK || code == http.StatusBadRequest || code == http.StatusConflict
+}
 
-// Get reads a key.
+// Get reads a key; ErrMissing tells that it does not exist.
 func (c *Client) Get(key string, timeout model.Micros) (*Entry, error) {
-	var e Entry
-	code, err := c.do("GET", "/keys/"+key, nil, &e, timeout)
+	var entry Entry
+	code, err := c.do(http.MethodGet, "/keys/"+key, nil, &entry, timeout)
 	switch {
 	case err != nil:
 		return nil, err
-	case code == 404:
+	case code == http.StatusNotFound:
 		return nil, ErrMissing
-	case code != 200:
-		return nil, unexpected(code)
+	case code != http.StatusOK:
+		return nil, &StatusError{code}
 	}
-	return &e, nil
+	return &entry, nil
 }
 
-// List reads all keys, page by page. The epoch is that of the first page:
-// watching from there misses nothing, and applying a change twice is harmless.
-func (c *Client) List(timeout model.Micros, each func(Entry) error) (epoch uint64, err error) {
-	return c.listPrefix("", timeout, each)
+// List reads all keys, page by page. The revision is that of the first page: watching
+// from there misses nothing, and applying a change twice is harmless.
+func (c *Client) List(timeout model.Micros, visit func(Entry) error) (revision uint64, err error) {
+	return c.listPrefix("", timeout, visit)
 }
 
-// listPrefix reads all keys that begin so.
-func (c *Client) listPrefix(prefix string, timeout model.Micros, each func(Entry) error) (epoch uint64, err error) {
-	from := ""
-	for page := 0; ; page++ {
-		var out struct {
-			Entries  []Entry `json:"entries"`
-			HasNext  bool    `json:"hasNext"`
-			Revision uint64  `json:"epoch"`
-		}
-		uri := "/keys?starts=" + prefix + "&most=1000"
-		if from != "" {
-			uri += "&from=" + url.QueryEscape(from)
-		}
-		code, err := c.do("GET", uri, nil, &out, timeout)
+// listPrefix reads all keys with a prefix, as List does.
+func (c *Client) listPrefix(prefix string, timeout model.Micros, visit func(Entry) error) (revision uint64, err error) {
+	after := ""
+	for first := true; ; first = false {
+		page, err := c.listPage(prefix, after, timeout)
 		if err != nil {
 			return 0, err
 		}
-		if code != 200 {
-			return 0, unexpected(code)
+		if first {
+			revision = page.Revision
 		}
-		if page == 0 {
-			epoch = out.Revision
-		}
-		for _, e := range out.Entries {
-			if err := each(e); err != nil {
+		for _, entry := range page.Entries {
+			if err := visit(entry); err != nil {
 				return 0, err
 			}
-			from = e.Path
+			after = entry.Path
 		}
-		if !out.HasNext || len(out.Entries) == 0 {
-			return epoch, nil
+		if !page.HasNext || len(page.Entries) == 0 {
+			return revision, nil
 		}
 	}
 }
 
-// Watch returns all changes after the revision, without waiting.
-func (c *Client) Watch(from uint64, timeout model.Micros) (*Changes, error) {
-	var ch Changes
-	code, err := c.do("GET", "/watch?starts=&from="+strconv.FormatUint(from, 10)+"&blockMs=0", nil, &ch, timeout)
+// listPage reads one page of keys with a prefix, which follow the key after.
+func (c *Client) listPage(prefix, after string, timeout model.Micros) (*entryPage, error) {
+	uri := "/keys?starts=" + prefix + "&most=" + strconv.Itoa(pageSize)
+	if after != "" {
+		uri += "&from=" + url.QueryEscape(after)
+	}
+	var page entryPage
+	code, err := c.do(http.MethodGet, uri, nil, &page, timeout)
+	if err != nil {
+		return nil, err
+	}
+	if code != http.StatusOK {
+		return nil, &StatusError{code}
+	}
+	return &page, nil
+}
+
+// Watch returns all changes after a revision, without waiting for any. ErrCompacted tells
+// that the service no longer has all of them.
+func (c *Client) Watch(after uint64, timeout model.Micros) (*Changes, error) {
+	uri := "/watch?starts=&from=" + strconv.FormatUint(after, 10) + "&blockMs=0"
+	var changes Changes
+	code, err := c.do(http.MethodGet, uri, nil, &changes, timeout)
 	switch {
 	case err != nil:
 		return nil, err
-	case code == 410:
+	case code == http.StatusGone:
 		return nil, ErrCompacted
-	case code != 200:
-		return nil, unexpected(code)
+	case code != http.StatusOK:
+		return nil, &StatusError{code}
 	}
-	return &ch, nil
+	return &changes, nil
 }
 
-// Commit carries out a transaction.
-func (c *Client) Commit(t *Txn, timeout model.Micros) (*Result, error) {
-	var r Result
-	code, err := c.do("POST", "/commit", t, &r, timeout)
+// Commit executes a transaction. Conditions that do not hold are no error: the result
+// names them.
+func (c *Client) Commit(txn *Txn, timeout model.Micros) (*Result, error) {
+	var result Result
+	code, err := c.do(http.MethodPost, "/commit", txn, &result, timeout)
 	switch {
 	case err != nil:
 		return nil, err
-	case code == 200:
-		r.OK = true
-		return &r, nil
-	case code == 409:
-		return &r, nil
-	case code == 400 && strings.Contains(r.Error, "no such lease"):
+	case code == http.StatusOK:
+		result.OK = true
+		return &result, nil
+	case code == http.StatusConflict:
+		return &result, nil
+	case code == http.StatusBadRequest && strings.Contains(result.Error, noLeaseText):
 		return nil, ErrNoLease
-	case code == 400:
-		return nil, fmt.Errorf("%w: %s", ErrTooBig, r.Error)
+	case code == http.StatusBadRequest:
+		return nil, fmt.Errorf("%w: %s", ErrTooBig, result.Error)
 	}
-	return nil, unexpected(code)
+	return nil, &StatusError{code}
 }
 
-// Grant opens a lease.
-func (c *Client) Grant(ttl, timeout model.Micros) (uint64, error) {
-	var out struct {
-		LeaseID uint64 `json:"tenancy"`
-	}
-	code, err := c.do("POST", "/grants", map[string]int64{"ttlMs": int64(ttl / model.Millisecond)}, &out, timeout)
+// GrantLease opens a lease and returns its ID.
+func (c *Client) GrantLease(ttl, timeout model.Micros) (uint64, error) {
+	request := grantLeaseRequest{TTLMs: int64(ttl / model.Millisecond)}
+	var response grantLeaseResponse
+	code, err := c.do(http.MethodPost, "/grants", request, &response, timeout)
 	if err != nil {
 		return 0, err
 	}
-	if code != 200 {
-		return 0, unexpected(code)
+	if code != http.StatusOK {
+		return 0, &StatusError{code}
 	}
-	return out.LeaseID, nil
+	return response.LeaseID, nil
 }
 
-// Touch renews a lease; ErrMissing tells that it is over.
-func (c *Client) Touch(id uint64, timeout model.Micros) error {
-	code, err := c.do("POST", "/grants/"+strconv.FormatUint(id, 10)+"/touch", nil, nil, timeout)
+// RenewLease renews a lease; ErrMissing tells that it is over.
+func (c *Client) RenewLease(leaseID uint64, timeout model.Micros) error {
+	code, err := c.do(http.MethodPost, leaseURI(leaseID)+"/touch", nil, nil, timeout)
 	switch {
 	case err != nil:
 		return err
-	case code == 404:
+	case code == http.StatusNotFound:
 		return ErrMissing
-	case code != 200:
-		return unexpected(code)
+	case code != http.StatusOK:
+		return &StatusError{code}
 	}
 	return nil
 }
 
-// End ends a lease at once.
-func (c *Client) End(id uint64, timeout model.Micros) error {
-	code, err := c.do("DELETE", "/grants/"+strconv.FormatUint(id, 10), nil, nil, timeout)
+// RevokeLease ends a lease at once. One that is over already is no error.
+func (c *Client) RevokeLease(leaseID uint64, timeout model.Micros) error {
+	code, err := c.do(http.MethodDelete, leaseURI(leaseID), nil, nil, timeout)
 	if err != nil {
 		return err
 	}
-	if code != 200 && code != 204 && code != 404 {
-		return unexpected(code)
+	switch code {
+	case http.StatusOK, http.StatusNoContent, http.StatusNotFound:
+		return nil
 	}
-	return nil
+	return &StatusError{code}
 }
+
+func leaseURI(leaseID uint64) string { return "/grants/" + strconv.FormatUint(leaseID, 10) }
--- /dev/null
+++ b/internal/state/decode.go
@@ -0,0 +1,104 @@
+package state
+
+import (
+	"encoding/json"
+	"errors"
+	"slices"
+	"strings"
+
+	"woadweir/internal/core/shard"
+	"woadweir/internal/duty"
+	"woadweir/internal/spill"
+)
+
+// ErrLayout matches every RecordError. Going on without an unreadable record could
+// forget an accepted job or start a task twice.
+var ErrLayout = errors.New("record of another layout")
+
+// RecordError reports a record that this version does not write and can't read.
+type RecordError struct {
+	Key    string
+	Detail string // what is wrong with it, empty if its key or state is unknown
+	Cause  error  // of the JSON decoder, nil if the JSON was well-formed
+}
+
+// Error names the key and says what is wrong with its value.
+func (e *RecordError) Error() string {
+	text := ErrLayout.Error() + ": " + e.Key
+	if e.Detail != "" {
+		text += " " + e.Detail
+	}
+	if e.Cause != nil {
+		text += ": " + e.Cause.Error()
+	}
+	return text
+}
+
+// Is makes errors.Is match ErrLayout.
+func (e *RecordError) Is(target error) bool { return target == ErrLayout }
+
+// Unwrap gives the error of the JSON decoder.
+func (e *RecordError) Unwrap() error { return e.Cause }
+
+const emptyRecord = "is empty"
+
+// decode reads the typed record of a key. A controller's own key is not among them: see
+// View.setNode.
+func decode(key string, value json.RawMessage) (any, error) {
+	kind, name := splitKey(key)
+	switch {
+	case isJobKey(kind, name):
+		return decodeJob(key, value)
+	case kind == kindBundle:
+		return decodeAs[shard.BundleRecord](key, value)
+	case kind == kindLeader:
+		return decodeAs[LeaderRecord](key, value)
+	case kind == kindGrant:
+		return decodeAs[GrantRecord](key, value)
+	case kind == kindMachineTypes:
+		return decodeAs[MachineTypesRecord](key, value)
+	case strings.HasPrefix(key, duty.KeyPrefix) && slices.Contains(duty.Movable, duty.Name(name)):
+		return decodeAs[duty.Lease](key, value)
+	case isRentalKey(key):
+		return decodeAs[duty.Rental](key, value)
+	case isReturnKey(key):
+		return decodeAs[duty.Return](key, value)
+	case isSpillOutKey(key):
+		return decodeSpillOut(key, value)
+	case isSpillInKey(key):
+		return decodeSpillIn(key, value)
+	}
+	return nil, &RecordError{Key: key}
+}
+
+// decodeAs reads a record of one type.
+func decodeAs[Record any](key string, value json.RawMessage) (record Record, err error) {
+	if err := json.Unmarshal(value, &record); err != nil {
+		return record, &RecordError{Key: key, Cause: err}
+	}
+	return record, nil
+}
+
+func decodeJob(key string, value json.RawMessage) (shard.JobRecord, error) {
+	record, err := decodeAs[shard.JobRecord](key, value)
+	if err == nil && record.Spec == nil && record.End == "" {
+		err = &RecordError{Key: key, Detail: emptyRecord}
+	}
+	return record, err
+}
+
+func decodeSpillOut(key string, value json.RawMessage) (spill.OutRecord, error) {
+	record, err := decodeAs[spill.OutRecord](key, value)
+	if err == nil && record.State != spill.Lent && record.State != spill.Home {
+		err = &RecordError{Key: key}
+	}
+	return record, err
+}
+
+func decodeSpillIn(key string, value json.RawMessage) (spill.InRecord, error) {
+	record, err := decodeAs[spill.InRecord](key, value)
+	if err == nil && record.Spec == nil {
+		err = &RecordError{Key: key, Detail: emptyRecord}
+	}
+	return record, err
+}
--- a/internal/state/pipeline_test.go
+++ b/internal/state/dependencies_test.go
@@ -20,7 +20,7 @@
 
 func (v *View) puts(ps ...put) {
 	for _, p := range ps {
-		v.Put("job/"+p.ref, p.rec, uint64(len(v.Revisions)+int(v.Revisions["job/"+p.ref])+1))
+		v.Put(JobKey(p.ref), p.rec, uint64(len(v.Revisions)+int(v.Revisions[JobKey(p.ref)])+1))
 	}
 }
 
@@ -35,7 +35,7 @@
 
 // What becomes of jobs that await others follows from the records alone, in
 // whatever order they become known.
-func TestPipelineInAnyOrder(t *testing.T) {
+func TestDependenciesInAnyOrder(t *testing.T) {
 	b := spec("j-b", "j-a")
 	cancelled := spec("j-x")
 	all := []put{done("j-a", 5000), b, spec("j-c", "j-a", "j-b"), cancelled, withdrawn(cancelled), spec("j-y", "j-a", "j-x"), spec("j-z", "j-y"), done("j-d", 7000),
@@ -49,7 +49,7 @@
 			if all[k].ref == "j-x" && all[k].rec.End != "" {
 				stamp++
 			}
-			v.Put("job/"+all[k].ref, all[k].rec, stamp)
+			v.Put(JobKey(all[k].ref), all[k].rec, stamp)
 		}
 		for ref, want := range map[string]string{"j-a": "done", "j-b": "pending", "j-c": "pending", "j-x": "withdrawn", "j-y": "withdrawn", "j-z": "withdrawn",
 			"j-d": "done", "j-e": "pending", "j-w": "withdrawn", "j-v": "withdrawn"} {
@@ -70,26 +70,26 @@
 
 // A job counts its times from the end of the last job that it needs, except its
 // deadline; the jobs before it have its rank, and are due early enough for it.
-func TestStandingFollowsFromWhatComesAfter(t *testing.T) {
+func TestPriorityFollowsFromDependents(t *testing.T) {
 	due := 100.0
 	last := spec("j-c", "j-b")
 	last.rec.Spec.Priority, last.rec.Spec.DeadlineS = "urgent", &due // due at 101,000 ms
 	v := NewView()
 	v.puts(spec("j-a"), spec("j-b", "j-a"))
-	if rank, due := v.Jobs["j-a"].Standing(); rank != model.LowPriority || due != 0 {
+	if rank, due := v.Jobs["j-a"].EffectivePriority(); rank != model.LowPriority || due != 0 {
 		t.Errorf("alone: rank %d, due in %d", rank, due)
 	}
-	v.TakeNews()
+	v.TakeChangedJobs()
 	v.puts(last)
-	if news := v.TakeNews(); len(news) != 1 || news[0] != "j-a" {
-		t.Errorf("news of %v, want j-a, which may begin", news)
+	if changed := v.TakeChangedJobs(); len(changed) != 1 || changed[0] != "j-a" {
+		t.Errorf("changed jobs %v, want j-a, which may begin", changed)
 	}
-	if rank, due := v.Jobs["j-a"].Standing(); rank != model.HighPriority || due != 80*model.Second {
+	if rank, due := v.Jobs["j-a"].EffectivePriority(); rank != model.HighPriority || due != 80*model.Second {
 		t.Errorf("first: rank %d, due in %.1f s", rank, due.Seconds())
 	}
 	v.puts(done("j-a", 31_000))
-	if news := v.TakeNews(); len(news) != 1 || news[0] != "j-b" {
-		t.Errorf("news of %v, want j-b, which may begin now", news)
+	if changed := v.TakeChangedJobs(); len(changed) != 1 || changed[0] != "j-b" {
+		t.Errorf("changed jobs %v, want j-b, which may begin now", changed)
 	}
 	if j := v.Jobs["j-b"]; j.ReadyMs() != 31_000 || j.Job().Deadline != 60*model.Second || j.Job().Priority != model.HighPriority {
 		t.Errorf("second: from %d ms, %+v", j.ReadyMs(), j.Job())
@@ -101,7 +101,7 @@
 }
 
 // A deep chain and wide fans.
-func TestDeepAndWidePipelines(t *testing.T) {
+func TestDeepAndWideDependencies(t *testing.T) {
 	const n = 1000
 	ref := func(i int) string { return fmt.Sprintf("j-%06d", i) }
 	chain := NewView()
@@ -139,7 +139,7 @@
 
 // An entry that one transaction wrote into two bundles still stands in one of them
 // when the other drops it.
-func TestTwinEntries(t *testing.T) {
+func TestDuplicateEntries(t *testing.T) {
 	machine := map[string]*shard.MachineRecord{"h1": {Tasks: map[string][][2]uint64{"j-1": {{0, 5}}}}}
 	for dropped := range 2 {
 		v := NewView()
--- /dev/null
+++ b/internal/state/duty_status.go
@@ -0,0 +1,43 @@
+package state
+
+import (
+	"encoding/json"
+	"errors"
+
+	"woadweir/internal/core/model"
+	"woadweir/internal/duty"
+)
+
+// Duties reads which controller holds which single-holder duty.
+func (c *Client) Duties(timeout model.Micros) ([]duty.Status, error) {
+	var statuses []duty.Status
+	for _, name := range duty.Movable {
+		var lease duty.Lease
+		revision, err := c.readRecord(name.Key(), &lease, timeout)
+		if err != nil {
+			return nil, err
+		}
+		statuses = append(statuses, duty.StatusOf(name, duty.Held{Lease: lease, Token: revision}))
+	}
+	var grant GrantRecord
+	revision, err := c.readRecord(GrantKey(FirstBlock), &grant, timeout)
+	if err != nil {
+		return nil, err
+	}
+	return append(statuses, duty.Status{Name: duty.Reclaiming, Holder: grant.Holder, Token: revision}), nil
+}
+
+// readRecord reads a record. A key that does not exist has the revision 0.
+func (c *Client) readRecord(key string, record any, timeout model.Micros) (revision uint64, err error) {
+	entry, err := c.Get(key, timeout)
+	if errors.Is(err, ErrMissing) {
+		return 0, nil
+	}
+	if err != nil {
+		return 0, err
+	}
+	if err := json.Unmarshal(entry.Value, record); err != nil {
+		return 0, &RecordError{Key: key, Cause: err}
+	}
+	return entry.Revision, nil
+}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -156,14 +156,14 @@
 		t.Errorf("watch: %+v, %v", ch, err)
 	}
 	answer = `{"tenancy":7}`
-	if id, err := c.Grant(2500*model.Millisecond, patience); err != nil || id != 7 || got != `POST /grants {"ttlMs":2500}` {
+	if id, err := c.GrantLease(2500*model.Millisecond, patience); err != nil || id != 7 || got != `POST /grants {"ttlMs":2500}` {
 		t.Errorf("grant: %d, %v, sent %s", id, err, got)
 	}
 	code = 404
-	if err := c.Touch(7, patience); !errors.Is(err, ErrMissing) || got != "POST /grants/7/touch " {
+	if err := c.RenewLease(7, patience); !errors.Is(err, ErrMissing) || got != "POST /grants/7/touch " {
 		t.Errorf("touch: %v, sent %s", err, got)
 	}
-	if err := c.End(7, patience); err != nil {
+	if err := c.RevokeLease(7, patience); err != nil {
 		t.Errorf("ending a lease that is over: %v", err)
 	}
 	if _, err := c.Get("node/a", patience); !errors.Is(err, ErrMissing) || got != "GET /keys/node/a " {
@@ -171,7 +171,7 @@
 	}
 	ln.Close()
 	srv.Shutdown() //nolint:errcheck // connections are dropped
-	if err := NewClient("127.0.0.1:1").Touch(7, model.Second); !errors.Is(err, ErrLost) {
+	if err := NewClient("127.0.0.1:1").RenewLease(7, model.Second); !errors.Is(err, ErrLost) {
 		t.Errorf("unreachable: %v", err)
 	}
 }
