--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -194,7 +194,7 @@
 	// With these nothing safe could be done. All else starts, however unusual.
 	if w := &p.Workers; w.ReportS*5/4 >= w.LeaseS {
 		return fmt.Errorf("params.workers.report_s: %v leaves no lease of %v s", w.ReportS, w.LeaseS)
-	} else if !leadership.Possible(model.Seconds(w.LeaseS), model.Seconds(w.CancelS)) {
+	} else if !leadership.IsFeasible(model.Seconds(w.LeaseS), model.Seconds(w.CancelS)) {
 		return fmt.Errorf("params.workers.cancel_s: %v leaves no session beside a lease of %v s", w.CancelS, w.LeaseS)
 	}
 	return nil
--- a/internal/config/duties.go
+++ b/internal/config/duties.go
@@ -23,20 +23,20 @@
 	for _, sibling := range s.Siblings {
 		nodes = append(nodes, sibling.NodeName)
 	}
-	policy, err := duty.ParseSettings(raw, nodes, s.Spans(o).TTL)
+	policy, err := duty.ParseSettings(raw, nodes, s.LeaseTimes(o).TTL)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return policy, nil
 }
 
-// Spans are the times of safety that follow from the settings. The duties file may
-// shorten the session.
-func (s *Settings) Spans(o *Operator) leadership.Spans {
-	w := s.Params.Workers
+// LeaseTimes are the times of the controller's session lease that follow from the
+// settings. The duties file may shorten the session.
+func (s *Settings) LeaseTimes(o *Operator) leadership.LeaseTimes {
+	workers := &s.Params.Workers
 	longest := model.Seconds(float64(o.BlockLeaseS))
 	if o.Duties != nil && o.Duties.Lease != 0 {
 		longest = min(longest, o.Duties.Lease)
 	}
-	return leadership.Settle(longest, model.Seconds(w.LeaseS), model.Seconds(w.ReportS), model.Seconds(w.CancelS))
+	return leadership.ComputeLeaseTimes(longest, model.Seconds(workers.LeaseS), model.Seconds(workers.ReportS), model.Seconds(workers.CancelS))
 }
--- a/internal/controller/carryout.go
+++ b/internal/controller/carryout.go
@@ -92,7 +92,7 @@
 		d.calls[key] = call
 	}
 	call.busy = true
-	return carryOut{intent: key, stamp: call.stamp, until: d.c.auth.Ends()}
+	return carryOut{intent: key, stamp: call.stamp, until: d.c.auth.ExpiresAt()}
 }
 
 func (d *dutyHolder) callRent(key string, r *duty.Rental) {
--- a/internal/controller/catchup.go
+++ b/internal/controller/catchup.go
@@ -70,7 +70,7 @@
 		c.view.Revision = max(c.view.Revision, m.changes.Revision)
 	}
 	c.syncOK = m.sent
-	c.auth.Synced(m.sent)
+	c.auth.ViewSynced(m.sent)
 	if l := c.leading; l != nil {
 		if c.view.Leader == nil || c.view.Leader.Session != c.session || c.view.Revisions[state.GrantKey(blockName)] != l.token {
 			c.stepDown("the state says that another leads")
--- a/internal/controller/cells.go
+++ b/internal/controller/cells.go
@@ -134,7 +134,7 @@
 // cells.
 func (c *controller) takeCellMessage(m any) {
 	l := c.leading
-	holds := l != nil && l.ready && c.auth.Holds(c.now)
+	holds := l != nil && l.ready && c.auth.IsValid(c.now)
 	switch m := m.(type) {
 	case msgOffer:
 		if !holds {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -156,13 +156,13 @@
 	duties  *dutyHolder
 }
 
-func newController(set *config.Settings, op *config.Operator, spans leadership.Spans, clock Clock, io effects) *controller {
+func newController(set *config.Settings, op *config.Operator, leaseTimes leadership.LeaseTimes, clock Clock, io effects) *controller {
 	// Catch-ups of all controllers together take at most so much of what the state
 	// service bears; transactions and sessions need the rest.
 	nodes := len(set.Siblings) + 1
 	limits := set.StateLimits()
 	gap := model.Seconds(float64(nodes) / (syncShare * limits.RPS))
-	c := &controller{set: set, limits: limits, op: op, clock: clock, io: io, teams: set.Teams(), auth: leadership.Authority{Spans: spans},
+	c := &controller{set: set, limits: limits, op: op, clock: clock, io: io, teams: set.Teams(), auth: leadership.Authority{Times: leaseTimes},
 		syncGap: max(syncLeast, gap), seen: map[string]model.Micros{}, routes: map[string]route{}, layouts: map[string]int{}, view: state.NewView(), wantList: true,
 		wall: func() int64 { return time.Now().UnixMilli() }, jitter: rand.Float64}
 	c.budget = state.NewBudget(c.writeShare(false))
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -147,7 +147,7 @@
 func (d *dutyHolder) enable() {
 	c := d.c
 	l := c.leading
-	if l == nil || !l.ready || c.actsThroughIntents() || !d.wanted() || c.busy[laneMisc] || c.now < c.pauses[laneMisc] || !c.auth.Holds(c.now) {
+	if l == nil || !l.ready || c.actsThroughIntents() || !d.wanted() || c.busy[laneMisc] || c.now < c.pauses[laneMisc] || !c.auth.IsValid(c.now) {
 		return
 	}
 	grant := state.GrantKey(blockName)
@@ -162,7 +162,7 @@
 	c := d.c
 	s := duty.Situation{Now: c.now, WallMs: c.wall(), Self: c.set.NodeName, Overloaded: d.overloaded(), CloudFailingSince: d.cloudFailingSince,
 		Nodes: d.liveNodes(), Leases: map[duty.Name]duty.Held{}}
-	if c.session != 0 && c.auth.Holds(c.now) {
+	if c.session != 0 && c.auth.IsValid(c.now) {
 		s.Session = c.session
 	}
 	if c.view.Leader != nil {
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -9,7 +9,7 @@
 
 func (c *controller) sessionNews(m msgSession) {
 	if m.id == 0 {
-		c.auth.Ended()
+		c.auth.Revoke()
 		c.session = 0
 		c.stepDown("session over")
 		return
@@ -21,14 +21,14 @@
 		c.stepDown("new session")
 	}
 	c.session = m.id
-	c.auth.Touched(m.sent)
+	c.auth.Renewed(m.sent)
 }
 
 // elect tries for the leader's key when nobody has it. When an earlier try was
 // carried out but its answer was lost, the key is there under our own session:
 // then only the grant is written, anew, as for any takeover.
 func (c *controller) elect() {
-	if c.leading != nil || c.session == 0 || c.busy[laneElect] || c.now < c.pauses[laneElect] || !c.auth.Holds(c.now) {
+	if c.leading != nil || c.session == 0 || c.busy[laneElect] || c.now < c.pauses[laneElect] || !c.auth.IsValid(c.now) {
 		return
 	}
 	ours := c.view.Leader != nil && c.view.Leader.Session == c.session
@@ -131,7 +131,7 @@
 	if cut {
 		helper = m.helpers[0]
 	}
-	c.auth.Ended()
+	c.auth.Revoke()
 	c.session, c.resigned = 0, session
 	c.pauses[laneElect] = c.now + 5*model.Second
 	c.stepDown("resigned: a sibling reaches what this node does not")
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -43,7 +43,7 @@
 		w.submit(sweepJob(i, 8, 10), 0)
 	}
 	w.until(14*model.Second, "another leads", func() bool { l := w.leader(); return l != nil && l != old })
-	if old.ctl.auth.Holds(old.ctl.clock()) {
+	if old.ctl.auth.IsValid(old.ctl.clock()) {
 		t.Fatal("two hold authority")
 	}
 	w.Run(w.Now + 20*model.Second)
@@ -366,14 +366,14 @@
 	w := newWorld(t, 13)
 	w.led(5 * model.Second)
 	n := w.leader()
-	spans := n.ctl.auth.Spans
+	leaseTimes := n.ctl.auth.Times
 	for _, o := range w.nodes {
 		if o != n {
 			o.crash() // nobody is there to resign to
 		}
 	}
 	n.setCut(dropped)
-	w.Run(w.Now + spans.TTL + model.Second)
+	w.Run(w.Now + leaseTimes.TTL + model.Second)
 	reply := make(chan workerAnswer, 1)
 	r := simReport("host-z")
 	n.ask(msgHeartbeat{report: r, reply: reply}, nil)
@@ -382,10 +382,10 @@
 	}
 }
 
-func TestSettle(t *testing.T) {
+func TestComputeLeaseTimes(t *testing.T) {
 	for _, c := range []struct{ lease, report, cancel float64 }{{18, 2.5, 38}, {18, 2.5, 43}, {30, 5, 45}, {10, 2, 22}} {
 		lease, report, cancel := model.Seconds(c.lease), model.Seconds(c.report), model.Seconds(c.cancel)
-		s := leadership.Settle(30*model.Second, lease, report, cancel)
+		s := leadership.ComputeLeaseTimes(30*model.Second, lease, report, cancel)
 		if s.TTL+lease+lease/1000 >= cancel {
 			t.Errorf("%v: a cut-off holder keeps a cancelled task for %v", c, s.TTL+lease)
 		}
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -54,7 +54,7 @@
 func TestTheGap(t *testing.T) {
 	times := append([]workerTimes{{5, 26.5, 51.5}, {5, 26.5, 46.5}}, meetingTimes...)
 	for i, ts := range times {
-		session := leadership.Settle(30*model.Second, model.Seconds(ts.lease), model.Seconds(ts.report), model.Seconds(ts.cancel)).TTL
+		session := leadership.ComputeLeaseTimes(30*model.Second, model.Seconds(ts.lease), model.Seconds(ts.report), model.Seconds(ts.cancel)).TTL
 		// The outage begins at once, before, at and after the end of the old leader's session.
 		for k, until := range []model.Micros{model.Second, 2 * model.Second, session - model.Second/2, session, session + 2*model.Second} {
 			for _, v := range []struct {
--- a/internal/controller/hosting.go
+++ b/internal/controller/hosting.go
@@ -183,7 +183,7 @@
 // renew asks each home cell for the right to go on with what it has lent.
 func (s *spiller) renew() {
 	c := s.l.c
-	if c.cells == nil || !c.auth.Holds(c.now) {
+	if c.cells == nil || !c.auth.IsValid(c.now) {
 		return
 	}
 	byHome := map[string][]string{}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -164,7 +164,7 @@
 // lead does what is due for a leader.
 func (c *controller) lead() {
 	l := c.leading
-	if !l.ready || !c.auth.Holds(c.now) {
+	if !l.ready || !c.auth.IsValid(c.now) {
 		l.answerPending(true)
 		return
 	}
--- a/internal/controller/reads_test.go
+++ b/internal/controller/reads_test.go
@@ -185,7 +185,7 @@
 	io := &benchState{mail: mail, clock: clock}
 	set := simSettings("node-0")
 	set.Params.Quota.FDLimit = 4 * max(users, leastWaitingReads) // none is refused
-	c := newController(set, config.DefaultOperator(), leadership.Settle(30*model.Second, 18*model.Second, 5*model.Second/2, 38*model.Second), clock, io)
+	c := newController(set, config.DefaultOperator(), leadership.ComputeLeaseTimes(30*model.Second, 18*model.Second, 5*model.Second/2, 38*model.Second), clock, io)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.run(ctx, mail) })
 	g.Go(func() error { return tick(ctx, mail) })
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -97,7 +97,7 @@
 // elsewhere tells a worker where to go, or whom to hand its report on to.
 func (c *controller) elsewhere() workerAnswer {
 	a := workerAnswer{code: 421, body: workerapi.Elsewhere("")}
-	if l := c.view.Leader; l != nil && l.Node != c.set.NodeName && c.auth.Fresh(c.now) {
+	if l := c.view.Leader; l != nil && l.Node != c.set.NodeName && c.auth.IsViewFresh(c.now) {
 		a.body = workerapi.Elsewhere(l.Node)
 		if c.now >= c.relayNotBy {
 			a.relay = l.Node
@@ -129,7 +129,7 @@
 			a.relay = "" // once is enough
 		}
 		m.reply <- a
-	case !c.leading.ready || !c.auth.Holds(c.now):
+	case !c.leading.ready || !c.auth.IsValid(c.now):
 		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
 	case m.relayed && c.askHome(m.report.Machine):
 		m.reply <- workerAnswer{code: 421, body: workerapi.Elsewhere(c.set.NodeName)}
--- a/internal/controller/responses.go
+++ b/internal/controller/responses.go
@@ -60,7 +60,7 @@
 		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
 		return
 	}
-	if h == nil || h.Incarnation != m.report.Session || h.Sequence != m.report.Sequence || h.Deleting || !l.c.auth.Holds(l.c.now) {
+	if h == nil || h.Incarnation != m.report.Session || h.Sequence != m.report.Sequence || h.Deleting || !l.c.auth.IsValid(l.c.now) {
 		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
 		return
 	}
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -46,8 +46,8 @@
 	if err != nil {
 		return err
 	}
-	spans := set.Spans(op)
-	slog.Info("start", "node", set.NodeName, "session_s", spans.TTL.Seconds())
+	leaseTimes := set.LeaseTimes(op)
+	slog.Info("start", "node", set.NodeName, "session_s", leaseTimes.TTL.Seconds())
 
 	if op.Duties != nil && op.Duties.TraceEndpoint != "" {
 		shutdown, err := tracing.Setup(ctx, op.Duties.TraceEndpoint, set.NodeName)
@@ -76,14 +76,14 @@
 	abandon := make(chan uint64, 8)
 	io := &inputOutput{mail: mail, clock: clock, state: st, cloud: cloud.NewClient(set.Services.Cloud), peers: peers, name: set.NodeName, ctx: ctx,
 		abandon: abandon}
-	c := newController(set, op, spans, clock, io)
+	c := newController(set, op, leaseTimes, clock, io)
 	if op.Spill != nil {
 		if c.cells, err = newCellIO(io, op.Spill); err != nil {
 			return err
 		}
 	}
 	g.Go(func() error { return c.run(ctx, mail) })
-	ses := &session{state: st, clock: clock, mail: mail, name: set.NodeName, serve: set.ServeOn, ttl: spans.TTL, duties: op.Duties != nil, spills: op.Spill != nil, abandon: abandon}
+	ses := &session{state: st, clock: clock, mail: mail, name: set.NodeName, serve: set.ServeOn, ttl: leaseTimes.TTL, duties: op.Duties != nil, spills: op.Spill != nil, abandon: abandon}
 	g.Go(func() error { return ses.run(ctx) })
 	g.Go(func() error { return tick(ctx, mail) })
 	srv := newServer(set, f)
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -61,15 +61,15 @@
 		if err != nil {
 			slog.Debug("session", "err", err)
 		}
-		news := core.Take(reply)
-		if !news.Any {
+		change := core.HandleReply(reply)
+		if !change.Changed {
 			continue
 		}
-		if call.Kind != leadership.CallTouch || news.ID == 0 {
-			slog.Info("session", "id", news.ID)
+		if call.Kind != leadership.CallRenew || change.LeaseID == 0 {
+			slog.Info("session", "id", change.LeaseID)
 		}
 		select {
-		case s.mail <- msgSession{news.ID, news.Sent}:
+		case s.mail <- msgSession{change.LeaseID, change.SentAt}:
 		case <-ctx.Done():
 			return nil
 		}
@@ -88,21 +88,21 @@
 			if err := json.Unmarshal(e.Value, &rec); err != nil {
 				slog.Error("node key is not readable", "err", err)
 			}
-			r.ID, r.Revision = rec.Session, e.Revision
+			r.LeaseID, r.Revision = rec.Session, e.Revision
 		}
-	case leadership.CallEnd:
-		err = s.state.RevokeLease(call.ID, patience)
+	case leadership.CallRevoke:
+		err = s.state.RevokeLease(call.LeaseID, patience)
 	case leadership.CallGrant:
-		r.ID, err = s.state.GrantLease(s.ttl, patience)
+		r.LeaseID, err = s.state.GrantLease(s.ttl, patience)
 	case leadership.CallPut:
 		var res *state.Result
 		res, err = s.state.Commit(&state.Txn{Conditions: []state.Condition{{Path: key, Revision: call.Revision}},
-			Then: []state.Op{{Set: key, Value: state.NodeRecord{Session: call.ID, Serve: s.serve, Layout: state.Layout(s.spills), Duties: s.duties}, LeaseID: call.ID}}}, patience)
+			Then: []state.Op{{Set: key, Value: state.NodeRecord{Session: call.LeaseID, Serve: s.serve, Layout: state.Layout(s.spills), Duties: s.duties}, LeaseID: call.LeaseID}}}, patience)
 		if err == nil && !res.OK {
 			r.Outcome = leadership.Conflict
 		}
-	case leadership.CallTouch:
-		err = s.state.RenewLease(call.ID, patience)
+	case leadership.CallRenew:
+		err = s.state.RenewLease(call.LeaseID, patience)
 	}
 	switch {
 	case err == nil:
--- a/internal/controller/sim_node_test.go
+++ b/internal/controller/sim_node_test.go
@@ -51,7 +51,7 @@
 	if n.old {
 		n.set.Params.State.Next = simSettings("").Params.State.Next // which it does not know
 	}
-	spans := leadership.Settle(30*model.Second, model.Seconds(n.set.Params.Workers.LeaseS), model.Seconds(n.set.Params.Workers.ReportS), model.Seconds(n.set.Params.Workers.CancelS))
+	leaseTimes := leadership.ComputeLeaseTimes(30*model.Second, model.Seconds(n.set.Params.Workers.LeaseS), model.Seconds(n.set.Params.Workers.ReportS), model.Seconds(n.set.Params.Workers.CancelS))
 	base := n.w.Now
 	clock := func() model.Micros { return n.w.Now - base + 1 }
 	op := config.DefaultOperator()
@@ -61,13 +61,13 @@
 	if n.w.cell != nil {
 		op.Spill = n.w.cell.policy
 	}
-	n.ctl = newController(n.set, op, spans, clock, n)
+	n.ctl = newController(n.set, op, leaseTimes, clock, n)
 	if op.Spill != nil {
 		n.ctl.cells = &simCells{n}
 		n.ctl.jitter = n.w.Rng.Float64
 	}
 	n.ctl.wall = func() int64 { return int64(n.w.Now / 1000) }
-	n.ses = leadership.NewSession(spans.TTL)
+	n.ses = leadership.NewSession(leaseTimes.TTL)
 	n.tick(n.life)
 	n.session(n.life)
 }
@@ -106,7 +106,7 @@
 }
 
 func (n *simNode) sessionCall(call leadership.Call, life int) {
-	if n.alive && n.life == life && call.Kind == leadership.CallTouch {
+	if n.alive && n.life == life && call.Kind == leadership.CallRenew {
 		n.reaches(beforeRenewal)
 	}
 	if !n.alive || n.life != life || n.stopped(func() { n.sessionCall(call, life) }) {
@@ -127,20 +127,20 @@
 		case leadership.CallRead:
 			var e *state.Entry
 			if e, err = n.w.state.Get(n.name, key); err == nil {
-				r.Revision, r.ID = e.Revision, e.LeaseID
+				r.Revision, r.LeaseID = e.Revision, e.LeaseID
 			}
-		case leadership.CallEnd:
-			err = n.w.state.End(n.name, call.ID)
+		case leadership.CallRevoke:
+			err = n.w.state.End(n.name, call.LeaseID)
 		case leadership.CallGrant:
-			r.ID, err = n.w.state.Grant(n.name, n.ctl.auth.Spans.TTL)
+			r.LeaseID, err = n.w.state.Grant(n.name, n.ctl.auth.Times.TTL)
 		case leadership.CallPut:
 			res, err = n.w.state.Commit(n.name, &state.Txn{Conditions: []state.Condition{{Path: key, Revision: call.Revision}},
-				Then: []state.Op{{Set: key, Value: n.nodeRecord(call.ID), LeaseID: call.ID}}})
+				Then: []state.Op{{Set: key, Value: n.nodeRecord(call.LeaseID), LeaseID: call.LeaseID}}})
 			if err == nil && !res.OK {
 				r.Outcome = leadership.Conflict
 			}
-		case leadership.CallTouch:
-			err = n.w.state.Touch(n.name, call.ID)
+		case leadership.CallRenew:
+			err = n.w.state.Touch(n.name, call.LeaseID)
 		}
 		if err == state.ErrMissing {
 			r.Outcome = leadership.Missing
@@ -172,8 +172,8 @@
 	if !n.alive || n.life != life || n.stopped(func() { n.sessionReply(r, life) }) {
 		return
 	}
-	if news := n.ses.Take(r); news.Any {
-		n.ask(msgSession{news.ID, news.Sent}, nil)
+	if change := n.ses.HandleReply(r); change.Changed {
+		n.ask(msgSession{change.LeaseID, change.SentAt}, nil)
 	}
 	n.session(life)
 }
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -152,7 +152,7 @@
 
 func (w *world) leader() *simNode {
 	for _, n := range w.nodes {
-		if n.alive && n.ctl.leading != nil && n.ctl.auth.Holds(n.ctl.clock()) {
+		if n.alive && n.ctl.leading != nil && n.ctl.auth.IsValid(n.ctl.clock()) {
 			return n
 		}
 	}
@@ -174,7 +174,7 @@
 func (w *world) describe() string {
 	s := w.cloud.Describe()
 	for _, n := range w.nodes {
-		s += fmt.Sprintf("%s: alive %v, session %d, holds %v, busy %v, syncing %v", n.name, n.alive, n.ctl.session, n.ctl.auth.Holds(n.ctl.clock()), n.ctl.busy, n.ctl.syncing)
+		s += fmt.Sprintf("%s: alive %v, session %d, holds %v, busy %v, syncing %v", n.name, n.alive, n.ctl.session, n.ctl.auth.IsValid(n.ctl.clock()), n.ctl.busy, n.ctl.syncing)
 		if l := n.ctl.leading; l != nil {
 			s += fmt.Sprintf(", leads: ready %v, resync %v, queued %d, budget %d", l.ready, l.resync, l.block.Queued(), n.ctl.budget.Left(n.ctl.clock()))
 		}
--- a/internal/controller/troubles_test.go
+++ b/internal/controller/troubles_test.go
@@ -174,8 +174,8 @@
 	n.alone = true
 	cut := w.Now
 	u.cancelAt = w.Now + 2*model.Second
-	w.until(n.ctl.auth.Spans.TTL+3*model.Second, "a successor leads", func() bool { l := w.leader(); return l != nil && l != n && l.ctl.leading.ready })
-	if n.ctl.auth.Holds(n.ctl.clock()) {
+	w.until(n.ctl.auth.Times.TTL+3*model.Second, "a successor leads", func() bool { l := w.leader(); return l != nil && l != n && l.ctl.leading.ready })
+	if n.ctl.auth.IsValid(n.ctl.clock()) {
 		t.Fatal("two hold authority")
 	}
 	w.until(30*model.Second, "the cancellation is answered", func() bool { return u.ended == "withdrawn" })
@@ -224,7 +224,7 @@
 		w.Run(w.Now + 3*model.Second)
 		leaders := 0
 		for _, n := range w.nodes {
-			if n.alive && n.ctl.leading != nil && n.ctl.auth.Holds(n.ctl.clock()) {
+			if n.alive && n.ctl.leading != nil && n.ctl.auth.IsValid(n.ctl.clock()) {
 				leaders++
 			}
 		}
--- a/internal/core/leadership/session.go
+++ b/internal/core/leadership/session.go
@@ -2,140 +2,165 @@
 
 import "woadweir/internal/core/model"
 
-// CallKind is a request that the session needs made of the state service.
+// CallKind is a kind of request that the session needs made to the state service.
 type CallKind uint8
 
 // The session's requests.
 const (
-	CallRead  CallKind = iota // read the node's key
-	CallEnd                   // end lease ID
-	CallGrant                 // open a lease
-	CallPut                   // put the node's key under lease ID if its version is Revision
-	CallTouch                 // renew lease ID
+	CallRead   CallKind = iota // read the node's key
+	CallRevoke                 // revoke the lease
+	CallGrant                  // open a lease
+	CallPut                    // put the node's key under the lease if the key is at Revision
+	CallRenew                  // renew the lease
 )
 
-// Call is the next request, to be made after a pause.
+// Call is a request to be made after a delay.
 type Call struct {
 	Kind     CallKind
 	After    model.Micros
-	ID       uint64
+	LeaseID  uint64
 	Revision uint64
 }
 
-// Outcome says how a request ended.
+// Outcome is how a request ended.
 type Outcome uint8
 
-// Outcomes of a request. Unclear covers all that may or may not have been
-// carried out, and all that was refused.
+// Outcomes of a request. Unclear covers all requests that may or may not have been
+// executed, and all that were rejected.
 const (
-	Good Outcome = iota
+	Succeeded Outcome = iota
 	Missing
 	Conflict
 	Unclear
 )
 
-// Reply is what came of a Call.
+// Reply is the result of a Call.
 type Reply struct {
 	Outcome  Outcome
-	ID       uint64 // CallRead: the lease in the node's key; CallGrant: the new lease
-	Revision uint64 // CallRead: the version of the node's key
+	LeaseID  uint64 // CallRead: the lease in the node's key; CallGrant: the new lease
+	Revision uint64 // CallRead: the revision of the node's key
 }
 
-// News is what the session's owner has to know.
-type News struct {
-	Any  bool
-	ID   uint64       // 0: the session is over
-	Sent model.Micros // when the request that renewed it was sent
+// SessionChange tells the session's owner that its lease was opened, renewed or lost.
+type SessionChange struct {
+	Changed bool         // false: nothing to tell
+	LeaseID uint64       // 0: the session is over
+	SentAt  model.Micros // when the request that opened or renewed it was sent
 }
 
-const sessionRetry = 250 * model.Millisecond
+const (
+	// sessionRetry is the delay before a failed request is repeated.
+	sessionRetry = 250 * model.Millisecond
+	// renewalsPerTTL is how many renewals are sent within the lease's TTL.
+	renewalsPerTTL = 6
+)
 
-// Session keeps one lease for this process, step by step. A process that
-// starts first ends the lease of the process that was this node before: only
-// this node writes its key, so that process is no more, and what it led need
-// not wait for its lease to run out.
+// Session keeps one lease for this process, as a state machine: its owner makes the
+// request of Next, and passes the result to HandleReply. A process that starts first
+// revokes the lease of its predecessor on the same node: only this node writes its key,
+// so that process is no more, and what it led need not wait for its lease to expire.
 type Session struct {
-	ttl     model.Micros
-	call    Call
-	sent    model.Micros
-	granted model.Micros
-	id      uint64
-	stamp   uint64
-	ended   uint64 // a former lease that was ended
+	ttl       model.Micros
+	call      Call
+	sentAt    model.Micros
+	grantedAt model.Micros
+	leaseID   uint64
+	revision  uint64 // of the node's key before the lease was opened
+	revokedID uint64 // a former lease that was revoked
 }
 
-// NewSession begins with reading the node's key.
+// NewSession makes a session that begins with reading the node's key.
 func NewSession(ttl model.Micros) *Session { return &Session{ttl: ttl} }
 
-// Next is the request to be made now; sent is when it leaves.
+// Next is the request to be made now.
 func (s *Session) Next() Call { return s.call }
 
-// Sending notes when the request of Next leaves.
-func (s *Session) Sending(now model.Micros) { s.sent = now }
-
-// ID is the lease being kept, 0 if there is none.
-func (s *Session) ID() uint64 { return s.id }
+// Sending notes when the request of Next is sent.
+func (s *Session) Sending(now model.Micros) { s.sentAt = now }
 
-// Abandon has the lease ended instead of renewed: its owner has stopped acting
-// under it. It must not be called while a request is on its way.
-func (s *Session) Abandon(id uint64) {
-	if id != 0 && id == s.id {
-		s.id = 0
-		s.call = Call{Kind: CallEnd, ID: id}
+// Abandon has the lease revoked instead of renewed: its owner has stopped acting under
+// it. It must not be called between Sending and HandleReply.
+func (s *Session) Abandon(leaseID uint64) {
+	if leaseID != 0 && leaseID == s.leaseID {
+		s.leaseID = 0
+		s.call = Call{Kind: CallRevoke, LeaseID: leaseID}
 	}
 }
 
-// Take takes the outcome of the request and decides the next.
-func (s *Session) Take(r Reply) (n News) {
-	retry := func() { s.call = Call{Kind: CallRead, After: sessionRetry} }
+// HandleReply takes the result of the request, and decides on the next one.
+func (s *Session) HandleReply(reply Reply) SessionChange {
 	switch s.call.Kind {
 	case CallRead:
-		switch {
-		case r.Outcome == Missing:
-			s.stamp = 0
-			s.call = Call{Kind: CallGrant}
-		case r.Outcome != Good:
-			retry()
-		case r.ID != 0 && r.ID != s.ended:
-			s.call = Call{Kind: CallEnd, ID: r.ID}
-		default:
-			s.stamp = r.Revision
-			s.call = Call{Kind: CallGrant}
-		}
-	case CallEnd:
-		if r.Outcome == Unclear {
-			retry()
-			break
-		}
-		s.ended = s.call.ID
-		s.call = Call{Kind: CallRead}
+		s.handleRead(reply)
+	case CallRevoke:
+		s.handleRevoke(reply)
 	case CallGrant:
-		if r.Outcome != Good {
-			retry()
-			break
-		}
-		s.granted = s.sent
-		s.call = Call{Kind: CallPut, ID: r.ID, Revision: s.stamp}
+		s.handleGrant(reply)
 	case CallPut:
-		if r.Outcome != Good {
-			retry()
-			break
-		}
-		s.id = s.call.ID
-		s.call = Call{Kind: CallTouch, ID: s.id, After: s.ttl / 6}
-		return News{true, s.id, s.granted}
-	case CallTouch:
-		switch r.Outcome {
-		case Good:
-			s.call.After = s.ttl / 6
-			return News{true, s.id, s.sent}
-		case Missing:
-			s.id = 0
-			s.call = Call{Kind: CallRead}
-			return News{Any: true}
-		default:
-			s.call.After = sessionRetry
-		}
+		return s.handlePut(reply)
+	case CallRenew:
+		return s.handleRenew(reply)
+	}
+	return SessionChange{}
+}
+
+// restart reads the node's key again: it tells whether the failed request was executed.
+func (s *Session) restart() { s.call = Call{Kind: CallRead, After: sessionRetry} }
+
+func (s *Session) handleRead(reply Reply) {
+	switch {
+	case reply.Outcome == Missing:
+		s.revision = 0
+		s.call = Call{Kind: CallGrant}
+	case reply.Outcome != Succeeded:
+		s.restart()
+	case reply.LeaseID != 0 && reply.LeaseID != s.revokedID:
+		s.call = Call{Kind: CallRevoke, LeaseID: reply.LeaseID}
+	default:
+		s.revision = reply.Revision
+		s.call = Call{Kind: CallGrant}
+	}
+}
+
+func (s *Session) handleRevoke(reply Reply) {
+	if reply.Outcome == Unclear {
+		s.restart()
+		return
+	}
+	s.revokedID = s.call.LeaseID
+	s.call = Call{Kind: CallRead}
+}
+
+func (s *Session) handleGrant(reply Reply) {
+	if reply.Outcome != Succeeded {
+		s.restart()
+		return
+	}
+	s.grantedAt = s.sentAt
+	s.call = Call{Kind: CallPut, LeaseID: reply.LeaseID, Revision: s.revision}
+}
+
+func (s *Session) handlePut(reply Reply) SessionChange {
+	if reply.Outcome != Succeeded {
+		s.restart()
+		return SessionChange{}
+	}
+	s.leaseID = s.call.LeaseID
+	s.call = Call{Kind: CallRenew, LeaseID: s.leaseID, After: s.ttl / renewalsPerTTL}
+	return SessionChange{Changed: true, LeaseID: s.leaseID, SentAt: s.grantedAt}
+}
+
+func (s *Session) handleRenew(reply Reply) SessionChange {
+	switch reply.Outcome {
+	case Succeeded:
+		s.call.After = s.ttl / renewalsPerTTL
+		return SessionChange{Changed: true, LeaseID: s.leaseID, SentAt: s.sentAt}
+	case Missing:
+		s.leaseID = 0
+		s.call = Call{Kind: CallRead}
+		return SessionChange{Changed: true}
+	default:
+		s.call.After = sessionRetry
+		return SessionChange{}
 	}
-	return News{}
 }
