--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -57,8 +57,8 @@
 	HeldS       float64 `json:"heldS"` // for how long it has been rented
 }
 
-// Rental is a request for machines. The cloud executes a request ID only once, so a
-// request without a response may be repeated.
+// Rental is a request for machines. A repeated request that was successful gets the same
+// response and rents nothing, so one without a response may be retried with its ID.
 type Rental struct {
 	RequestID   string `json:"hire"`
 	MachineType string `json:"build"`
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -111,7 +112,7 @@
 		`txn_ops = 24`:               {`txn_ops = 1`, "params.state.txn_ops"},
 		`cpus_max = 136.0`:           {`cpus_max = -1.0`, "params.teams[0].cpus_max"},
 		`node_name = "n1"`:           {``, "siblings[0].node_name"},
-		`report_s = 2.5`:             {`report_s = "often"`, "report_s"},
+		`report_s = 2.5`:             {`report_s = "often"`, "params.workers.report_s"},
 		`cancel_s = 38.0`:            {`cancel_s = 21.0`, "params.workers.cancel_s"},
 		`gang_wait_s = 30.0`:         {`gang_wait_s = -1.0`, "params.workers.gang_wait_s"},
 	} {
@@ -122,6 +123,14 @@
 	}
 }
 
+func TestFieldErrors(t *testing.T) {
+	_, err := Parse([]byte(strings.Replace(good, "txn_ops = 24", "txn_ops = 1", 1)))
+	var fieldError *FieldError
+	if !errors.As(err, &fieldError) || *fieldError != (FieldError{"params.state.txn_ops", "1 is out of range"}) {
+		t.Errorf("%v", err)
+	}
+}
+
 // Settings that are unusual, but with which something safe can be done, start.
 func TestUnusualSettingsStart(t *testing.T) {
 	for old, odd := range map[string]string{
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -6,7 +6,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net/http"
 	"net/url"
@@ -17,104 +16,6 @@
 	"woadweir/internal/jsonhttp"
 )
 
-// Errors of the state service.
-var (
-	ErrBusy      = errors.New("state service: too many requests")                      // 429: not executed
-	ErrRefused   = errors.New("state service: refused")                                // 503: not executed
-	ErrLost      = errors.New("state service: no response")                            // may have been, or may yet be executed
-	ErrCompacted = errors.New("state service: revision too old")                       // 410
-	ErrNoLease   = errors.New("state service: no such lease")                          // 400: not executed
-	ErrTooBig    = errors.New("state service: value or transaction beyond its limits") // 400: not executed
-	ErrMissing   = errors.New("state service: not found")                              // 404
-)
-
-// StatusError reports an HTTP status that the state service's protocol does not provide
-// for a request.
-type StatusError struct{ Code int }
-
-// Error names the status.
-func (e *StatusError) Error() string {
-	return fmt.Sprintf("state service: unexpected status %d", e.Code)
-}
-
-// NotExecuted tells of an error that the request was surely not executed, and will not
-// be.
-func NotExecuted(err error) bool {
-	return errors.Is(err, ErrBusy) || errors.Is(err, ErrRefused) || errors.Is(err, ErrTooBig) || errors.Is(err, ErrNoLease)
-}
-
-// The JSON names below are those of the state service's protocol: a path is a key, a
-// stamp the revision of a key, an epoch the revision of the whole store, a tenancy the ID
-// of a lease, guards are compare-and-swap conditions, drop deletes a key, and starts is
-// the prefix of keys.
-
-// Condition is a compare-and-swap condition of a transaction: the key must still be at
-// the revision, where 0 means that it must not exist.
-type Condition struct {
-	Path     string `json:"path"`
-	Revision uint64 `json:"stamp"`
-}
-
-// Op is a write of a transaction: either Set a key to a value, attached to a lease unless
-// LeaseID is 0, or Drop a key.
-type Op struct {
-	Set     string `json:"set,omitempty"`
-	Value   any    `json:"value,omitempty"`
-	LeaseID uint64 `json:"tenancy,omitempty"`
-	Drop    string `json:"drop,omitempty"`
-}
-
-// Txn is a transaction: all writes are executed if all conditions hold, else none.
-type Txn struct {
-	Conditions []Condition `json:"guards"`
-	Then       []Op        `json:"then,omitempty"`
-}
-
-// Result is the outcome of a transaction.
-type Result struct {
-	Revision uint64   `json:"epoch"`
-	Failed   []string `json:"failed"` // keys whose conditions did not hold
-	Error    string   `json:"error"`
-	OK       bool     `json:"-"`
-}
-
-// Entry is a key with its value.
-type Entry struct {
-	Path     string          `json:"path"`
-	Value    json.RawMessage `json:"value"`
-	Revision uint64          `json:"stamp"`
-	LeaseID  uint64          `json:"tenancy"`
-}
-
-// Event is a change seen by a watch: of a key that was Set, or one that was dropped.
-type Event struct {
-	Set      string          `json:"set"`
-	Drop     string          `json:"drop"`
-	Value    json.RawMessage `json:"value"`
-	Revision uint64          `json:"stamp"`
-}
-
-// Changes is a watch's response.
-type Changes struct {
-	Revision uint64  `json:"epoch"`
-	Events   []Event `json:"events"`
-}
-
-// entryPage is one page of a listing.
-type entryPage struct {
-	Entries  []Entry `json:"entries"`
-	HasNext  bool    `json:"hasNext"`
-	Revision uint64  `json:"epoch"`
-}
-
-type grantLeaseRequest struct {
-	TTLMs int64 `json:"ttlMs"`
-}
-
-type grantLeaseResponse struct {
-	LeaseID uint64 `json:"tenancy"`
-}
-
 const (
 	// maxConnections is how many requests a client has open at the same time.
 	maxConnections = 16
--- a/internal/state/decode.go
+++ b/internal/state/decode.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"slices"
 	"strings"
 
@@ -11,35 +10,6 @@
 	"woadweir/internal/spill"
 )
 
-// ErrLayout matches every RecordError. Going on without an unreadable record could
-// forget an accepted job or start a task twice.
-var ErrLayout = errors.New("record of another layout")
-
-// RecordError reports a record that this version does not write and can't read.
-type RecordError struct {
-	Key    string
-	Detail string // what is wrong with it, empty if its key or state is unknown
-	Cause  error  // of the JSON decoder, nil if the JSON was well-formed
-}
-
-// Error names the key and says what is wrong with its value.
-func (e *RecordError) Error() string {
-	text := ErrLayout.Error() + ": " + e.Key
-	if e.Detail != "" {
-		text += " " + e.Detail
-	}
-	if e.Cause != nil {
-		text += ": " + e.Cause.Error()
-	}
-	return text
-}
-
-// Is makes errors.Is match ErrLayout.
-func (e *RecordError) Is(target error) bool { return target == ErrLayout }
-
-// Unwrap gives the error of the JSON decoder.
-func (e *RecordError) Unwrap() error { return e.Cause }
-
 const emptyRecord = "is empty"
 
 // decode reads the typed record of a key. A controller's own key is not among them: see
--- a/internal/state/dependencies_test.go
+++ b/internal/state/dependencies_test.go
@@ -10,25 +10,25 @@
 )
 
 type put struct {
-	ref string
-	rec shard.JobRecord
+	jobID string
+	rec   shard.JobRecord
 }
 
-func spec(ref string, awaits ...string) put {
-	return put{ref, shard.JobRecord{Spec: &model.Submission{ID: ref, Tasks: 1, Priority: "idle", EstimateS: 10, AcceptedMs: 1000, Awaits: awaits}}}
+func spec(jobID string, awaits ...string) put {
+	return put{jobID, shard.JobRecord{Spec: &model.Submission{ID: jobID, Tasks: 1, Priority: "idle", EstimateS: 10, AcceptedMs: 1000, Awaits: awaits}}}
 }
 
 func (v *View) puts(ps ...put) {
 	for _, p := range ps {
-		v.Put(JobKey(p.ref), p.rec, uint64(len(v.Revisions)+int(v.Revisions[JobKey(p.ref)])+1))
+		v.Put(JobKey(p.jobID), p.rec, uint64(len(v.Revisions)+int(v.Revisions[JobKey(p.jobID)])+1))
 	}
 }
 
-func done(ref string, atMs int64) put {
-	return put{ref, shard.JobRecord{End: Done, Tasks: 1, AtMs: atMs}}
+func done(jobID string, atMs int64) put {
+	return put{jobID, shard.JobRecord{End: Done, Tasks: 1, AtMs: atMs}}
 }
 
-func withdrawn(p put) put {
+func cancelledJob(p put) put {
 	p.rec.End = Cancelled
 	return p
 }
@@ -38,28 +38,28 @@
 func TestDependenciesInAnyOrder(t *testing.T) {
 	b := spec("j-b", "j-a")
 	cancelled := spec("j-x")
-	all := []put{done("j-a", 5000), b, spec("j-c", "j-a", "j-b"), cancelled, withdrawn(cancelled), spec("j-y", "j-a", "j-x"), spec("j-z", "j-y"), done("j-d", 7000),
-		spec("j-e", "j-d", "j-a"), withdrawn(spec("j-w", "j-b")), spec("j-v", "j-w")}
+	all := []put{done("j-a", 5000), b, spec("j-c", "j-a", "j-b"), cancelled, cancelledJob(cancelled), spec("j-y", "j-a", "j-x"), spec("j-z", "j-y"), done("j-d", 7000),
+		spec("j-e", "j-d", "j-a"), cancelledJob(spec("j-w", "j-b")), spec("j-v", "j-w")}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		v := NewView()
-		stamps := map[string]uint64{"j-a": 1, "j-b": 2, "j-c": 3, "j-x": 4, "j-y": 6, "j-z": 7, "j-d": 8, "j-e": 9, "j-w": 10, "j-v": 11}
+		revisions := map[string]uint64{"j-a": 1, "j-b": 2, "j-c": 3, "j-x": 4, "j-y": 6, "j-z": 7, "j-d": 8, "j-e": 9, "j-w": 10, "j-v": 11}
 		for _, k := range rng.Perm(len(all)) {
-			stamp := stamps[all[k].ref]
-			if all[k].ref == "j-x" && all[k].rec.End != "" {
-				stamp++
+			revision := revisions[all[k].jobID]
+			if all[k].jobID == "j-x" && all[k].rec.End != "" {
+				revision++
 			}
-			v.Put(JobKey(all[k].ref), all[k].rec, stamp)
+			v.Put(JobKey(all[k].jobID), all[k].rec, revision)
 		}
-		for ref, want := range map[string]string{"j-a": "done", "j-b": "pending", "j-c": "pending", "j-x": "withdrawn", "j-y": "withdrawn", "j-z": "withdrawn",
+		for jobID, want := range map[string]string{"j-a": "done", "j-b": "pending", "j-c": "pending", "j-x": "withdrawn", "j-y": "withdrawn", "j-z": "withdrawn",
 			"j-d": "done", "j-e": "pending", "j-w": "withdrawn", "j-v": "withdrawn"} {
-			if status, _, _, _ := v.Status(ref); status != want {
-				t.Fatalf("%s is %s, want %s", ref, status, want)
+			if status, _, _, _ := v.Status(jobID); status != want {
+				t.Fatalf("%s is %s, want %s", jobID, status, want)
 			}
 		}
-		for ref, want := range map[string]bool{"j-b": true, "j-c": false, "j-e": true, "j-y": false, "j-v": false} {
-			if v.Jobs[ref].Ready() != want {
-				t.Fatalf("%s is ready: %v", ref, !want)
+		for jobID, want := range map[string]bool{"j-b": true, "j-c": false, "j-e": true, "j-y": false, "j-v": false} {
+			if v.Jobs[jobID].Ready() != want {
+				t.Fatalf("%s is ready: %v", jobID, !want)
 			}
 		}
 		if e := v.Jobs["j-e"]; e.ReadyMs() != 7000 || e.Order() != 9 {
@@ -69,23 +69,23 @@
 }
 
 // A job counts its times from the end of the last job that it needs, except its
-// deadline; the jobs before it have its rank, and are due early enough for it.
+// deadline; the jobs before it have its priority, and are due early enough for it.
 func TestPriorityFollowsFromDependents(t *testing.T) {
 	due := 100.0
 	last := spec("j-c", "j-b")
 	last.rec.Spec.Priority, last.rec.Spec.DeadlineS = "urgent", &due // due at 101,000 ms
 	v := NewView()
 	v.puts(spec("j-a"), spec("j-b", "j-a"))
-	if rank, due := v.Jobs["j-a"].EffectivePriority(); rank != model.LowPriority || due != 0 {
-		t.Errorf("alone: rank %d, due in %d", rank, due)
+	if priority, due := v.Jobs["j-a"].EffectivePriority(); priority != model.LowPriority || due != 0 {
+		t.Errorf("alone: priority %d, due in %d", priority, due)
 	}
 	v.TakeChangedJobs()
 	v.puts(last)
 	if changed := v.TakeChangedJobs(); len(changed) != 1 || changed[0] != "j-a" {
 		t.Errorf("changed jobs %v, want j-a, which may begin", changed)
 	}
-	if rank, due := v.Jobs["j-a"].EffectivePriority(); rank != model.HighPriority || due != 80*model.Second {
-		t.Errorf("first: rank %d, due in %.1f s", rank, due.Seconds())
+	if priority, due := v.Jobs["j-a"].EffectivePriority(); priority != model.HighPriority || due != 80*model.Second {
+		t.Errorf("first: priority %d, due in %.1f s", priority, due.Seconds())
 	}
 	v.puts(done("j-a", 31_000))
 	if changed := v.TakeChangedJobs(); len(changed) != 1 || changed[0] != "j-b" {
@@ -103,34 +103,34 @@
 // A deep chain and wide fans.
 func TestDeepAndWideDependencies(t *testing.T) {
 	const n = 1000
-	ref := func(i int) string { return fmt.Sprintf("j-%06d", i) }
+	idOf := func(i int) string { return fmt.Sprintf("j-%06d", i) }
 	chain := NewView()
-	chain.puts(spec(ref(0)))
+	chain.puts(spec(idOf(0)))
 	for i := 1; i < n; i++ {
-		chain.puts(spec(ref(i), ref(i-1)))
+		chain.puts(spec(idOf(i), idOf(i-1)))
 	}
 	for i := range n / 2 {
-		if !chain.Jobs[ref(i)].Ready() || chain.Jobs[ref(i+1)].Ready() {
+		if !chain.Jobs[idOf(i)].Ready() || chain.Jobs[idOf(i+1)].Ready() {
 			t.Fatalf("%d of the chain", i)
 		}
-		chain.puts(done(ref(i), 1))
+		chain.puts(done(idOf(i), 1))
 	}
-	chain.puts(withdrawn(spec(ref(n/2), ref(n/2-1))))
+	chain.puts(cancelledJob(spec(idOf(n/2), idOf(n/2-1))))
 	fan, all := NewView(), make([]string, 0, n)
 	fan.puts(spec("j-first"))
 	for i := range n {
-		fan.puts(spec(ref(i), "j-first"))
-		all = append(all, ref(i))
+		fan.puts(spec(idOf(i), "j-first"))
+		all = append(all, idOf(i))
 	}
 	fan.puts(spec("j-last", all...), done("j-first", 1))
 	for i := range n {
-		if end, _ := chain.Final(ref(i)); i >= n/2 && end != Cancelled || i < n/2 && end != Done {
+		if end, _ := chain.Final(idOf(i)); i >= n/2 && end != Cancelled || i < n/2 && end != Done {
 			t.Fatalf("%d of the chain is %q", i, end)
 		}
-		if !fan.Jobs[ref(i)].Ready() || fan.Jobs["j-last"].Ready() {
+		if !fan.Jobs[idOf(i)].Ready() || fan.Jobs["j-last"].Ready() {
 			t.Fatalf("%d of the fan", i)
 		}
-		fan.puts(done(ref(i), 1))
+		fan.puts(done(idOf(i), 1))
 	}
 	if !fan.Jobs["j-last"].Ready() {
 		t.Error("a thousand jobs are done, and the one after them may not begin")
