--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -9,7 +9,7 @@
 
 func (c *controller) sessionNews(m msgSession) {
 	if m.id == 0 {
-		c.auth.Ended()
+		c.auth.Revoke()
 		c.session = 0
 		c.stepDown("session over")
 		return
@@ -21,30 +21,30 @@
 		c.stepDown("new session")
 	}
 	c.session = m.id
-	c.auth.Touched(m.sent)
+	c.auth.Renewed(m.sent)
 }
 
 // elect tries for the leader's key when nobody has it. When an earlier try was
 // carried out but its answer was lost, the key is there under our own session:
 // then only the grant is written, anew, as for any takeover.
 func (c *controller) elect() {
-	if c.leading != nil || c.session == 0 || c.busy[laneElect] || c.now < c.pauses[laneElect] || !c.auth.Holds(c.now) {
+	if c.leading != nil || c.session == 0 || c.busy[laneElect] || c.now < c.pauses[laneElect] || !c.auth.IsValid(c.now) {
 		return
 	}
 	ours := c.view.Leader != nil && c.view.Leader.Session == c.session
 	if c.view.Leader != nil && !ours {
 		return
 	}
-	grant := "grant/" + blockName
+	grant := state.GrantKey(blockName)
 	rec := state.GrantRecord{Holder: c.set.NodeName, Session: c.session, Credit: c.credit()}
 	if !c.fits(rec) {
 		rec.Credit = nil // which is the whole of every team's limit, too
 	}
 	t := &state.Txn{
-		Conditions: []state.Condition{{Path: "leader", Revision: c.view.Revisions["leader"]}, {Path: grant, Revision: c.view.Revisions[grant]}},
+		Conditions: []state.Condition{{Path: state.LeaderKey, Revision: c.view.Revisions[state.LeaderKey]}, {Path: grant, Revision: c.view.Revisions[grant]}},
 		Then:       []state.Op{{Set: grant, Value: rec}}}
 	if !ours {
-		t.Then = append(t.Then, state.Op{Set: "leader", Value: c.leaderRecord(), LeaseID: c.session})
+		t.Then = append(t.Then, state.Op{Set: state.LeaderKey, Value: c.leaderRecord(), LeaseID: c.session})
 	}
 	c.send(laneElect, msgCommitted{txn: t, token: c.session})
 }
@@ -131,7 +131,7 @@
 	if cut {
 		helper = m.helpers[0]
 	}
-	c.auth.Ended()
+	c.auth.Revoke()
 	c.session, c.resigned = 0, session
 	c.pauses[laneElect] = c.now + 5*model.Second
 	c.stepDown("resigned: a sibling reaches what this node does not")
