--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -334,7 +334,7 @@
 		l.recentSizes[taskSize{j.Request, j.AllowsSpot}] = c.now
 		if !j.AllowsSpot {
 			in.OrdinaryPriority = min(in.OrdinaryPriority, j.Priority)
-			in.OrdinaryPatience = max(in.OrdinaryPatience, w.Patience(j))
+			in.OrdinaryPatience = max(in.OrdinaryPatience, w.Estimates.MaxWait(j))
 			in.Spread = in.Spread || j.Spread
 		}
 		if len(j.Waiting) == 0 || c.now < j.NotBefore {
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -2,80 +2,112 @@
 
 import "woadweir/internal/core/model"
 
-// placeGang binds all tasks or none. While anything of an earlier attempt may still
-// be on a machine, the next attempt has to wait. It tells whether it waits for
-// room that has been kept for it.
-func (w *World) placeGang(j *model.JobState) (kept bool) {
-	if len(j.Bindings) > 0 || len(j.Waiting) != j.Tasks || w.teamRoom(j, j.Tasks) < j.Tasks {
+// startAimWaits is the time in which a job that must start now is to start, in
+// multiples of its longest wait.
+const startAimWaits = 4
+
+// assignment is a choice of one machine for each task of a gang.
+type assignment struct {
+	machines []*model.Machine // empty: there is no choice
+	cost     model.Micros     // of the worst machine
+}
+
+// placeGang binds all tasks or none. As long as tasks of an earlier attempt may still be
+// on a machine, the next attempt has to wait. It tells whether the gang waits for
+// resources that were reserved for it.
+func (w *World) placeGang(job *model.JobState) (reserved bool) {
+	if len(job.Bindings) > 0 || len(job.Waiting) != job.Tasks || w.tasksWithinLimit(job, job.Tasks) < job.Tasks {
 		return false
 	}
-	cs := w.candidates(j, j.Tasks, false)
-	var best []*model.Machine
-	if j.SameZone {
-		byZone := map[string][]candidate{}
-		var zones []string
-		for _, c := range cs {
-			y := c.room.machine.Zone
-			if byZone[y] == nil {
-				zones = append(zones, y)
-			}
-			byZone[y] = append(byZone[y], c)
-		}
-		bestCost := model.Micros(0)
-		for _, y := range zones {
-			if hs, cost := w.chooseMachines(j, byZone[y]); hs != nil && (best == nil || cost < bestCost) {
-				best, bestCost = hs, cost
-			}
-		}
-	} else {
-		best, _ = w.chooseMachines(j, cs)
-	}
-	if best == nil {
+	best := w.assign(job, w.candidates(job, job.Tasks, false))
+	if len(best.machines) == 0 {
 		return false
 	}
-	if w.Preempting && w.fetchMissesAim(j, best) && w.preempt(j, func(h *model.Machine) bool { return w.fetchTime(j, h) < model.Second }) {
+	if w.Preempting && w.fetchMissesAim(job, best.machines) && w.preempt(job, w.hasImageOf(job)) {
 		return true
 	}
-	attempt := w.NextAttempt()
-	for _, h := range best {
-		w.Bind(j, j.Waiting[0], h, attempt)
+	attempt := w.Executor.NextAttempt()
+	for _, machine := range best.machines {
+		w.Executor.Bind(job, job.Waiting[0], machine, attempt)
 	}
 	return false
 }
 
-// fetchMissesAim tells that fetching the image would make a pressed job miss its class's
-// start aim, so that stopping others on machines that have the image is quicker.
-func (w *World) fetchMissesAim(j *model.JobState, machines []*model.Machine) bool {
-	if w.Stop == nil || !w.mustStartNow(j) {
-		return false
+// assign chooses a machine for every task of the gang.
+func (w *World) assign(job *model.JobState, candidates []candidate) assignment {
+	if !job.SameZone {
+		return w.chooseMachines(job, candidates)
 	}
-	aim := w.Patience(j) * 4
-	age := w.Now - j.ReadySince
-	if age > 2*aim {
-		return false
+	var best assignment
+	for _, zone := range groupByZone(candidates) {
+		chosen := w.chooseMachines(job, zone)
+		if len(chosen.machines) == 0 {
+			continue
+		}
+		if len(best.machines) == 0 || chosen.cost < best.cost {
+			best = chosen
+		}
 	}
-	for _, h := range machines {
-		if w.fetchTime(j, h) > max(aim-age, w.StopTime) {
-			return true
+	return best
+}
+
+// groupByZone splits candidates by zone. Zones and candidates stay in order: the zone of
+// the best candidate is first.
+func groupByZone(candidates []candidate) (zones [][]candidate) {
+	indexes := map[string]int{}
+	for _, candidate := range candidates {
+		zone := candidate.open.machine.Zone
+		index, known := indexes[zone]
+		if !known {
+			index = len(zones)
+			indexes[zone] = index
+			zones = append(zones, nil)
 		}
+		zones[index] = append(zones[index], candidate)
 	}
-	return false
+	return zones
 }
 
-// chooseMachines chooses a machine for every task of the gang, or none.
-func (w *World) chooseMachines(j *model.JobState, cs []candidate) (machines []*model.Machine, cost model.Micros) {
-	a := w.constraintsOf(j)
+// chooseMachines assigns the tasks of a gang to the first of the candidates.
+func (w *World) chooseMachines(job *model.JobState, candidates []candidate) assignment {
+	limits := w.constraintsOf(job)
+	var chosen assignment
 	inZone := map[string]int{}
-	for _, c := range cs {
-		h := c.room.machine
-		for k := min(j.Request.Count(c.room.usable(a), j.Tasks-len(machines)), w.taskSlots(j, h)); k > 0 && inZone[h.Zone] < j.MaxPerZone(); k-- {
-			machines = append(machines, h)
-			inZone[h.Zone]++
-			cost = max(cost, c.cost)
+	for _, candidate := range candidates {
+		machine := candidate.open.machine
+		tasks := min(
+			job.Request.Count(candidate.open.usable(limits), job.Tasks-len(chosen.machines)),
+			w.Executor.TaskSlots(job.Job, machine),
+			job.MaxPerZone()-inZone[machine.Zone])
+		for range tasks {
+			chosen.machines = append(chosen.machines, machine)
+			inZone[machine.Zone]++
+			chosen.cost = max(chosen.cost, candidate.cost)
+		}
+		if len(chosen.machines) == job.Tasks {
+			return chosen
 		}
-		if len(machines) == j.Tasks {
-			return machines, cost
+	}
+	return assignment{}
+}
+
+// fetchMissesAim tells that fetching the image would make a late job of high priority
+// miss its class's start aim, so that preempting others on machines that have the image
+// is quicker.
+func (w *World) fetchMissesAim(job *model.JobState, machines []*model.Machine) bool {
+	if !w.mustStartNow(job) {
+		return false
+	}
+	aim := w.Estimates.MaxWait(job) * startAimWaits
+	age := w.Now - job.ReadySince
+	if age > 2*aim {
+		return false // too late for it to matter
+	}
+	maxFetch := max(aim-age, w.StopTime)
+	for _, machine := range machines {
+		if w.fetchTime(job, machine) > maxFetch {
+			return true
 		}
 	}
-	return nil, 0
+	return false
 }
--- a/internal/core/placement/loss.go
+++ b/internal/core/placement/loss.go
@@ -7,34 +7,33 @@
 	"woadweir/internal/core/model"
 )
 
-// gpuValue is what a GPU counts beside a core when work is weighed.
-const gpuValue = 10
+// coresPerGPU is how many cores a GPU is worth when work is compared.
+const coresPerGPU = 10
 
-// coreEquivalents weighs an amount, in thousandths of a core.
-func coreEquivalents(n model.Resources) model.Micros {
-	return model.Micros(n.Cores+gpuValue*n.GPUs) / 1000
+// coreEquivalents is what resources are worth, in cores.
+func coreEquivalents(resources model.Resources) model.Micros {
+	return model.Micros(resources.Cores+coresPerGPU*resources.GPUs) / milliPerUnit
 }
 
 // sortByLoss sorts tasks by the work that is lost when they are stopped, least first.
-func (w *World) sortByLoss(bs []*model.Binding) {
-	slices.SortFunc(bs, func(a, b *model.Binding) int {
-		if c := cmp.Compare(w.PreemptionLoss(a), w.PreemptionLoss(b)); c != 0 {
-			return c
-		}
-		return cmp.Compare(a.Attempt, b.Attempt)
+func (w *World) sortByLoss(bindings []*model.Binding) {
+	slices.SortFunc(bindings, func(a, b *model.Binding) int {
+		return cmp.Or(
+			cmp.Compare(w.PreemptionLoss(a), w.PreemptionLoss(b)),
+			cmp.Compare(a.Attempt, b.Attempt))
 	})
 }
 
-// PreemptionLoss is the work that is lost when a task is stopped: of one that waits for its
-// image, the fetch, which is given up. Were that nothing, tasks with long fetches
-// would be stopped again and again and never run.
-func (w *World) PreemptionLoss(b *model.Binding) model.Micros {
-	if b.RunningSince == 0 {
-		return min(w.Now-b.BoundAt, b.ExpectedFetch) * coreEquivalents(b.Job.Request)
+// PreemptionLoss is the work that is lost when a task is stopped, as core time. For a
+// task that waits for its image it is the fetch: if that counted nothing, tasks with
+// long fetches would be preempted again and again and never run.
+func (w *World) PreemptionLoss(binding *model.Binding) model.Micros {
+	value := coreEquivalents(binding.Job.Request)
+	switch {
+	case binding.RunningSince == 0:
+		return min(w.Now-binding.BoundAt, binding.ExpectedFetch) * value
+	case binding.Job.CheckpointInterval > 0:
+		return binding.Job.SaveTime * value
 	}
-	ran := w.Now - b.RunningSince
-	if b.Job.CheckpointInterval > 0 {
-		ran = b.Job.SaveTime
-	}
-	return ran * coreEquivalents(b.Job.Request)
+	return (w.Now - binding.RunningSince) * value
 }
--- /dev/null
+++ b/internal/core/placement/nextfree.go
@@ -0,0 +1,135 @@
+package placement
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"woadweir/internal/core/model"
+)
+
+// futureSlot is where a task will fit, once tasks that run there now have ended.
+type futureSlot struct {
+	open     *openMachine
+	freeFrom model.Micros // expected time until then
+}
+
+// reserveNextFree reserves machines that come free by themselves, for a gang that can't
+// preempt others: work of its own priority would otherwise take each of them as soon as
+// it is free, for ever. It takes the machines that are expected to be free first; one
+// gang in a zone, so that other work goes on beside it.
+func (w *World) reserveNextFree(gang *model.JobState) {
+	if len(gang.Bindings) > 0 || !gang.Starved && !w.waitedLongEnough(gang) {
+		return
+	}
+	chosen := chooseFutureSlots(gang, w.futureSlotsByZone(gang))
+	if len(chosen) < gang.Tasks {
+		return
+	}
+	for _, slot := range chosen {
+		w.reservedZones[slot.open.machine.Zone] = true
+		w.reserve(gang, slot.open, false)
+	}
+}
+
+// futureSlotsByZone finds where and when tasks of a gang will fit.
+func (w *World) futureSlotsByZone(gang *model.JobState) map[string][]futureSlot {
+	byZone := map[string][]futureSlot{}
+	for i := range w.openMachines {
+		open := &w.openMachines[i]
+		machine := open.machine
+		if w.reservedZones[machine.Zone] || !gang.Request.Fits(machine.Size.Minus(open.reserved)) {
+			continue
+		}
+		if !w.mayUse(gang, machine) || w.fragmentsGPUs(gang, machine) {
+			continue
+		}
+		byZone[machine.Zone] = append(byZone[machine.Zone], w.futureSlots(gang, open)...)
+	}
+	return byZone
+}
+
+// futureSlots finds when one task of a gang after another will fit on a machine, as the
+// tasks that run there now end.
+func (w *World) futureSlots(gang *model.JobState, open *openMachine) (slots []futureSlot) {
+	running := w.bindingsByEnd(open.machine)
+	free := open.free()
+	freeFrom := model.Micros(0)
+	for range min(gang.Tasks, w.Executor.TaskSlots(gang.Job, open.machine)) {
+		for len(running) > 0 && !gang.Request.Fits(free) {
+			free = free.Plus(running[0].Job.Request)
+			freeFrom = w.Estimates.Remaining(running[0])
+			running = running[1:]
+		}
+		if !gang.Request.Fits(free) {
+			break
+		}
+		free = free.Minus(gang.Request)
+		slots = append(slots, futureSlot{open: open, freeFrom: freeFrom})
+	}
+	return slots
+}
+
+// bindingsByEnd are the tasks bound to a machine, in the order in which they are expected
+// to end.
+func (w *World) bindingsByEnd(machine *model.Machine) []*model.Binding {
+	bindings := slices.Collect(maps.Values(machine.Bindings))
+	slices.SortFunc(bindings, func(a, b *model.Binding) int {
+		return cmp.Or(
+			cmp.Compare(w.Estimates.Remaining(a), w.Estimates.Remaining(b)),
+			cmp.Compare(a.Attempt, b.Attempt))
+	})
+	return bindings
+}
+
+// chooseFutureSlots chooses a slot for each task of a gang, the first to be free, as the
+// gang's rules on zones allow. It returns fewer if there are not enough.
+func chooseFutureSlots(gang *model.JobState, byZone map[string][]futureSlot) []futureSlot {
+	switch {
+	case gang.SameZone && gang.MaxPerZone() == gang.Tasks:
+		return firstFreeZone(byZone, gang.Tasks)
+	case gang.Spread:
+		return firstFreeSpread(byZone, gang.Tasks, gang.MaxPerZone())
+	}
+	return firstFree(byZone, gang.Tasks)
+}
+
+// firstFreeZone chooses the slots of the zone that has enough of them first.
+func firstFreeZone(byZone map[string][]futureSlot, tasks int) (chosen []futureSlot) {
+	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
+		slots := byZone[zone]
+		if len(slots) < tasks {
+			continue
+		}
+		sortByFreeFrom(slots)
+		if chosen == nil || slots[tasks-1].freeFrom < chosen[tasks-1].freeFrom {
+			chosen = slots[:tasks]
+		}
+	}
+	return chosen
+}
+
+// firstFreeSpread chooses at most maxPerZone slots of each zone.
+func firstFreeSpread(byZone map[string][]futureSlot, tasks, maxPerZone int) (chosen []futureSlot) {
+	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
+		slots := byZone[zone]
+		sortByFreeFrom(slots)
+		count := min(len(slots), maxPerZone, tasks-len(chosen))
+		chosen = append(chosen, slots[:count]...)
+	}
+	return chosen
+}
+
+// firstFree chooses the first slots of all zones.
+func firstFree(byZone map[string][]futureSlot, tasks int) (chosen []futureSlot) {
+	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
+		chosen = append(chosen, byZone[zone]...)
+	}
+	sortByFreeFrom(chosen)
+	return chosen[:min(len(chosen), tasks)]
+}
+
+// sortByFreeFrom sorts slots by when they are free. Slots of a machine stay in order.
+func sortByFreeFrom(slots []futureSlot) {
+	slices.SortStableFunc(slots, func(a, b futureSlot) int { return cmp.Compare(a.freeFrom, b.freeFrom) })
+}
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -7,118 +7,147 @@
 	"woadweir/internal/core/model"
 )
 
-// Sort puts jobs into the order in which they are served: those that have waited
-// too long to begin, then rank, then those for which others have been stopped
-// already (others would take that room for nothing, and what these leave would be
-// filled and stopped again), then what can still be in time, then what is
-// within its team's guarantee, then by DueAt.
+// Late is the least DueAt of jobs that can't be in time any more.
+const Late = model.Micros(1) << 60
+
+// canBeInTime tells that a job can still meet an aim.
+func canBeInTime(job *model.JobState) bool { return job.DueAt < Late }
+
+// Sort puts jobs into the order in which they are served, as compareJobs has it, after
+// finding out what that depends on.
 func (w *World) Sort() {
 	slices.SortFunc(w.Jobs, func(a, b *model.JobState) int { return cmp.Compare(a.AcceptedRevision, b.AcceptedRevision) })
 	w.markGuaranteed()
 	w.markStarved()
-	for _, j := range w.Jobs {
-		if w.DueAt != nil {
-			j.DueAt = w.DueAt(j)
-		}
-		j.HasPreempted = slices.ContainsFunc(w.Reservations[j], func(k Reservation) bool { return k.Preempted })
+	for _, job := range w.Jobs {
+		job.DueAt = w.Estimates.DueAt(job)
+		job.HasPreempted = slices.ContainsFunc(w.Reservations[job], func(r Reservation) bool { return r.Preempted })
 	}
-	first := func(a, b bool) int {
-		switch {
-		case a == b:
-			return 0
-		case a:
-			return -1
-		}
-		return 1
+	slices.SortStableFunc(w.Jobs, compareJobs)
+}
+
+// compareJobs orders jobs: first those that are starved, then by priority. Next go those
+// for which others have been preempted: otherwise others would use the freed resources
+// to no end, and what these leave would be filled and preempted again. Then follows what
+// can still be in time, then what is within its team's guarantee, then DueAt decides.
+//
+// Starved jobs of a priority go by age alone: if those went first that can still meet an
+// aim, the oldest would wait for ever.
+func compareJobs(a, b *model.JobState) int {
+	if a.Starved && b.Starved {
+		return cmp.Or(
+			cmp.Compare(b.Priority, a.Priority),
+			cmp.Compare(idleSince(a), idleSince(b)))
 	}
-	slices.SortStableFunc(w.Jobs, func(a, b *model.JobState) int {
-		if a.Starved && b.Starved {
-			// By age alone: what can still meet an aim would keep the oldest waiting.
-			return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(idleSince(a), idleSince(b)))
-		}
-		return cmp.Or(first(a.Starved, b.Starved), cmp.Compare(b.Priority, a.Priority), first(a.HasPreempted, b.HasPreempted), first(a.DueAt < Late, b.DueAt < Late), first(a.GuaranteeInTime, b.GuaranteeInTime), first(a.WithinGuarantee, b.WithinGuarantee), cmp.Compare(a.DueAt, b.DueAt))
-	})
+	return cmp.Or(
+		trueFirst(a.Starved, b.Starved),
+		cmp.Compare(b.Priority, a.Priority),
+		trueFirst(a.HasPreempted, b.HasPreempted),
+		trueFirst(canBeInTime(a), canBeInTime(b)),
+		trueFirst(a.GuaranteeInTime, b.GuaranteeInTime),
+		trueFirst(a.WithinGuarantee, b.WithinGuarantee),
+		cmp.Compare(a.DueAt, b.DueAt))
 }
 
-// Late is where the DueAt of jobs begins that can't be in time any more.
-const Late = model.Micros(1) << 60
+// trueFirst compares two flags: true comes before false.
+func trueFirst(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return -1
+	}
+	return 1
+}
 
-// Even the largest jobs are to begin within four minutes. What has not begun in
-// beginBy goes before all others, and so does what would not have, by the rate at
-// which tasks of its class come to begin, if it waited any longer for those ahead
-// of it. Whatever the rate, nothing does in its first starveLeast.
+// Even the largest jobs are to start within four minutes. So a job that has not started
+// within startWithin is starved; and also one that would not, at the rate at which tasks
+// of its class start, if it waited any longer for those ahead of it. Whatever the rate,
+// no job is starved before minStarvationAge.
 const (
 	startWithin      = 185 * model.Second
 	minStarvationAge = 60 * model.Second
-	// protectFirstTaskAfter is how long a job has to have waited for its first task so that
-	// this is not stopped for others.
-	protectFirstTaskAfter = 150 * model.Second
 )
 
-// markStarved finds the jobs of which nothing has begun, or been on a machine since,
-// for so long that they have to go first, whatever their rank: a gang as a whole,
-// another job with a single task. Without this, jobs that can't be in time any
-// more, and gangs for which small ones leave no room, would wait for ever; with
-// more of it, all jobs of a busy class would get late by turns. The jobs must be
-// in order of age.
+// minStartRate is the least rate, in tasks a second, that is assumed of a class.
+const minStartRate = 0.001
+
+// markStarved finds the jobs that have had no task bound for so long that they have to
+// go first, whatever their priority. Without this, gangs for which single tasks leave no
+// machines, and jobs that can't be in time any more, would wait for ever; with more of
+// it, all jobs of a busy class would be late in turn. The jobs must be in order of age.
 func (w *World) markStarved() {
-	ahead := map[string]float64{}      // tasks that have to begin first
-	until := map[string]model.Micros{} // jobs of the class seen until then are starved
-	idles := func(j *model.JobState) bool { return len(j.Bindings) == 0 && len(j.Waiting) > 0 && j.Ended == "" }
-	for _, j := range w.Jobs {
-		if !idles(j) {
+	starvedUntil := w.starvedUntil()
+	for _, job := range w.Jobs {
+		until, found := starvedUntil[job.Class]
+		job.Starved = found && isIdle(job) && idleSince(job) <= until && w.Now-idleSince(job) > minStarvationAge
+	}
+}
+
+// starvedUntil is, by class, since when the youngest starved job is idle. All that are
+// idle for longer are starved, too.
+func (w *World) starvedUntil() map[string]model.Micros {
+	tasksAhead := map[string]float64{} // by class, tasks that have to start first, the job's own included
+	until := map[string]model.Micros{}
+	for _, job := range w.Jobs {
+		if !isIdle(job) {
 			continue
 		}
-		if j.Kind == model.Gang {
-			ahead[j.Class] += float64(j.Tasks)
-		} else {
-			ahead[j.Class]++
-		}
-		age := w.Now - idleSince(j)
-		if age > startWithin || age > minStarvationAge && age.Seconds()+ahead[j.Class]/max(w.Rate(j.Class), 0.001) > startWithin.Seconds() {
-			until[j.Class] = max(until[j.Class], idleSince(j))
+		tasksAhead[job.Class] += tasksToStart(job)
+		if w.startsTooLate(job, tasksAhead[job.Class]) {
+			until[job.Class] = max(until[job.Class], idleSince(job))
 		}
 	}
-	for _, j := range w.Jobs {
-		at, ok := until[j.Class]
-		j.Starved = ok && idleSince(j) <= at && w.Now-idleSince(j) > minStarvationAge && idles(j)
-	}
+	return until
 }
 
-// idleSince is since when a job waits with nothing of it on a machine: from the start
-// if nothing has begun.
-func idleSince(j *model.JobState) model.Micros {
-	if hasNotRun(j) {
-		return j.ReadySince
+// startsTooLate tells that a job has not started in time, or would not with so many tasks
+// ahead of it.
+func (w *World) startsTooLate(job *model.JobState, tasksAhead float64) bool {
+	age := w.Now - idleSince(job)
+	if age <= minStarvationAge {
+		return false
 	}
-	return j.IdleSince
+	expected := age.Seconds() + tasksAhead/max(w.Estimates.StartRate(job.Class), minStartRate)
+	return age > startWithin || expected > startWithin.Seconds()
 }
 
-// hasNotRun tells that no task of a job has run yet, under any holder.
-func hasNotRun(j *model.JobState) bool { return !j.HasRun && j.Done.Len() == 0 }
+// isIdle tells that a job waits and has no task bound.
+func isIdle(job *model.JobState) bool {
+	return len(job.Bindings) == 0 && len(job.Waiting) > 0 && job.Ended == ""
+}
+
+// tasksToStart is how many tasks have to start so that a job counts as started.
+func tasksToStart(job *model.JobState) float64 {
+	if job.Kind == model.Gang {
+		return float64(job.Tasks)
+	}
+	return 1
+}
 
-// markGuaranteed finds the jobs that fit into their team's guarantee together with
-// the team's earlier unfinished jobs. The jobs must be in order of age. Where no
-// aim counts them one by one, all jobs of a team are alike: those of one that uses
-// less than its guarantee.
+// markGuaranteed finds the jobs that are within their team's guarantee. If guaranteed
+// work is to start within some time, jobs are counted one by one. Otherwise all jobs of a
+// team are alike: those of a team that uses less than its guarantee are within it.
 func (w *World) markGuaranteed() {
-	if w.Guarantee == 0 {
-		for _, j := range w.Jobs {
-			t := w.Teams[j.Team]
-			j.WithinGuarantee, j.GuaranteeInTime = t != nil && t.WithinGuarantee(w.Used[j.Team]), false
-		}
+	if w.Guarantee != 0 {
+		w.markGuaranteedByJob()
 		return
 	}
-	sum := make(map[string]model.Resources, len(w.Teams))
-	for _, j := range w.Jobs {
-		t := w.Teams[j.Team]
-		if t == nil {
-			j.WithinGuarantee, j.GuaranteeInTime = false, false
-			continue
-		}
-		use := sum[j.Team].Plus(j.Request.Times(j.Tasks))
-		sum[j.Team] = use
-		j.WithinGuarantee = t.WithinGuarantee(use)
-		j.GuaranteeInTime = j.WithinGuarantee && w.Now-j.ReadySince < w.Guarantee
+	for _, job := range w.Jobs {
+		team := w.Teams[job.Team]
+		job.WithinGuarantee = team != nil && team.WithinGuarantee(w.Used[job.Team])
+		job.GuaranteeInTime = false
+	}
+}
+
+// markGuaranteedByJob finds the jobs that fit into their team's guarantee together with
+// the team's earlier unfinished jobs. The jobs must be in order of age.
+func (w *World) markGuaranteedByJob() {
+	requested := make(map[string]model.Resources, len(w.Teams))
+	for _, job := range w.Jobs {
+		requested[job.Team] = requested[job.Team].Plus(job.Request.Times(job.Tasks))
+		team := w.Teams[job.Team]
+		job.WithinGuarantee = team != nil && team.WithinGuarantee(requested[job.Team])
+		job.GuaranteeInTime = job.WithinGuarantee && w.Now-job.ReadySince < w.Guarantee
 	}
 }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,230 +1,258 @@
-// Package placement decides which waiting task goes to which machine. It only
-// decides: binding a task durably and starting it are the holder's business.
+// Package placement decides which waiting task goes to which machine, and which
+// running tasks are preempted for others.
+//
+// It works in rounds: World.Round sorts the waiting jobs (order.go), looks at the
+// machines (prepare.go, machines.go), and then serves one job after the other. Tasks go
+// to the machines that cost least (candidates.go, cost.go); a gang gets all its machines
+// or none (gang.go). A preempting round also frees machines for jobs that found none
+// (preempt.go, victims.go) and keeps them reserved until the job starts (reservations.go,
+// nextfree.go).
+//
+// The package only decides. Making a decision durable and carrying it out is left to
+// the caller, by way of the interface Executor.
 package placement
 
-import (
-	"slices"
+import "woadweir/internal/core/model"
 
-	"woadweir/internal/core/model"
-)
+// Estimator gives a round the estimates on which its decisions rest.
+type Estimator interface {
+	// DueAt is by when a job is to be done to be in time. For a job that can't be in time
+	// any more, or needn't be, it is Late or greater.
+	DueAt(job *model.JobState) model.Micros
+	// MaxWait is how long a job may wait before work of lower priority is preempted for it.
+	MaxWait(job *model.JobState) model.Micros
+	// StartRate is how many tasks of a class start in a second, as estimated from those
+	// that run.
+	StartRate(class string) float64
+	// Remaining is how long a bound task is expected to stay on its machine.
+	Remaining(binding *model.Binding) model.Micros
+}
+
+// Executor carries out the decisions of a round.
+type Executor interface {
+	// TaskSlots is how many more tasks of a job may be bound to a machine, whatever
+	// resources are free there.
+	TaskSlots(job *model.Job, machine *model.Machine) int
+	// NextAttempt returns an attempt number that no task has carried before.
+	NextAttempt() uint64
+	// Bind binds a waiting task to a machine. It has to book the task's resources at
+	// once, so that the next decision sees what is left.
+	Bind(job *model.JobState, task int, machine *model.Machine, attempt uint64)
+	// Stop asks for a bound task to be stopped, to free its resources.
+	Stop(binding *model.Binding, reason string)
+}
 
-// World is what a placement round may look at. Bind is called for every
-// decision, and is expected to book it at once, so that the next decision sees
-// the room that is left.
+// World is what a placement round works on. It serves for one round.
 type World struct {
-	Now              model.Micros
-	HeartbeatTimeout model.Micros // a machine not heard for this long gets no new work
-	Machines         []*model.Machine
-	Jobs             []*model.JobState
-	Teams            map[string]*model.Team
-	Used             map[string]model.Resources // by team, all bound tasks
-	RequestPerGPU    model.Resources            // what a GPU task takes beside each GPU, on average
-	WantedGPUs       model.Milli                // GPUs that are, or may soon be, wanted beyond those in use
-	NextAttempt      func() uint64
-	Bind             func(j *model.JobState, n int, h *model.Machine, try uint64)
-	MachineTypes     map[string]*model.MachineType
-	// TaskSlots is how many more tasks of a job may be bound to a machine, whatever room
-	// it has.
-	TaskSlots func(j *model.Job, h *model.Machine) int
-	// DueAt is by when a job is to be done to be in time; a job that can't be in
-	// time any more, or needn't be, is due late.
-	DueAt func(j *model.JobState) model.Micros
-	// Stop asks for a bound task to be stopped, to make room.
-	Stop func(b *model.Binding, why string)
-	// StopTime is about how long it takes until a stopped task's room is free.
+	// Now is the time of the round.
+	Now model.Micros
+	// HeartbeatTimeout is the silence after which a machine gets no new work.
+	HeartbeatTimeout model.Micros
+	// StopTime is about how long it takes until a stopped task's resources are free.
 	StopTime model.Micros
-	// Patience is how long a job may wait before work of lower rank is stopped
-	// for it.
-	Patience func(j *model.JobState) model.Micros
-
-	// Guarantee is the time within which jobs within their team's guarantee are to
-	// start, 0 if they are not counted one by one.
+	// Guarantee is the time within which jobs within their team's guarantee are to start;
+	// 0 if these jobs are not counted one by one.
 	Guarantee model.Micros
-	// Rate is how many tasks of a class come to begin in a second, thought from
-	// those that run.
-	Rate func(class string) float64
-
-	// Preempting has the round look for work to be stopped, too, which costs more
-	// than placing. Reservations is what such a round kept for jobs that still wait; the
-	// rounds until the next one hold on to it.
-	Preempting   bool
+
+	Machines     []*model.Machine
+	MachineTypes map[string]*model.MachineType
+	Jobs         []*model.JobState
+	Teams        map[string]*model.Team
+	// Used is what all bound tasks of a team take.
+	Used map[string]model.Resources
+	// RequestPerGPU is what a GPU task takes beside each of its GPUs, on average.
+	RequestPerGPU model.Resources
+	// WantedGPUs are the GPUs that are, or may soon be, wanted beyond those in use.
+	WantedGPUs model.Milli
+
+	Estimates Estimator
+	Executor  Executor
+
+	// Preempting has the round also look for work to be stopped, which takes longer than
+	// placing alone.
+	Preempting bool
+	// Reservations are the resources kept for jobs that still wait. A preempting round
+	// makes them anew; the rounds until the next one respect them.
 	Reservations map[*model.JobState][]Reservation
-	// Remaining is how long a bound task is thought to go on.
-	Remaining func(b *model.Binding) model.Micros
-
-	reservedLimit    map[string]model.Resources                 // room within team limits, kept for gangs served earlier
-	rooms            []room                                     // the open machines
-	noRoomFor        map[constraints][]model.Resources          // by what is allowed: needs for which no machine has room
-	lowestPriority   model.Priority                             // of the tasks that could be stopped
-	preemptedFor     map[*model.JobState]map[*model.Machine]int // rooms that others were stopped for, of the last preempting round
-	protectedJobs    map[string]bool                            // jobs whose first task at last begins
-	withholdingGangs int                                        // gangs that room was withheld for
-	preemptingJobs   int                                        // jobs that looked for work to be stopped
-	reservedZones    map[string]bool                            // zones where a gang waits for machines to come free
-	reservedRooms    map[*model.Machine]*room                   // of machines with kept room, made when needed
+
+	// The rest is the round's own.
+
+	// openMachines are the machines that take new work.
+	openMachines []openMachine
+	// openMachineOf indexes openMachines; it is made when first needed.
+	openMachineOf map[*model.Machine]*openMachine
+	// tooLarge holds, by constraints, requests that no machine has room for.
+	tooLarge map[constraints][]model.Resources
+	// reservedLimit is what is kept, of a team's limit, for gangs served earlier.
+	reservedLimit map[string]model.Resources
+	// reservedZones are the zones where machines that come free are reserved for a gang.
+	reservedZones map[string]bool
+	// lowestPriority is the lowest priority of the tasks that may be preempted.
+	lowestPriority model.Priority
+	// preemptedFor counts, by job and machine, the tasks' places for which others were
+	// stopped in the last preempting round.
+	preemptedFor map[*model.JobState]map[*model.Machine]int
+	// protectedJobs are jobs whose first task may not be preempted.
+	protectedJobs map[string]bool
+	// holdingGangs counts the gangs for which free resources were held back.
+	holdingGangs int
+	// preemptingJobs counts the jobs that looked for work to be stopped.
+	preemptingJobs int
 }
 
-// Round places what it can and calls Bind for each decision.
+// maxPreemptingJobs bounds the jobs of a round that look for work to be stopped: the
+// first in order. The turn of the others comes when those are served.
+const maxPreemptingJobs = 24
+
+// Round places what can be placed and passes each decision to the Executor.
 func (w *World) Round() {
 	w.Sort()
 	w.prepare()
-	for i, k := 0, 0; i < len(w.Jobs); i = k {
-		a := w.Jobs[i]
-		for k = i; k < len(w.Jobs); k++ {
-			if b := w.Jobs[k]; b.Priority != a.Priority || b.Starved != a.Starved || (b.DueAt < Late) != (a.DueAt < Late) {
-				break
-			}
+	for start, end := 0, 0; start < len(w.Jobs); start = end {
+		first := w.Jobs[start]
+		end = start + 1
+		for end < len(w.Jobs) && equalStanding(first, w.Jobs[end]) {
+			end++
 		}
-		w.placeEqualJobs(w.Jobs[i:k])
+		w.placeEqualJobs(w.Jobs[start:end])
 	}
 }
 
-// placeEqualJobs serves jobs of the same standing. Tasks whose image is there go first:
-// when GPUs come free one at a time, each would else go to whatever is next in
-// order, and spend as long on the image as on the work.
+// equalStanding tells whether neither job has to be served before the other.
+func equalStanding(a, b *model.JobState) bool {
+	return a.Priority == b.Priority && a.Starved == b.Starved && canBeInTime(a) == canBeInTime(b)
+}
+
+// placeEqualJobs serves jobs of equal standing. Tasks whose image is on a machine go
+// first: when GPUs come free one at a time, each would otherwise go to the next task in
+// order, and spend as long on fetching its image as on running it.
 func (w *World) placeEqualJobs(jobs []*model.JobState) {
-	waits := func(j *model.JobState) bool {
-		return j.Ended == "" && !j.EndPending && len(j.Waiting) > 0 && w.Now >= j.NotBefore
-	}
-	alike := !jobs[0].Starved
-	for _, j := range jobs {
-		alike = alike && (j.Kind != model.Gang || !waits(j))
-	}
-	for _, j := range jobs {
-		if alike && waits(j) {
-			w.placeTasks(j, true)
+	if w.mayReorder(jobs) {
+		for _, job := range jobs {
+			if w.isWaiting(job) {
+				w.placeTasks(job, true)
+			}
 		}
 	}
-	for _, j := range jobs {
-		if waits(j) {
-			w.placeJob(j)
+	for _, job := range jobs {
+		if w.isWaiting(job) {
+			w.placeJob(job)
 		}
 	}
 }
 
-// prepare looks at the machines.
-func (w *World) prepare() {
-	w.reservedLimit = map[string]model.Resources{}
-	w.noRoomFor = map[constraints][]model.Resources{}
-	w.reservedZones = map[string]bool{}
-	w.rooms = make([]room, 0, len(w.Machines))
-	w.lowestPriority = model.ProductionPriority
-	for _, h := range w.Machines {
-		if !w.Open(h) {
-			continue
-		}
-		w.rooms = append(w.rooms, room{machine: h})
-		if !w.Preempting {
-			continue
-		}
-		for _, b := range h.Bindings {
-			if b.Job.Priority < w.lowestPriority && b.Job.Kind != model.Gang {
-				w.lowestPriority = b.Job.Priority
-			}
-		}
+// mayReorder tells whether jobs of equal standing may be served out of order: none of
+// them is starved or a waiting gang.
+func (w *World) mayReorder(jobs []*model.JobState) bool {
+	if jobs[0].Starved {
+		return false
 	}
-	w.reserveBesideGPUs()
-	if w.Preempting {
-		w.preemptedFor = map[*model.JobState]map[*model.Machine]int{}
-		for j, ks := range w.Reservations {
-			for _, k := range ks {
-				if k.Preempted {
-					if w.preemptedFor[j] == nil {
-						w.preemptedFor[j] = map[*model.Machine]int{}
-					}
-					w.preemptedFor[j][k.Machine]++
-				}
-			}
-		}
-		// Room that others were stopped for stays with the job it was made for until
-		// that is served: else one served before it, short of a machine for a moment,
-		// would take that room for nothing, this job would have more stopped
-		// elsewhere, and so on down the line.
-		for j, ks := range w.Reservations {
-			ks = slices.DeleteFunc(ks, func(k Reservation) bool { return !k.Preempted })
-			if len(ks) == 0 || len(j.Waiting) == 0 || j.Ended != "" {
-				delete(w.Reservations, j)
-			} else {
-				w.Reservations[j] = ks
-			}
-		}
-		w.protectedJobs = map[string]bool{}
-		for _, j := range w.Jobs {
-			if hasNotRun(j) && w.Now-j.ReadySince > protectFirstTaskAfter {
-				w.protectedJobs[j.ID] = true
-			}
+	for _, job := range jobs {
+		if job.Kind == model.Gang && w.isWaiting(job) {
+			return false
 		}
 	}
-	w.applyReservations(1)
+	return true
 }
 
-// maxPreemptingJobs bounds the jobs of a round that look for work to be stopped: the
-// first in order; the others' turn comes when those are served.
-const maxPreemptingJobs = 24
+// isWaiting tells whether a job has tasks that may be placed now.
+func (w *World) isWaiting(job *model.JobState) bool {
+	return job.Ended == "" && !job.EndPending && len(job.Waiting) > 0 && w.Now >= job.NotBefore
+}
 
-// placeJob places what it can of one job.
-func (w *World) placeJob(j *model.JobState) {
-	if len(w.Reservations[j]) > 0 {
-		// What was kept for it is its own; what it does not take stays kept. A round
-		// that preempts chooses anew.
-		w.applyReservations(-1, j)
-		w.noRoomFor = map[constraints][]model.Resources{}
-		if w.Preempting {
-			delete(w.Reservations, j)
-		} else {
-			defer func() {
-				if len(j.Waiting) == 0 {
-					delete(w.Reservations, j)
-				}
-				w.applyReservations(1, j)
-			}()
-		}
+// placeJob places what it can of one job, on resources reserved for it and others. What
+// it does not use stays reserved, except in a preempting round, which decides anew.
+func (w *World) placeJob(job *model.JobState) {
+	if len(w.Reservations[job]) == 0 {
+		w.placeOrReserve(job)
+		return
 	}
-	kept := false
-	if j.Kind == model.Gang {
-		if w.teamRoom(j, j.Tasks) < j.Tasks {
-			w.preemptWithinTeam(j)
-			return
-		}
-		kept = w.placeGang(j)
-		if _, ok := w.reservedLimit[j.Team]; !ok && len(j.Waiting) > 0 && len(j.Bindings) == 0 {
-			// It waits for machines alone. Were nothing owed to it, the team's other
-			// work would take its room within the limit meanwhile, and be stopped for
-			// it again; were all such gangs owed theirs, there would be no room left.
-			w.reserveLimit(j)
-		}
+	w.unbookReservationsOf(job)
+	clear(w.tooLarge)
+	if w.Preempting {
+		delete(w.Reservations, job)
+		w.placeOrReserve(job)
+		return
+	}
+	w.placeOrReserve(job)
+	if len(job.Waiting) == 0 {
+		delete(w.Reservations, job)
+	}
+	w.bookReservationsOf(job)
+}
+
+// placeOrReserve places what it can of one job, and reserves or frees resources for the
+// rest.
+func (w *World) placeOrReserve(job *model.JobState) {
+	if job.Kind == model.Gang && w.tasksWithinLimit(job, job.Tasks) < job.Tasks {
+		w.preemptWithinTeam(job)
+		return
+	}
+	reserved := false
+	if job.Kind == model.Gang {
+		reserved = w.placeGang(job)
+		w.reserveFirstGangLimit(job)
 	} else {
-		w.placeTasks(j, false)
+		w.placeTasks(job, false)
 	}
-	if !w.Preempting && j.Kind == model.Gang && len(j.Waiting) == j.Tasks {
-		w.withhold(j)
+	switch {
+	case w.Preempting && len(job.Waiting) > 0 && !reserved:
+		w.freeResources(job)
+	case !w.Preempting && job.Kind == model.Gang && len(job.Waiting) == job.Tasks:
+		w.holdFreeResources(job)
 	}
-	if len(j.Waiting) > 0 && w.Preempting && w.Stop != nil && !kept {
-		if (j.Priority > w.lowestPriority || j.Priority >= model.HighPriority) && w.preemptingJobs < maxPreemptingJobs {
-			w.preemptingJobs++
-			kept = w.preempt(j, func(*model.Machine) bool { return true })
-		}
-		if !kept && j.Kind == model.Gang {
-			w.reserveNextFree(j)
-		}
+}
+
+// reserveFirstGangLimit reserves part of the team's limit for a gang that waits for
+// machines, if no other gang of the team has such a reservation. With none at all, the
+// team's other work would use up the limit meanwhile, and be preempted for the gang
+// again; with one for every gang, nothing would be left of the limit.
+func (w *World) reserveFirstGangLimit(gang *model.JobState) {
+	_, exists := w.reservedLimit[gang.Team]
+	if !exists && len(gang.Waiting) > 0 && len(gang.Bindings) == 0 {
+		w.reserveLimit(gang)
+	}
+}
+
+// freeResources has others preempted for a job that found no machines. For a gang that
+// can't preempt, it reserves the machines that come free next.
+func (w *World) freeResources(job *model.JobState) {
+	reserved := false
+	if w.mayPreempt(job) {
+		w.preemptingJobs++
+		reserved = w.preempt(job, anyMachine)
+	}
+	if !reserved && job.Kind == model.Gang {
+		w.reserveNextFree(job)
+	}
+}
+
+// mayPreempt tells whether there may be tasks that a job can preempt, and the round has
+// not looked for such tasks too often yet.
+func (w *World) mayPreempt(job *model.JobState) bool {
+	if w.preemptingJobs >= maxPreemptingJobs {
+		return false
 	}
+	return job.Priority > w.lowestPriority || job.Priority >= model.HighPriority
 }
 
-// placeTasks places single tasks; those that are ready only where their image is.
-func (w *World) placeTasks(j *model.JobState, ready bool) {
-	left := j.TasksAtOnce(w.teamRoom(j, len(j.Waiting)))
-	if j.Starved {
+// placeTasks places single tasks. With cachedOnly, it uses only machines that have the
+// job's image, or will have it soon.
+func (w *World) placeTasks(job *model.JobState, cachedOnly bool) {
+	left := job.TasksAtOnce(w.tasksWithinLimit(job, len(job.Waiting)))
+	if job.Starved {
 		left = min(left, 1)
 	}
 	if left == 0 {
 		return
 	}
-	a := w.constraintsOf(j)
-	for _, c := range w.candidates(j, 1, ready) {
-		h := c.room.machine
-		k := min(left, j.Request.Count(c.room.usable(a), left), ZoneRoom(j, h.Zone), w.taskSlots(j, h))
-		for ; k > 0; k-- {
-			w.Bind(j, j.Waiting[0], h, w.NextAttempt())
+	limits := w.constraintsOf(job)
+	for _, candidate := range w.candidates(job, 1, cachedOnly) {
+		machine := candidate.open.machine
+		fitting := job.Request.Count(candidate.open.usable(limits), left)
+		tasks := min(left, fitting, ZoneRoom(job, machine.Zone), w.Executor.TaskSlots(job.Job, machine))
+		for range tasks {
+			w.Executor.Bind(job, job.Waiting[0], machine, w.Executor.NextAttempt())
 			left--
 		}
 		if left == 0 {
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -7,209 +7,149 @@
 	"woadweir/internal/core/model"
 )
 
-// preempt makes room for a job of higher rank that found none: it stops tasks
-// of lower rank where that loses least, and keeps the room that comes free for
-// this job. Room that earlier stops are about to free counts first. Only machines
-// that suit are considered. It tells whether all the room was found and kept.
-func (w *World) preempt(j *model.JobState, suits func(*model.Machine) bool) (kept bool) {
-	n := w.teamRoom(j, len(j.Waiting))
-	if j.Kind == model.Gang && (len(j.Bindings) > 0 || n < j.Tasks) || n == 0 {
+// machineFilter tells which machines are considered.
+type machineFilter func(*model.Machine) bool
+
+// anyMachine lets every machine be considered.
+func anyMachine(*model.Machine) bool { return true }
+
+// hasImageOf lets machines be considered that have a job's image, or will have it at once.
+func (w *World) hasImageOf(job *model.JobState) machineFilter {
+	return func(machine *model.Machine) bool { return w.fetchTime(job, machine) < model.Second }
+}
+
+// preempt finds machines for a job that found none: it stops tasks of lower priority
+// where that loses least, and reserves what they free for this job. What earlier stops
+// are about to free counts first. It tells whether all that the job needs was found and
+// reserved.
+func (w *World) preempt(job *model.JobState, suits machineFilter) (reserved bool) {
+	wanted := w.tasksWithinLimit(job, len(job.Waiting))
+	if wanted == 0 || job.Kind == model.Gang && (len(job.Bindings) > 0 || wanted < job.Tasks) {
 		return false
 	}
-	type option struct {
-		r       *room
-		victims []*model.Binding
-		cost    model.Micros
-		now     bool // the room is free already, but was kept for GPU tasks
-		nth     int  // the machine's first, second ... room
-		paid    bool
-	}
-	var options []option
-	a := w.constraintsOf(j)
-	for i := range w.rooms {
-		r := &w.rooms[i]
-		h := r.machine
-		if !j.Request.Fits(h.Size) || !w.mayUse(j, h) || w.strandsGPUs(j, h) || !suits(h) {
-			continue
-		}
-		w.findVictims(r)
-		// Room for one task after another, as long as there are victims.
-		free := r.free()
-		if j.Priority < model.HighPriority {
-			free = r.usable(a)
-		}
-		free = free.Plus(r.freedByStops)
-		victims := r.victims
-		really := r.free()
-		fetch, paid := model.Micros(-1), w.preemptedFor[j][h]
-		var cores, stranded model.Milli // what this job would take, and the GPUs idle beside it
-		for nth := range min(n, w.taskSlots(j, h)) {
-			o := option{r: r, nth: nth, now: j.Request.Fits(really)}
-			really = really.Minus(j.Request)
-			for len(victims) > 0 && !j.Request.Fits(free) {
-				v := victims[0]
-				victims = victims[1:]
-				if v.Job.Priority >= j.Priority || v.Stopping || j.Request.GPUs == 0 && v.Job.Request.GPUs > 0 && j.Priority < model.HighPriority {
-					// A task's GPUs are worth more than what one without any would do in
-					// its place; only what is urgent is worth that.
-					continue
-				}
-				free = free.Plus(v.Job.Request)
-				o.cost += w.PreemptionLoss(v)
-				o.victims = append(o.victims, v)
-			}
-			if !j.Request.Fits(free) {
-				break
-			}
-			if fetch < 0 {
-				fetch = w.cost(j, r, n) * coreEquivalents(j.Request) / 4
-			}
-			o.cost += fetch
-			free = free.Minus(j.Request)
-			if j.Request.GPUs == 0 && w.WantedGPUs > 0 && w.RequestPerGPU.Cores > 0 {
-				// GPUs that are wanted would stand idle beside it, for all its time.
-				cores += j.Request.Cores
-				gpus := min(w.WantedGPUs, h.Size.GPUs-(h.Size.Cores-cores)*1000/w.RequestPerGPU.Cores)
-				if more := gpus - stranded; more > 0 {
-					o.cost += coreEquivalents(model.Resources{GPUs: more}) * max(j.EstimatedRun, 10*model.Second)
-					stranded = gpus
-				}
-			}
-			if nth < paid && len(o.victims) == 0 {
-				// Others have been stopped here for this job already. Choosing anew
-				// would stop more elsewhere and leave this to whoever comes next.
-				o.cost, o.paid = 0, true
-			}
-			options = append(options, o)
-		}
-	}
-	slices.SortFunc(options, func(a, b option) int {
-		if a.cost != b.cost {
-			return cmp.Compare(a.cost, b.cost)
-		}
-		return cmp.Or(cmp.Compare(a.r.machine.ID, b.r.machine.ID), a.nth-b.nth)
-	})
-	choose := func(zone string) (chosen []option, cost model.Micros) {
-		inZone := map[string]int{}
-		for _, o := range options {
-			y := o.r.machine.Zone
-			if len(chosen) == n {
-				break
-			}
-			if zone != "" && zone != y || inZone[y] >= ZoneRoom(j, y) {
-				continue
-			}
-			inZone[y]++
-			chosen = append(chosen, o)
-			cost += o.cost
-		}
-		return chosen, cost
-	}
-	var chosen []option
-	if !j.SameZone {
-		chosen, _ = choose("")
-	} else {
-		// The zone with room for most, and of those where all of it costs least: what
-		// has been stopped there already costs nothing any more, while hopping from
-		// zone to zone would stop others in each.
-		best := model.Micros(0)
-		tried := map[string]bool{}
-		for _, o := range options {
-			y := o.r.machine.Zone
-			if tried[y] {
-				continue
-			}
-			tried[y] = true
-			if c, cost := choose(y); len(c) > len(chosen) || len(c) == len(chosen) && cost < best {
-				chosen, best = c, cost
-			}
-		}
-	}
-	if len(chosen) == 0 || j.Kind == model.Gang && len(chosen) < j.Tasks {
+	chosen := chooseSlots(job, w.preemptionSlots(job, wanted, suits), wanted)
+	if len(chosen) == 0 || job.Kind == model.Gang && len(chosen) < job.Tasks {
 		return false
 	}
-	late := w.waitedLongEnough(j)
-	if late && !slices.ContainsFunc(chosen, func(o option) bool { return !o.now }) {
-		// Nobody has to be stopped: it is only that GPU tasks were to have the room.
-		attempt := w.NextAttempt()
-		for _, o := range chosen {
-			w.Bind(j, j.Waiting[0], o.r.machine, attempt)
-			if j.Kind != model.Gang {
-				attempt = w.NextAttempt()
-			}
-		}
+	late := w.waitedLongEnough(job)
+	if late && allFree(chosen) {
+		w.bindToSlots(job, chosen)
 		return true
 	}
-	for _, o := range chosen {
-		// Until the job is late, the room only comes free by itself, as nothing
-		// that is served later gets it.
-		if late {
-			for _, b := range o.victims {
-				w.Stop(b, "room for "+j.ID)
-			}
-		}
-		w.reserve(j, o.r, o.paid || late && len(o.victims) > 0)
+	for _, slot := range chosen {
+		w.reserveSlot(job, slot, late)
 	}
-	return len(chosen) == n
+	return len(chosen) == wanted
 }
 
-// findVictims finds out what could be stopped on a machine.
-func (w *World) findVictims(r *room) {
-	if r.victimsKnown {
-		return
+// allFree tells that no slot needs a task to be stopped: the job had only left them to
+// GPU tasks, or to those served earlier.
+func allFree(slots []preemptionSlot) bool {
+	return !slices.ContainsFunc(slots, func(slot preemptionSlot) bool { return !slot.free })
+}
+
+// bindToSlots binds tasks of a job to slots that are free.
+func (w *World) bindToSlots(job *model.JobState, slots []preemptionSlot) {
+	attempt := w.Executor.NextAttempt()
+	for _, slot := range slots {
+		w.Executor.Bind(job, job.Waiting[0], slot.open.machine, attempt)
+		if job.Kind != model.Gang {
+			attempt = w.Executor.NextAttempt()
+		}
 	}
-	r.victimsKnown = true
-	for _, b := range r.machine.Bindings {
-		if b.Stopping {
-			r.freedByStops = r.freedByStops.Plus(b.Job.Request)
-		} else if b.Job.Kind != model.Gang && b.Job.Priority < model.ProductionPriority && !w.protectedJobs[b.Job.ID] {
-			r.victims = append(r.victims, b)
+}
+
+// reserveSlot reserves a slot for a job. Its victims are stopped only when the job is
+// late: until then the resources become free by themselves, as no job that is served
+// later gets them.
+func (w *World) reserveSlot(job *model.JobState, slot preemptionSlot, late bool) {
+	if late {
+		for _, victim := range slot.victims {
+			w.Executor.Stop(victim, "room for "+job.ID)
 		}
 	}
-	w.sortByLoss(r.victims)
+	w.reserve(job, slot.open, slot.preempted || late && len(slot.victims) > 0)
+}
+
+// selection is a choice of slots, at most one for each task of a job.
+type selection struct {
+	slots []preemptionSlot
+	cost  model.Micros // of all slots
+}
+
+// chooseSlots chooses the cheapest slots, at most as many as wanted, as the job's rules on
+// zones allow.
+func chooseSlots(job *model.JobState, slots []preemptionSlot, wanted int) []preemptionSlot {
+	sortByCost(slots)
+	if job.SameZone {
+		return chooseZone(job, slots, wanted).slots
+	}
+	return choosePerZone(job, slots, wanted).slots
 }
 
-// preemptWithinTeam is for a gang that its team's limit keeps waiting. When it is late, tasks
-// of its own team and of lower rank are stopped for it.
-func (w *World) preemptWithinTeam(j *model.JobState) {
-	t := w.Teams[j.Team]
-	if t == nil || len(j.Bindings) > 0 || len(j.Waiting) != j.Tasks {
-		return
+// sortByCost sorts slots, the cheapest first. Slots of a machine stay in order where the
+// cost is the same.
+func sortByCost(slots []preemptionSlot) {
+	slices.SortFunc(slots, func(a, b preemptionSlot) int {
+		return cmp.Or(
+			cmp.Compare(a.cost, b.cost),
+			cmp.Compare(a.open.machine.ID, b.open.machine.ID),
+			cmp.Compare(a.index, b.index))
+	})
+}
+
+// chooseZone chooses the zone that has slots for most tasks, and of these the one where
+// all of them cost least. What has been stopped there already costs nothing any more,
+// while changing zones from round to round would stop tasks in each.
+func chooseZone(job *model.JobState, slots []preemptionSlot, wanted int) (best selection) {
+	tried := map[string]bool{}
+	for _, slot := range slots {
+		zone := slot.open.machine.Zone
+		if tried[zone] {
+			continue
+		}
+		tried[zone] = true
+		chosen := choosePerZone(job, slotsInZone(slots, zone), wanted)
+		if chosen.betterThan(best) {
+			best = chosen
+		}
 	}
-	// Only for the first gang: the next may not find machines for a long time, and
-	// the team's other work would take the limit again meanwhile.
-	if !w.reserveLimit(j) || w.Stop == nil || !w.Preempting || !w.waitedLongEnough(j) {
-		return
+	return best
+}
+
+// betterThan tells that a selection has more slots than another, or as many for less.
+func (s selection) betterThan(other selection) bool {
+	if len(s.slots) != len(other.slots) {
+		return len(s.slots) > len(other.slots)
 	}
-	room := t.Limit.Minus(w.Used[j.Team]).Minus(w.reservedLimit[j.Team])
-	var victims []*model.Binding
-	for _, h := range w.Machines {
-		for _, b := range h.Bindings {
-			switch {
-			case b.Job.Team != j.Team:
-			case b.Stopping:
-				room = room.Plus(b.Job.Request)
-			case b.Job.Priority < j.Priority && b.Job.Kind != model.Gang:
-				victims = append(victims, b)
-			}
+	return s.cost < other.cost
+}
+
+// slotsInZone are the slots in one zone, in the same order.
+func slotsInZone(slots []preemptionSlot, zone string) (inZone []preemptionSlot) {
+	for _, slot := range slots {
+		if slot.open.machine.Zone == zone {
+			inZone = append(inZone, slot)
 		}
 	}
-	w.sortByLoss(victims)
-	var stop []*model.Binding
-	for _, b := range victims {
-		if room.Cores >= 0 && room.GPUs >= 0 {
+	return inZone
+}
+
+// choosePerZone chooses the first slots, in each zone at most as many as the job's tasks
+// may use there.
+func choosePerZone(job *model.JobState, slots []preemptionSlot, wanted int) (chosen selection) {
+	inZone := map[string]int{}
+	for _, slot := range slots {
+		if len(chosen.slots) == wanted {
 			break
 		}
-		if room.Cores >= 0 && b.Job.Request.GPUs == 0 {
-			continue // it is GPUs that are missing
+		zone := slot.open.machine.Zone
+		if inZone[zone] >= ZoneRoom(job, zone) {
+			continue
 		}
-		room = room.Plus(b.Job.Request)
-		stop = append(stop, b)
-	}
-	if room.Cores < 0 || room.GPUs < 0 {
-		return // not even that would do
-	}
-	for _, b := range stop {
-		w.Stop(b, "limit of "+j.Team+" for "+j.ID)
+		inZone[zone]++
+		chosen.slots = append(chosen.slots, slot)
+		chosen.cost += slot.cost
 	}
+	return chosen
 }
--- /dev/null
+++ b/internal/core/placement/prepare.go
@@ -0,0 +1,90 @@
+package placement
+
+import (
+	"slices"
+
+	"woadweir/internal/core/model"
+)
+
+// protectFirstTaskAfter is how long a job has to have waited for its first task so that
+// this task is not preempted.
+const protectFirstTaskAfter = 150 * model.Second
+
+// prepare sets up the round's own state.
+func (w *World) prepare() {
+	w.reservedLimit = map[string]model.Resources{}
+	w.tooLarge = map[constraints][]model.Resources{}
+	w.reservedZones = map[string]bool{}
+	w.findOpenMachines()
+	w.reserveBesideGPUs()
+	if w.Preempting {
+		w.findLowestPriority()
+		w.countPreempted()
+		w.dropReservations()
+		w.findProtectedJobs()
+	}
+	w.bookReservations()
+}
+
+// findOpenMachines collects the machines that take new work.
+func (w *World) findOpenMachines() {
+	w.openMachines = make([]openMachine, 0, len(w.Machines))
+	for _, machine := range w.Machines {
+		if w.Open(machine) {
+			w.openMachines = append(w.openMachines, openMachine{machine: machine})
+		}
+	}
+}
+
+// findLowestPriority finds the lowest priority of the tasks that may be preempted.
+func (w *World) findLowestPriority() {
+	w.lowestPriority = model.ProductionPriority
+	for i := range w.openMachines {
+		for _, binding := range w.openMachines[i].machine.Bindings {
+			if binding.Job.Kind != model.Gang {
+				w.lowestPriority = min(w.lowestPriority, binding.Job.Priority)
+			}
+		}
+	}
+}
+
+// countPreempted counts the reservations for which others were preempted.
+func (w *World) countPreempted() {
+	w.preemptedFor = map[*model.JobState]map[*model.Machine]int{}
+	for job, reservations := range w.Reservations {
+		for _, reservation := range reservations {
+			if !reservation.Preempted {
+				continue
+			}
+			if w.preemptedFor[job] == nil {
+				w.preemptedFor[job] = map[*model.Machine]int{}
+			}
+			w.preemptedFor[job][reservation.Machine]++
+		}
+	}
+}
+
+// dropReservations drops the reservations of the last preempting round, except those
+// for which others were preempted. A job served earlier, with a machine too few for a
+// moment, would otherwise take such a reservation to no use; the job that lost it would
+// preempt tasks elsewhere, and so on.
+func (w *World) dropReservations() {
+	for job, reservations := range w.Reservations {
+		reservations = slices.DeleteFunc(reservations, func(r Reservation) bool { return !r.Preempted })
+		if len(reservations) == 0 || len(job.Waiting) == 0 || job.Ended != "" {
+			delete(w.Reservations, job)
+		} else {
+			w.Reservations[job] = reservations
+		}
+	}
+}
+
+// findProtectedJobs finds the jobs whose first task may not be preempted.
+func (w *World) findProtectedJobs() {
+	w.protectedJobs = map[string]bool{}
+	for _, job := range w.Jobs {
+		if hasNotRun(job) && w.Now-job.ReadySince > protectFirstTaskAfter {
+			w.protectedJobs[job.ID] = true
+		}
+	}
+}
--- a/internal/core/placement/reservations.go
+++ b/internal/core/placement/reservations.go
@@ -1,147 +1,90 @@
 package placement
 
-import (
-	"cmp"
-	"maps"
-	"slices"
+import "woadweir/internal/core/model"
 
-	"woadweir/internal/core/model"
-)
-
-// Reservation is room on a machine that is kept for a waiting job. Preempted tells that
-// others were stopped for it.
+// Reservation is what is kept on a machine for one task of a waiting job.
 type Reservation struct {
-	Machine   *model.Machine
-	Request   model.Resources
+	Machine *model.Machine
+	Request model.Resources
+	// Preempted tells that others were preempted for it.
 	Preempted bool
 }
 
-// applyReservations books, or with -1 unbooks, the room that is kept for jobs.
-func (w *World) applyReservations(sign int, only ...*model.JobState) {
-	if len(w.Reservations) == 0 {
-		return
+// bookReservations books the reservations of all jobs on their machines.
+func (w *World) bookReservations() {
+	for job := range w.Reservations {
+		w.bookReservationsOf(job)
 	}
-	if w.reservedRooms == nil {
-		w.reservedRooms = make(map[*model.Machine]*room, len(w.rooms))
-		for i := range w.rooms {
-			w.reservedRooms[w.rooms[i].machine] = &w.rooms[i]
+}
+
+// bookReservationsOf books a job's reservations on their machines.
+func (w *World) bookReservationsOf(job *model.JobState) {
+	for _, reservation := range w.Reservations[job] {
+		if open := w.findOpenMachine(reservation.Machine); open != nil {
+			open.reserved = open.reserved.Plus(reservation.Request)
 		}
 	}
-	apply := func(ks []Reservation) {
-		for _, k := range ks {
-			if r := w.reservedRooms[k.Machine]; r != nil {
-				r.reserved = r.reserved.Plus(k.Request.Times(sign))
-			}
+}
+
+// unbookReservationsOf makes a job's reservations available.
+func (w *World) unbookReservationsOf(job *model.JobState) {
+	for _, reservation := range w.Reservations[job] {
+		if open := w.findOpenMachine(reservation.Machine); open != nil {
+			open.reserved = open.reserved.Minus(reservation.Request)
 		}
 	}
-	if len(only) > 0 {
-		apply(w.Reservations[only[0]])
-		return
-	}
-	for _, ks := range w.Reservations {
-		apply(ks)
-	}
 }
 
-// withhold keeps room that has come free from jobs served later, until the next
-// round that decides which of it a waiting gang is to get: single tasks would
-// take each machine at once, and be stopped there soon after.
-func (w *World) withhold(j *model.JobState) {
-	if w.withholdingGangs++; w.withholdingGangs > maxPreemptingJobs {
-		return
-	}
-	n := j.Tasks
-	for i := range w.rooms {
-		r := &w.rooms[i]
-		k := min(j.Request.Count(r.free(), n), n)
-		if k > 0 && w.mayUse(j, r.machine) {
-			r.reserved = r.reserved.Plus(j.Request.Times(k))
-			if n -= k; n == 0 {
-				return
-			}
+// findOpenMachine returns what the round knows of a machine, nil if it takes no new work.
+func (w *World) findOpenMachine(machine *model.Machine) *openMachine {
+	if w.openMachineOf == nil {
+		w.openMachineOf = make(map[*model.Machine]*openMachine, len(w.openMachines))
+		for i := range w.openMachines {
+			open := &w.openMachines[i]
+			w.openMachineOf[open.machine] = open
 		}
 	}
+	return w.openMachineOf[machine]
 }
 
-// reserve keeps a task's room for a job that waits.
-func (w *World) reserve(j *model.JobState, r *room, paid bool) {
-	r.reserved = r.reserved.Plus(j.Request)
+// reserve keeps what one task needs on a machine for a job that waits.
+func (w *World) reserve(job *model.JobState, open *openMachine, preempted bool) {
+	open.reserved = open.reserved.Plus(job.Request)
 	if w.Reservations != nil {
-		w.Reservations[j] = append(w.Reservations[j], Reservation{r.machine, j.Request, paid})
+		reservation := Reservation{Machine: open.machine, Request: job.Request, Preempted: preempted}
+		w.Reservations[job] = append(w.Reservations[job], reservation)
 	}
 }
 
-// reserveNextFree keeps machines that come free by themselves for a gang that can't have
-// others stopped: work of its own rank would otherwise take one after the other
-// as soon as it is free, for ever. It takes the machines that are thought to be
-// free first; one gang a zone, so that the rest goes on beside it.
-func (w *World) reserveNextFree(j *model.JobState) {
-	if w.Remaining == nil || len(j.Bindings) > 0 || !w.waitedLongEnough(j) && !j.Starved {
+// holdFreeResources keeps free resources from jobs served later in this round, for a
+// gang that found too few. Which of them the gang gets is left to the next preempting
+// round: until then single tasks would take each machine at once, and be preempted soon
+// after.
+func (w *World) holdFreeResources(gang *model.JobState) {
+	w.holdingGangs++
+	if w.holdingGangs > maxPreemptingJobs {
 		return
 	}
-	type option struct {
-		r  *room
-		at model.Micros
-	}
-	byZone := map[string][]option{}
-	for i := range w.rooms {
-		r := &w.rooms[i]
-		h := r.machine
-		if !j.Request.Fits(h.Size.Minus(r.reserved)) || !w.mayUse(j, h) || w.reservedZones[h.Zone] || w.strandsGPUs(j, h) {
+	left := gang.Tasks
+	for i := range w.openMachines {
+		open := &w.openMachines[i]
+		tasks := gang.Request.Count(open.free(), left)
+		if tasks == 0 || !w.mayUse(gang, open.machine) {
 			continue
 		}
-		// Room for one task after another, as the present ones end.
-		ends := make([]*model.Binding, 0, len(h.Bindings))
-		for _, b := range h.Bindings {
-			ends = append(ends, b)
-		}
-		slices.SortFunc(ends, func(a, b *model.Binding) int {
-			return cmp.Or(cmp.Compare(w.Remaining(a), w.Remaining(b)), cmp.Compare(a.Attempt, b.Attempt))
-		})
-		free, at := r.free(), model.Micros(0)
-		for range min(j.Tasks, w.taskSlots(j, h)) {
-			for len(ends) > 0 && !j.Request.Fits(free) {
-				free, at = free.Plus(ends[0].Job.Request), w.Remaining(ends[0])
-				ends = ends[1:]
-			}
-			if !j.Request.Fits(free) {
-				break
-			}
-			free = free.Minus(j.Request)
-			byZone[h.Zone] = append(byZone[h.Zone], option{r, at})
-		}
-	}
-	var chosen []option
-	if j.SameZone || j.Spread {
-		for _, y := range slices.Sorted(maps.Keys(byZone)) {
-			os := byZone[y]
-			slices.SortStableFunc(os, func(a, b option) int { return cmp.Compare(a.at, b.at) })
-			if n := min(len(os), j.MaxPerZone()); j.SameZone && n == j.Tasks && (chosen == nil || os[n-1].at < chosen[n-1].at) {
-				chosen = os[:n]
-			} else if j.Spread {
-				chosen = append(chosen, os[:min(n, j.Tasks-len(chosen))]...)
-			}
+		open.reserved = open.reserved.Plus(gang.Request.Times(tasks))
+		left -= tasks
+		if left == 0 {
+			return
 		}
-	} else {
-		for _, y := range slices.Sorted(maps.Keys(byZone)) {
-			chosen = append(chosen, byZone[y]...)
-		}
-		slices.SortStableFunc(chosen, func(a, b option) int { return cmp.Compare(a.at, b.at) })
-		chosen = chosen[:min(len(chosen), j.Tasks)]
-	}
-	if len(chosen) < j.Tasks {
-		return
-	}
-	for _, o := range chosen {
-		w.reservedZones[o.r.machine.Zone] = true
-		w.reserve(j, o.r, false)
 	}
 }
 
-// reserveLimit keeps what a waiting gang needs within its team's limit from jobs that are
-// served later: single tasks would take whatever comes free, for ever.
-func (w *World) reserveLimit(j *model.JobState) (first bool) {
-	_, others := w.reservedLimit[j.Team]
-	w.reservedLimit[j.Team] = w.reservedLimit[j.Team].Plus(j.Request.Times(j.Tasks))
-	return !others
+// reserveLimit keeps what a waiting gang needs, of its team's limit, from jobs that are
+// served later: single tasks would otherwise take whatever becomes free, for ever. It
+// tells whether the gang is the first of its team with such a reservation.
+func (w *World) reserveLimit(gang *model.JobState) (first bool) {
+	reserved, exists := w.reservedLimit[gang.Team]
+	w.reservedLimit[gang.Team] = reserved.Plus(gang.Request.Times(gang.Tasks))
+	return !exists
 }
--- /dev/null
+++ b/internal/core/placement/teamlimit.go
@@ -0,0 +1,71 @@
+package placement
+
+import "woadweir/internal/core/model"
+
+// teamUsage is what of a team's limit a preemption can free.
+type teamUsage struct {
+	// left is what is left of the limit, negative if it is exceeded, once tasks that are
+	// being stopped are gone.
+	left model.Resources
+	// victims are the team's tasks that may be preempted, least loss first.
+	victims []*model.Binding
+}
+
+// preemptWithinTeam serves a gang that its team's limit keeps waiting. When it is late,
+// tasks of its own team and of lower priority are stopped for it. It does so only for the
+// first gang: the next may not find machines for a long time, and the team's other work
+// would use up the limit again meanwhile.
+func (w *World) preemptWithinTeam(gang *model.JobState) {
+	if w.Teams[gang.Team] == nil || len(gang.Bindings) > 0 || len(gang.Waiting) != gang.Tasks {
+		return
+	}
+	first := w.reserveLimit(gang)
+	if !first || !w.Preempting || !w.waitedLongEnough(gang) {
+		return
+	}
+	for _, victim := range w.teamUsage(gang).chooseVictims() {
+		w.Executor.Stop(victim, "limit of "+gang.Team+" for "+gang.ID)
+	}
+}
+
+// teamUsage finds what of its team's limit a preemption can free for a gang, for which it
+// is reserved already.
+func (w *World) teamUsage(gang *model.JobState) teamUsage {
+	usage := teamUsage{left: w.limitLeft(gang.Team)}
+	for _, machine := range w.Machines {
+		for _, binding := range machine.Bindings {
+			switch {
+			case binding.Job.Team != gang.Team:
+			case binding.Stopping:
+				usage.left = usage.left.Plus(binding.Job.Request)
+			case binding.Job.Priority < gang.Priority && binding.Job.Kind != model.Gang:
+				usage.victims = append(usage.victims, binding)
+			}
+		}
+	}
+	w.sortByLoss(usage.victims)
+	return usage
+}
+
+// chooseVictims chooses victims until the limit is kept; none if it can't be.
+func (u teamUsage) chooseVictims() (chosen []*model.Binding) {
+	left := u.left
+	for _, victim := range u.victims {
+		if withinLimit(left) {
+			break
+		}
+		if left.Cores >= 0 && victim.Job.Request.GPUs == 0 {
+			continue // only GPUs are missing
+		}
+		left = left.Plus(victim.Job.Request)
+		chosen = append(chosen, victim)
+	}
+	if !withinLimit(left) {
+		return nil
+	}
+	return chosen
+}
+
+// withinLimit tells that what is left of a limit shows it to be kept. Memory is not
+// limited.
+func withinLimit(left model.Resources) bool { return left.Cores >= 0 && left.GPUs >= 0 }
--- /dev/null
+++ b/internal/core/placement/victims.go
@@ -0,0 +1,182 @@
+package placement
+
+import "woadweir/internal/core/model"
+
+const (
+	// placementCostDivisor scales the cost of a machine for the comparison with the work
+	// that preemption loses.
+	placementCostDivisor = 4
+	// minIdleGPUTime is the least time for which GPUs count as idle beside a task.
+	minIdleGPUTime = 10 * model.Second
+	// costUnknown stands for a cost that has not been computed yet.
+	costUnknown = model.Micros(-1)
+)
+
+// preemptionSlot is where a task would fit if the victims were stopped.
+type preemptionSlot struct {
+	open    *openMachine
+	index   int // among the slots of the machine
+	victims []*model.Binding
+	cost    model.Micros
+	// free tells that the task fits without any stop.
+	free bool
+	// preempted tells that others have been stopped for this slot already.
+	preempted bool
+}
+
+// preemptionSlots finds the slots that preemption can give to a job, on the machines that
+// suit.
+func (w *World) preemptionSlots(job *model.JobState, wanted int, suits machineFilter) (slots []preemptionSlot) {
+	limits := w.constraintsOf(job)
+	for i := range w.openMachines {
+		open := &w.openMachines[i]
+		machine := open.machine
+		if !job.Request.Fits(machine.Size) || !w.mayUse(job, machine) || w.fragmentsGPUs(job, machine) || !suits(machine) {
+			continue
+		}
+		w.findVictims(open)
+		search := w.newSlotSearch(job, open, limits, wanted)
+		for range min(wanted, w.Executor.TaskSlots(job.Job, machine)) {
+			slot, found := search.next()
+			if !found {
+				break
+			}
+			slots = append(slots, slot)
+		}
+	}
+	return slots
+}
+
+// findVictims finds out which tasks of a machine may be preempted.
+func (w *World) findVictims(open *openMachine) {
+	if open.victimsKnown {
+		return
+	}
+	open.victimsKnown = true
+	for _, binding := range open.machine.Bindings {
+		if binding.Stopping {
+			open.freedByStops = open.freedByStops.Plus(binding.Job.Request)
+		} else if w.isPreemptible(binding.Job) {
+			open.victims = append(open.victims, binding)
+		}
+	}
+	w.sortByLoss(open.victims)
+}
+
+// isPreemptible tells whether tasks of a job may be preempted at all.
+func (w *World) isPreemptible(job *model.Job) bool {
+	return job.Kind != model.Gang && job.Priority < model.ProductionPriority && !w.protectedJobs[job.ID]
+}
+
+// slotSearch finds the slots of one machine for a job, one after the other, as long as
+// there are victims.
+type slotSearch struct {
+	world  *World
+	job    *model.JobState
+	open   *openMachine
+	wanted int
+	// found is how many slots have been found.
+	found int
+	// freeNow is what is left, beside these slots, without any stop.
+	freeNow model.Resources
+	// freeAfterStops is what is left beside them once their victims are gone.
+	freeAfterStops model.Resources
+	// victims are the tasks not yet considered, least loss first.
+	victims []*model.Binding
+	// preemptedSlots is how many slots others have been stopped for already.
+	preemptedSlots int
+	// placementCost is the cost of the machine for a task, costUnknown until it is needed.
+	placementCost model.Micros
+	// coresTaken are the cores of all slots found, and gpusIdled the GPUs that they idle.
+	coresTaken, gpusIdled model.Milli
+}
+
+// newSlotSearch starts a search on a machine whose victims are known.
+func (w *World) newSlotSearch(job *model.JobState, open *openMachine, limits constraints, wanted int) *slotSearch {
+	usable := open.free()
+	if job.Priority < model.HighPriority {
+		usable = open.usable(limits)
+	}
+	return &slotSearch{
+		world:          w,
+		job:            job,
+		open:           open,
+		wanted:         wanted,
+		freeNow:        open.free(),
+		freeAfterStops: usable.Plus(open.freedByStops),
+		victims:        open.victims,
+		preemptedSlots: w.preemptedFor[job][open.machine],
+		placementCost:  costUnknown,
+	}
+}
+
+// next finds the next slot, if there is another.
+func (s *slotSearch) next() (slot preemptionSlot, found bool) {
+	request := s.job.Request
+	slot = preemptionSlot{open: s.open, index: s.found, free: request.Fits(s.freeNow)}
+	s.freeNow = s.freeNow.Minus(request)
+	s.addVictims(&slot)
+	if !request.Fits(s.freeAfterStops) {
+		return slot, false
+	}
+	s.freeAfterStops = s.freeAfterStops.Minus(request)
+	slot.cost += s.machineCost() + s.idleGPUCost()
+	if slot.index < s.preemptedSlots && len(slot.victims) == 0 {
+		// Others have been stopped for this slot already. Any other choice would stop
+		// more tasks elsewhere, and leave this slot to whichever job comes next.
+		slot.cost, slot.preempted = 0, true
+	}
+	s.found++
+	return slot, true
+}
+
+// addVictims adds victims to a slot until the task fits, or none are left.
+func (s *slotSearch) addVictims(slot *preemptionSlot) {
+	for len(s.victims) > 0 && !s.job.Request.Fits(s.freeAfterStops) {
+		victim := s.victims[0]
+		s.victims = s.victims[1:]
+		if !mayPreemptTask(s.job, victim) {
+			continue
+		}
+		s.freeAfterStops = s.freeAfterStops.Plus(victim.Job.Request)
+		slot.cost += s.world.PreemptionLoss(victim)
+		slot.victims = append(slot.victims, victim)
+	}
+}
+
+// mayPreemptTask tells whether a job may preempt a task. A task's GPUs are worth more than
+// what one without GPUs would do in its place; only jobs of high priority are worth that.
+func mayPreemptTask(job *model.JobState, victim *model.Binding) bool {
+	if victim.Stopping || victim.Job.Priority >= job.Priority {
+		return false
+	}
+	return job.Request.GPUs > 0 || victim.Job.Request.GPUs == 0 || job.Priority >= model.HighPriority
+}
+
+// machineCost is what the machine itself costs, as core time.
+func (s *slotSearch) machineCost() model.Micros {
+	if s.placementCost == costUnknown {
+		cost := s.world.cost(s.job, s.open, s.wanted)
+		s.placementCost = cost * coreEquivalents(s.job.Request) / placementCostDivisor
+	}
+	return s.placementCost
+}
+
+// idleGPUCost is the cost, as core time, of the wanted GPUs that would be idle beside one
+// more slot for all its run, as too few cores are left for them.
+func (s *slotSearch) idleGPUCost() model.Micros {
+	coresPerGPU := s.world.RequestPerGPU.Cores
+	if s.job.Request.GPUs > 0 || s.world.WantedGPUs <= 0 || coresPerGPU <= 0 {
+		return 0
+	}
+	s.coresTaken += s.job.Request.Cores
+	size := s.open.machine.Size
+	usableGPUs := (size.Cores - s.coresTaken) * milliPerUnit / coresPerGPU
+	idle := min(s.world.WantedGPUs, size.GPUs-usableGPUs)
+	more := idle - s.gpusIdled
+	if more <= 0 {
+		return 0
+	}
+	s.gpusIdled = idle
+	return coreEquivalents(model.Resources{GPUs: more}) * max(s.job.EstimatedRun, minIdleGPUTime)
+}
--- /dev/null
+++ b/internal/core/placement/waiting.go
@@ -0,0 +1,50 @@
+package placement
+
+import "woadweir/internal/core/model"
+
+// How long jobs wait, relative to the times that the caller gives.
+const (
+	// guaranteeWaitDivisor is the part of the time in which guaranteed work is to start
+	// after which others may be preempted for it: a fourth.
+	guaranteeWaitDivisor = 4
+	// promptStartStops bounds the longest wait of a class that is to start promptly, in
+	// times that stopping a task takes.
+	promptStartStops = 2
+	// gangWaitPercent is how long a gang waits for machines that suit it better, in percent
+	// of its longest wait.
+	gangWaitPercent = 160
+)
+
+// waitedLongEnough tells that a job has waited as long as it may before others are
+// preempted for it. For work within its team's guarantee, the wait is bounded by the
+// time in which such work is to start.
+func (w *World) waitedLongEnough(job *model.JobState) bool {
+	maxWait := w.Estimates.MaxWait(job)
+	if job.GuaranteeInTime {
+		maxWait = min(maxWait, w.Guarantee/guaranteeWaitDivisor)
+	}
+	return w.Now-job.ReadySince+w.StopTime >= maxWait
+}
+
+// mustStartNow tells that a job of high priority is late, and its class is to start
+// within a few heartbeats.
+func (w *World) mustStartNow(job *model.JobState) bool {
+	return job.Priority >= model.HighPriority && w.waitedLongEnough(job) && w.Estimates.MaxWait(job) < promptStartStops*w.StopTime
+}
+
+// gangCanWait tells that a gang can still wait for machines that suit it better.
+func (w *World) gangCanWait(job *model.JobState) bool {
+	return job.Kind == model.Gang && w.Now-job.ReadySince < w.Estimates.MaxWait(job)*gangWaitPercent/100
+}
+
+// idleSince is since when a job waits with none of its tasks bound: from the start if no
+// task has run.
+func idleSince(job *model.JobState) model.Micros {
+	if hasNotRun(job) {
+		return job.ReadySince
+	}
+	return job.IdleSince
+}
+
+// hasNotRun tells that no task of a job has run yet, under any holder.
+func hasNotRun(job *model.JobState) bool { return !job.HasRun && job.Done.Len() == 0 }
--- a/internal/core/shard/world.go
+++ b/internal/core/shard/world.go
@@ -5,81 +5,191 @@
 	"woadweir/internal/core/placement"
 )
 
-// World is what a placement round looks at.
+const (
+	// missedHeartbeats is after how many heartbeat intervals without one a machine gets
+	// no new work.
+	missedHeartbeats = 3
+	// stopTimePercent is about how long it takes until a stopped task's resources are
+	// free, in percent of the heartbeat interval.
+	stopTimePercent = 120
+	// expectedGPUGrowth is the divisor that gives the GPUs that may soon be wanted from
+	// those in use.
+	expectedGPUGrowth = 2
+	// milliPerUnit is how many thousandths make a whole.
+	milliPerUnit = 1000
+)
+
+// How long jobs wait before others are preempted for them.
+const (
+	// defaultMaxWait is for jobs without an aim.
+	defaultMaxWait = 180 * model.Second
+	// Classes that are to start within promptStart get a smaller part of that time.
+	promptStart            = 60 * model.Second
+	promptMaxWaitDivisor   = 4
+	maxWaitPercent         = 40
+	deadlineMaxWaitDivisor = 4
+)
+
+// World returns what a placement round works on.
 func (h *State) World(now model.Micros) *placement.World {
-	w := &placement.World{Now: now, Guarantee: h.Params.Guarantee, HeartbeatTimeout: 3 * h.Params.Report, StopTime: h.Params.Report * 6 / 5, Teams: h.Params.Teams, Used: h.Used, NextAttempt: h.NextAttempt, MachineTypes: h.MachineTypes, TaskSlots: h.TaskSlots,
-		Machines: make([]*model.Machine, 0, len(h.Machines)), Jobs: make([]*model.JobState, 0, len(h.Jobs))}
-	for _, m := range h.Machines {
-		w.Machines = append(w.Machines, m)
+	adapter := placementAdapter{state: h, now: now}
+	w := &placement.World{
+		Now:              now,
+		HeartbeatTimeout: missedHeartbeats * h.Params.Report,
+		StopTime:         h.Params.Report * stopTimePercent / 100,
+		Guarantee:        h.Params.Guarantee,
+		Machines:         make([]*model.Machine, 0, len(h.Machines)),
+		MachineTypes:     h.MachineTypes,
+		Jobs:             h.placeableJobs(now),
+		Teams:            h.Params.Teams,
+		Used:             h.Used,
+		Estimates:        adapter,
+		Executor:         adapter,
+	}
+	for _, machine := range h.Machines {
+		w.Machines = append(w.Machines, machine)
 	}
-	var gpus model.Milli
-	var beside model.Resources
-	wanted := map[string]model.Milli{}
-	for _, j := range h.Jobs {
-		if j.Ended != "" || j.Suspended {
+	demand := h.gpuDemand(w.Jobs)
+	w.RequestPerGPU = demand.requestPerGPU()
+	w.WantedGPUs = h.wantedGPUs(demand)
+	h.updateClassLoads(w.Jobs, now)
+	return w
+}
+
+// placeableJobs are the jobs whose tasks may be placed here, brought up to date.
+func (h *State) placeableJobs(now model.Micros) []*model.JobState {
+	jobs := make([]*model.JobState, 0, len(h.Jobs))
+	for _, job := range h.Jobs {
+		if job.Ended != "" || job.Suspended {
 			continue
 		}
-		w.Jobs = append(w.Jobs, j)
-		j.LossMakesLate = j.AllowsSpot && h.lossMakesLate(j, now)
-		if g := j.Request.GPUs; g > 0 {
-			n := len(j.Waiting) + j.BindingCount()
-			gpus += g * model.Milli(n)
-			beside = beside.Plus(j.Request.Times(n))
-			if t := h.Params.Teams[j.Team]; t != nil {
-				room := t.Limit.Minus(h.Used[j.Team])
-				need := j.Request
-				need.Mem = 0
-				wanted[j.Team] += g * model.Milli(need.Count(room, len(j.Waiting)))
-			}
+		job.LossMakesLate = job.AllowsSpot && h.lossMakesLate(job, now)
+		jobs = append(jobs, job)
+	}
+	return jobs
+}
+
+// gpuDemand is what jobs with GPUs ask for.
+type gpuDemand struct {
+	// requested is what all their tasks take, waiting and bound.
+	requested model.Resources
+	// waiting are, by team, the GPUs of waiting tasks that the team's limit allows.
+	waiting map[string]model.Milli
+}
+
+// gpuDemand sums up what jobs with GPUs ask for.
+func (h *State) gpuDemand(jobs []*model.JobState) gpuDemand {
+	demand := gpuDemand{waiting: map[string]model.Milli{}}
+	for _, job := range jobs {
+		if job.Request.GPUs <= 0 {
+			continue
+		}
+		tasks := len(job.Waiting) + job.BindingCount()
+		demand.requested = demand.requested.Plus(job.Request.Times(tasks))
+		if team := h.Params.Teams[job.Team]; team != nil {
+			request := job.Request
+			request.Mem = 0 // memory is not limited
+			allowed := request.Count(team.Limit.Minus(h.Used[job.Team]), len(job.Waiting))
+			demand.waiting[job.Team] += job.Request.GPUs * model.Milli(allowed)
 		}
 	}
-	if gpus > 0 {
-		w.RequestPerGPU = model.Resources{Cores: beside.Cores * 1000 / gpus, Mem: beside.Mem * 1000 / gpus}
+	return demand
+}
+
+// requestPerGPU is what a task takes beside each of its GPUs, on average.
+func (d gpuDemand) requestPerGPU() model.Resources {
+	gpus := d.requested.GPUs
+	if gpus == 0 {
+		return model.Resources{}
 	}
-	for team, g := range wanted {
-		// Besides what waits, some more may come: half of what is in use.
-		if t := h.Params.Teams[team]; t != nil {
-			used := h.Used[team].GPUs
-			w.WantedGPUs += max(0, min(t.Limit.GPUs-used, g+used/2))
-		}
+	return model.Resources{
+		Cores: d.requested.Cores * milliPerUnit / gpus,
+		Mem:   d.requested.Mem * milliPerUnit / gpus,
 	}
-	w.Stop = func(b *model.Binding, why string) {
-		leeway := model.Micros(0)
-		if b.Job.CheckpointInterval > 0 {
-			leeway = b.Job.SaveTime + model.Second
-		}
-		h.stop(b, leeway, why, now)
+}
+
+// wantedGPUs are the GPUs that are wanted beyond those in use. Besides those of waiting
+// tasks, some more may soon be wanted: half of what is in use.
+func (h *State) wantedGPUs(demand gpuDemand) (wanted model.Milli) {
+	for name, waiting := range demand.waiting {
+		used := h.Used[name].GPUs
+		allowed := h.Params.Teams[name].Limit.GPUs - used
+		wanted += max(0, min(allowed, waiting+used/expectedGPUGrowth))
 	}
-	w.Patience = h.patience
-	h.updateClassLoads(w.Jobs, now)
-	w.Rate = func(class string) float64 { return h.classLoads[class].rate }
-	w.Remaining = func(b *model.Binding) model.Micros { return h.Remaining(b, now) }
-	w.DueAt = func(j *model.JobState) model.Micros { return h.due(j, now) }
-	w.Bind = func(j *model.JobState, n int, m *model.Machine, attempt uint64) { h.bind(j, n, m, attempt, now) }
-	return w
+	return wanted
 }
 
-// patience is how long a job waits until others are stopped for it.
-func (h *State) patience(j *model.JobState) model.Micros {
-	if waits := h.Params.Waits[j.Class]; len(waits) > 0 {
+// maxWait is how long a job waits until others are preempted for it.
+func (h *State) maxWait(job *model.JobState) model.Micros {
+	if waits := h.Params.Waits[job.Class]; len(waits) > 0 {
 		first := waits[0]
-		if first < 60*model.Second {
-			return first / 4
+		if first < promptStart {
+			return first / promptMaxWaitDivisor
 		}
-		return first * 2 / 5
+		return first * maxWaitPercent / 100
 	}
-	if j.Deadline > 0 && j.Priority >= model.HighPriority {
-		// What is urgent by its deadline alone has what is left of it after its run.
-		return min(180*model.Second, max(0, j.Deadline-h.Expected(j.Job))/4)
+	if job.Deadline > 0 && job.Priority >= model.HighPriority {
+		// The deadline is its only aim: it can wait for a part of what its run leaves.
+		left := max(0, job.Deadline-h.Expected(job.Job))
+		return min(defaultMaxWait, left/deadlineMaxWaitDivisor)
 	}
-	return 180 * model.Second
+	return defaultMaxWait
 }
 
 // Place runs a placement round. One that preempts also looks for work to be
 // stopped, which takes longer.
-func (h *State) Place(now model.Micros, displace bool) {
+func (h *State) Place(now model.Micros, preempting bool) {
 	h.NeedsPlacement = false
 	w := h.World(now)
-	w.Reservations, w.Preempting = h.reservations, displace
+	w.Reservations, w.Preempting = h.reservations, preempting
 	w.Round()
 }
+
+// placementAdapter gives a placement round the state's estimates, and carries out its
+// decisions on the state.
+type placementAdapter struct {
+	state *State
+	now   model.Micros
+}
+
+var (
+	_ placement.Estimator = placementAdapter{}
+	_ placement.Executor  = placementAdapter{}
+)
+
+// DueAt implements placement.Estimator.
+func (a placementAdapter) DueAt(job *model.JobState) model.Micros { return a.state.due(job, a.now) }
+
+// MaxWait implements placement.Estimator.
+func (a placementAdapter) MaxWait(job *model.JobState) model.Micros { return a.state.maxWait(job) }
+
+// StartRate implements placement.Estimator.
+func (a placementAdapter) StartRate(class string) float64 { return a.state.classLoads[class].rate }
+
+// Remaining implements placement.Estimator.
+func (a placementAdapter) Remaining(binding *model.Binding) model.Micros {
+	return a.state.Remaining(binding, a.now)
+}
+
+// TaskSlots implements placement.Executor.
+func (a placementAdapter) TaskSlots(job *model.Job, machine *model.Machine) int {
+	return a.state.TaskSlots(job, machine)
+}
+
+// NextAttempt implements placement.Executor.
+func (a placementAdapter) NextAttempt() uint64 { return a.state.NextAttempt() }
+
+// Bind implements placement.Executor.
+func (a placementAdapter) Bind(job *model.JobState, task int, machine *model.Machine, attempt uint64) {
+	a.state.bind(job, task, machine, attempt, a.now)
+}
+
+// Stop implements placement.Executor. A task that saves checkpoints gets the time to save
+// one more.
+func (a placementAdapter) Stop(binding *model.Binding, reason string) {
+	grace := model.Micros(0)
+	if binding.Job.CheckpointInterval > 0 {
+		grace = binding.Job.SaveTime + model.Second
+	}
+	a.state.stop(binding, grace, reason, a.now)
+}
