--- a/internal/core/placement/machines.go
+++ b/internal/core/placement/machines.go
@@ -63,8 +63,8 @@
 }
 
 // Open tells whether the machine takes new work now. A machine that does not receive
-// answers gets none: the work would wait there for ever, and its heartbeats may be old
-// copies that don't show what it could do now.
+// answers gets none: the work would never be started there, and its heartbeats may be
+// old copies that don't show its present state.
 func (w *World) Open(machine *model.Machine) bool {
 	reachable := machine.Up && machine.ReceivesAnswers && !machine.Lost && w.Now-machine.LastHeartbeat < w.HeartbeatTimeout
 	leaving := machine.Draining || machine.Deleting || machine.SpotNotice
--- a/internal/core/placement/nextfree.go
+++ b/internal/core/placement/nextfree.go
@@ -15,9 +15,9 @@
 }
 
 // reserveNextFree reserves machines that come free by themselves, for a gang that can't
-// preempt others: work of its own priority would otherwise take each of them as soon as
-// it is free, for ever. It takes the machines that are expected to be free first; one
-// gang in a zone, so that other work goes on beside it.
+// preempt others: otherwise work of its own priority would take each of them as soon as
+// it is free, and the gang might never start. It chooses the machines that are expected
+// to be free first, and serves one gang in a zone, so that other work goes on there.
 func (w *World) reserveNextFree(gang *model.JobState) {
 	if len(gang.Bindings) > 0 || !gang.Starved && !w.waitedLongEnough(gang) {
 		return
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -26,13 +26,13 @@
 	slices.SortStableFunc(w.Jobs, compareJobs)
 }
 
-// compareJobs orders jobs: first those that are starved, then by priority. Next go those
-// for which others have been preempted: otherwise others would use the freed resources
-// to no end, and what these leave would be filled and preempted again. Then follows what
-// can still be in time, then what is within its team's guarantee, then DueAt decides.
+// compareJobs orders jobs by these criteria, each deciding where those before it don't:
+// starved jobs first; priority; jobs for which others have been preempted; jobs that can
+// still be in time; jobs within their team's guarantee; DueAt.
 //
-// Starved jobs of a priority go by age alone: if those went first that can still meet an
-// aim, the oldest would wait for ever.
+// If jobs that preempted did not go before their equals, another job would take what
+// they freed, and still more tasks would be preempted. Starved jobs of a priority go by
+// age alone: if those that can still be in time went first, the oldest might never start.
 func compareJobs(a, b *model.JobState) int {
 	if a.Starved && b.Starved {
 		return cmp.Or(
@@ -74,8 +74,9 @@
 
 // markStarved finds the jobs that have had no task bound for so long that they have to
 // go first, whatever their priority. Without this, gangs for which single tasks leave no
-// machines, and jobs that can't be in time any more, would wait for ever; with more of
-// it, all jobs of a busy class would be late in turn. The jobs must be in order of age.
+// machines, and jobs that can't be in time any more, might never start. If it found jobs
+// sooner, all jobs of a busy class would be late, one after the other. The jobs must be
+// in order of age.
 func (w *World) markStarved() {
 	starvedUntil := w.starvedUntil()
 	for _, job := range w.Jobs {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -6,7 +6,7 @@
 	"woadweir/internal/core/model"
 )
 
-// testEstimator lets jobs wait for ever before others are preempted for them.
+// testEstimator has no job wait long enough for others to be preempted for it.
 type testEstimator struct {
 	dueAt map[string]model.Micros // by job, 0 for the others
 }
@@ -35,12 +35,18 @@
 // preempted elsewhere, and so on.
 func TestJobThatPreemptedGoesFirst(t *testing.T) {
 	job := func(id string, revision uint64, priority model.Priority) *model.JobState {
-		return &model.JobState{Job: &model.Job{ID: id, Class: "c", Team: "red", Kind: model.Gang, Priority: priority, Tasks: 1, AcceptedRevision: revision}, Waiting: []int{0}}
+		description := &model.Job{ID: id, Class: "c", Team: "red", Kind: model.Gang, Priority: priority, Tasks: 1, AcceptedRevision: revision}
+		return &model.JobState{Job: description, Waiting: []int{0}}
+	}
+	older := job("j-1", 1, model.HighPriority)
+	preempting := job("j-2", 2, model.HighPriority)
+	higher := job("j-3", 3, model.ProductionPriority)
+	w := &World{
+		Now:          model.Second,
+		Jobs:         []*model.JobState{preempting, older, higher},
+		Estimates:    testEstimator{dueAt: map[string]model.Micros{preempting.ID: Late}},
+		Reservations: map[*model.JobState][]Reservation{preempting: {{Preempted: true}}, older: {{}}},
 	}
-	older, preempting, higher := job("j-1", 1, model.HighPriority), job("j-2", 2, model.HighPriority), job("j-3", 3, model.ProductionPriority)
-	w := &World{Now: model.Second, Jobs: []*model.JobState{preempting, older, higher},
-		Estimates:    testEstimator{dueAt: map[string]model.Micros{"j-2": Late}},
-		Reservations: map[*model.JobState][]Reservation{preempting: {{Preempted: true}}, older: {{}}}}
 	for _, want := range []string{"j-3 j-2 j-1", "j-3 j-1 j-2"} {
 		w.Sort()
 		got := w.Jobs[0].ID + " " + w.Jobs[1].ID + " " + w.Jobs[2].ID
@@ -55,39 +61,70 @@
 // unless a lost task would make it late; and it never goes to a surplus machine
 // unless it has waited for long.
 func TestFlexibleWorkPrefersSpotMachines(t *testing.T) {
-	machine := func(id string, spot bool) *model.Machine {
-		return &model.Machine{ID: id, MachineType: "box", Zone: "a", Spot: spot, Size: model.Resources{Cores: 8000}, Up: true, ReceivesAnswers: true}
-	}
 	for _, c := range []struct {
-		what          string
-		late, surplus bool
-		spot          bool // there is room on a spot machine
-		want          string
-		waited        model.Micros
+		name    string
+		late    bool // if a task is lost
+		surplus bool // the ordinary machine
+		full    bool // the spot machine
+		waited  model.Micros
+		want    string
 	}{
-		{"a job with time to spare", false, false, true, "spot", 0},
-		{"a job that a lost task makes late", true, false, true, "ordinary", 0},
-		{"no spot machine has room", false, false, false, "ordinary", 0},
-		{"the ordinary machine is surplus", true, true, true, "spot", 0},
-		{"the same, and no spot machine has room", true, true, false, "", 0},
-		{"the same, and it has waited for long", true, true, false, "ordinary", surplusOpensAfter},
+		{name: "a job with time to spare", want: "spot"},
+		{name: "a job that a lost task makes late", late: true, want: "ordinary"},
+		{name: "the spot machine is full", full: true, want: "ordinary"},
+		{name: "the ordinary machine is surplus", late: true, surplus: true, want: "spot"},
+		{name: "the same, and the spot machine is full", late: true, surplus: true, full: true, want: ""},
+		{name: "the same, and it has waited for long", late: true, surplus: true, full: true, waited: surplusOpensAfter, want: "ordinary"},
 	} {
-		ordinary, spot := machine("ordinary", false), machine("spot", true)
+		ordinary, spot := testMachine("ordinary", false), testMachine("spot", true)
 		ordinary.Cache, ordinary.Surplus = []string{"i"}, c.surplus
-		if !c.spot {
+		if c.full {
 			spot.Used = spot.Size
 		}
-		job := &model.JobState{Job: &model.Job{ID: "j-1", Team: "red", Tasks: 1, Request: model.Resources{Cores: 1000}, AllowsSpot: true,
-			Image: "i", ImageGB: 5, EstimatedRun: 100 * model.Second}, Waiting: []int{0}, LossMakesLate: c.late}
+		job := flexibleJob()
+		job.LossMakesLate = c.late
+		job.ReadySince -= c.waited
 		executor := &testExecutor{}
-		job.ReadySince = 1000 - c.waited
-		w := &World{Now: 1000, HeartbeatTimeout: model.Second, Machines: []*model.Machine{ordinary, spot}, Jobs: []*model.JobState{job},
-			Teams:        map[string]*model.Team{"red": {Limit: model.Resources{Cores: 100_000}}},
-			MachineTypes: map[string]*model.MachineType{"box": {Name: "box", Cores: 8, FetchGBps: 0.2, Price: 4, SpotPrice: 1}},
-			Estimates:    testEstimator{}, Executor: executor}
-		w.Round()
+		testWorld(job, executor, ordinary, spot).Round()
 		if executor.boundTo != c.want {
-			t.Errorf("%s: goes to %q, want %q", c.what, executor.boundTo, c.want)
+			t.Errorf("%s: goes to %q, want %q", c.name, executor.boundTo, c.want)
 		}
 	}
 }
+
+// testNow is the time of the rounds of testWorld.
+const testNow = model.Micros(1000)
+
+// testMachine is a machine that takes work.
+func testMachine(id string, spot bool) *model.Machine {
+	return &model.Machine{ID: id, MachineType: "box", Zone: "a", Spot: spot, Size: model.Resources{Cores: 8000}, Up: true, ReceivesAnswers: true}
+}
+
+// flexibleJob is a new job with one task that may use spot machines.
+func flexibleJob() *model.JobState {
+	description := &model.Job{
+		ID:           "j-1",
+		Team:         "red",
+		Tasks:        1,
+		Request:      model.Resources{Cores: 1000},
+		AllowsSpot:   true,
+		Image:        "i",
+		ImageGB:      5,
+		EstimatedRun: 100 * model.Second,
+	}
+	return &model.JobState{Job: description, Waiting: []int{0}, ReadySince: testNow}
+}
+
+// testWorld is a round with a single job.
+func testWorld(job *model.JobState, executor Executor, machines ...*model.Machine) *World {
+	return &World{
+		Now:              testNow,
+		HeartbeatTimeout: model.Second,
+		Machines:         machines,
+		MachineTypes:     map[string]*model.MachineType{"box": {Name: "box", Cores: 8, FetchGBps: 0.2, Price: 4, SpotPrice: 1}},
+		Jobs:             []*model.JobState{job},
+		Teams:            map[string]*model.Team{"red": {Limit: model.Resources{Cores: 100_000}}},
+		Estimates:        testEstimator{},
+		Executor:         executor,
+	}
+}
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -42,8 +42,8 @@
 	return len(chosen) == wanted
 }
 
-// allFree tells that no slot needs a task to be stopped: the job had only left them to
-// GPU tasks, or to those served earlier.
+// allFree tells that no slot needs a task to be stopped: they are free, but reserved for
+// GPU tasks.
 func allFree(slots []preemptionSlot) bool {
 	return !slices.ContainsFunc(slots, func(slot preemptionSlot) bool { return !slot.free })
 }
--- a/internal/core/placement/prepare.go
+++ b/internal/core/placement/prepare.go
@@ -65,9 +65,9 @@
 }
 
 // dropReservations drops the reservations of the last preempting round, except those
-// for which others were preempted. A job served earlier, with a machine too few for a
-// moment, would otherwise take such a reservation to no use; the job that lost it would
-// preempt tasks elsewhere, and so on.
+// for which others were preempted. If these were dropped, too, a job served earlier could
+// take the machines without having enough of them to start; the job that loses them
+// would preempt tasks elsewhere, and so on for the jobs behind it.
 func (w *World) dropReservations() {
 	for job, reservations := range w.Reservations {
 		reservations = slices.DeleteFunc(reservations, func(r Reservation) bool { return !r.Preempted })
--- a/internal/core/placement/reservations.go
+++ b/internal/core/placement/reservations.go
@@ -81,8 +81,9 @@
 }
 
 // reserveLimit keeps what a waiting gang needs, of its team's limit, from jobs that are
-// served later: single tasks would otherwise take whatever becomes free, for ever. It
-// tells whether the gang is the first of its team with such a reservation.
+// served later: otherwise single tasks would take whatever becomes free, and the gang
+// might never start. It tells whether the gang is the first of its team with such a
+// reservation.
 func (w *World) reserveLimit(gang *model.JobState) (first bool) {
 	reserved, exists := w.reservedLimit[gang.Team]
 	w.reservedLimit[gang.Team] = reserved.Plus(gang.Request.Times(gang.Tasks))
