--- a/internal/core/shard/world.go
+++ b/internal/core/shard/world.go
@@ -12,9 +12,8 @@
 	// stopTimePercent is about how long it takes until a stopped task's resources are
 	// free, in percent of the heartbeat interval.
 	stopTimePercent = 120
-	// expectedGPUGrowth is the divisor that gives the GPUs that may soon be wanted from
-	// those in use.
-	expectedGPUGrowth = 2
+	// gpuGrowthDivisor gives, from the GPUs in use, those that may soon be wanted.
+	gpuGrowthDivisor = 2
 	// milliPerUnit is how many thousandths make a whole.
 	milliPerUnit = 1000
 )
@@ -23,10 +22,13 @@
 const (
 	// defaultMaxWait is for jobs without an aim.
 	defaultMaxWait = 180 * model.Second
-	// Classes that are to start within promptStart get a smaller part of that time.
-	promptStart            = 60 * model.Second
-	promptMaxWaitDivisor   = 4
-	maxWaitPercent         = 40
+	// maxWaitPercent is for classes with a start aim, in percent of it.
+	maxWaitPercent = 40
+	// promptMaxWaitDivisor gives it for classes that are to start within promptStart, for
+	// which stopping a task takes a larger part of that time.
+	promptMaxWaitDivisor = 4
+	promptStart          = 60 * model.Second
+	// deadlineMaxWaitDivisor gives it from what a run leaves of the job's deadline.
 	deadlineMaxWaitDivisor = 4
 )
 
@@ -114,7 +116,7 @@
 	for name, waiting := range demand.waiting {
 		used := h.Used[name].GPUs
 		allowed := h.Params.Teams[name].Limit.GPUs - used
-		wanted += max(0, min(allowed, waiting+used/expectedGPUGrowth))
+		wanted += max(0, min(allowed, waiting+used/gpuGrowthDivisor))
 	}
 	return wanted
 }
