--- a/internal/core/shard/commands.go
+++ b/internal/core/shard/commands.go
@@ -23,53 +23,87 @@
 	}
 	var commands []Command
 	for i := range r.Tasks {
-		p := &r.Tasks[i]
-		if b := m.Bindings[p.ID]; b != nil && b.Attempt == p.Attempt {
-			if b.Stopping && p.Status != model.Exited {
-				if b.StopSentAt == 0 {
-					b.StopSentAt = now
-				}
-				if !(p.Status == model.Saving && b.StopGrace > 0) {
-					commands = append(commands, Command{Op: "stop", Task: p.ID, Attempt: p.Attempt, Grace: b.StopGrace})
-				}
-			}
-			continue
-		}
-		if p.Status != model.Exited {
-			// Nothing durable says that it may be here.
-			commands = append(commands, Command{Op: "stop", Task: p.ID, Attempt: p.Attempt})
-			continue
+		if command, ok := h.commandFor(m, &r.Tasks[i], now); ok {
+			commands = append(commands, command)
 		}
-		if js := h.Jobs[p.ID.Job]; p.Cause == "done" && js != nil && js.Ended == "" &&
-			(js.EndPending || !isDurable(js, p.ID.Index)) {
-			continue // its completion is not durable yet: it must not be forgotten
-		}
-		commands = append(commands, Command{Op: "clear", Task: p.ID, Attempt: p.Attempt})
 	}
-	reported := make(map[model.TaskID]uint64, len(r.Tasks))
-	for i := range r.Tasks {
-		reported[r.Tasks[i].ID] = r.Tasks[i].Attempt
+	for _, b := range h.bindingsToStart(m, r.Tasks) {
+		b.SentIncarnation, b.SentSequence = r.Session, r.Sequence
+		commands = append(commands, Command{Op: "start", Task: b.ID, Attempt: b.Attempt})
+	}
+	return commands
+}
+
+// commandFor is the command for a reported task, if it needs one.
+func (h *State) commandFor(m *model.Machine, task *TaskStatus, now model.Micros) (Command, bool) {
+	if b := m.Bindings[task.ID]; b != nil && b.Attempt == task.Attempt {
+		return stopCommand(b, task, now)
+	}
+	if task.Status != model.Exited {
+		// Nothing durable says that it may be here.
+		return Command{Op: "stop", Task: task.ID, Attempt: task.Attempt}, true
+	}
+	if task.Cause == "done" && h.awaitsDurableCompletion(task.ID) {
+		return Command{}, false // the worker must not forget it yet
+	}
+	return Command{Op: "clear", Task: task.ID, Attempt: task.Attempt}, true
+}
+
+// stopCommand is the command to stop a bound task, if that was decided and the task
+// neither has exited nor saves its state for it.
+func stopCommand(b *model.Binding, task *TaskStatus, now model.Micros) (Command, bool) {
+	if !b.Stopping || task.Status == model.Exited {
+		return Command{}, false
+	}
+	if b.StopSentAt == 0 {
+		b.StopSentAt = now
+	}
+	if task.Status == model.Saving && b.StopGrace > 0 {
+		return Command{}, false
+	}
+	return Command{Op: "stop", Task: task.ID, Attempt: task.Attempt, Grace: b.StopGrace}, true
+}
+
+// awaitsDurableCompletion tells whether the completion of a task is known but not
+// durable yet.
+func (h *State) awaitsDurableCompletion(id model.TaskID) bool {
+	js := h.Jobs[id.Job]
+	return js != nil && js.Ended == "" && (js.EndPending || !isDurable(js, id.Index))
+}
+
+// bindingsToStart are the bindings of a machine that are to be started and that its
+// report does not show, in the order in which to start them.
+func (h *State) bindingsToStart(m *model.Machine, tasks []TaskStatus) []*model.Binding {
+	reported := make(map[model.TaskID]uint64, len(tasks))
+	for i := range tasks {
+		reported[tasks[i].ID] = tasks[i].Attempt
 	}
 	var starts []*model.Binding
 	for id, b := range m.Bindings {
-		js := h.Jobs[id.Job]
-		if b.Version > m.DurableVersion || b.Stopping || b.Seen || js.Ended != "" || js.EndPending || js.Suspended || js.Done.Has(id.Index) || reported[id] == b.Attempt {
-			continue
+		if reported[id] != b.Attempt && h.mayStart(b) {
+			starts = append(starts, b)
 		}
-		if js.Kind == model.Gang && (js.AttemptFailed || !h.gangDurable(js) || h.startsLater(js, b)) {
-			continue
-		}
-		starts = append(starts, b)
 	}
 	sort.Slice(starts, func(i, j int) bool {
 		a, b := starts[i], starts[j]
 		return a.Job.Priority > b.Job.Priority || a.Job.Priority == b.Job.Priority && a.Attempt < b.Attempt
 	})
-	for _, b := range starts {
-		b.SentIncarnation, b.SentSequence = r.Session, r.Sequence
-		commands = append(commands, Command{Op: "start", Task: b.ID, Attempt: b.Attempt})
+	return starts
+}
+
+// mayStart tells whether a binding is durable and its task may be started now.
+func (h *State) mayStart(b *model.Binding) bool {
+	if b.Version > b.Machine.DurableVersion || b.Stopping || b.Seen {
+		return false
 	}
-	return commands
+	js := h.Jobs[b.ID.Job]
+	if js.Ended != "" || js.EndPending || js.Suspended || js.Done.Has(b.ID.Index) {
+		return false
+	}
+	if js.Kind != model.Gang {
+		return true
+	}
+	return !js.AttemptFailed && h.gangDurable(js) && !h.startsLater(js, b)
 }
 
 // gangDurable tells whether every binding of the attempt is durable: none
--- a/internal/core/shard/dense.go
+++ b/internal/core/shard/dense.go
@@ -81,64 +81,105 @@
 	}
 }
 
+// bundlePacker packs the body of a bundle, and collects the tables of its header.
+type bundlePacker struct {
+	packer
+	baseAttempt uint64 // attempts are counted from it
+	labels      table  // machine types and zones
+	jobs        table
+}
+
 func (b *BundleRecord) pack() []byte {
-	var labels, jobs table
-	base := ^uint64(0)
-	for _, h := range b.Machines {
-		if h == nil {
+	body := bundlePacker{baseAttempt: b.smallestAttempt()}
+	body.machines(b.Machines)
+	body.finished(b.Done)
+	header := packer{out: []byte{denseVersion}}
+	header.num(body.baseAttempt)
+	header.table(&body.labels)
+	header.table(&body.jobs)
+	return append(header.out, body.out...)
+}
+
+// smallestAttempt is the smallest attempt in the bundle, the largest number if it has none.
+func (b *BundleRecord) smallestAttempt() uint64 {
+	smallest := ^uint64(0)
+	for _, machine := range b.Machines {
+		if machine == nil {
 			continue
 		}
-		for _, ps := range h.Tasks {
-			for _, p := range ps {
-				base = min(base, p[1])
+		for _, attempts := range machine.Tasks {
+			for _, attempt := range attempts {
+				smallest = min(smallest, attempt[1])
 			}
 		}
 	}
-	var p packer // machines, which make the tables
-	refs := slices.Sorted(maps.Keys(b.Machines))
-	p.num(uint64(len(refs)))
-	last := ""
-	for _, ref := range refs {
-		shared := 0
-		for shared < len(last) && shared < len(ref) && last[shared] == ref[shared] {
-			shared++
-		}
+	return smallest
+}
+
+func (p *bundlePacker) machines(machines map[string]*MachineRecord) {
+	ids := slices.Sorted(maps.Keys(machines))
+	p.num(uint64(len(ids)))
+	previous := ""
+	for _, id := range ids {
+		shared := sharedPrefix(previous, id)
 		p.num(uint64(shared))
-		p.text(ref[shared:])
-		last = ref
-		h := b.Machines[ref]
-		if h == nil {
-			p.num(0)
-			continue
-		}
-		kind := uint64(1)
-		if h.Spot {
-			kind = 2
-		}
-		p.num(kind)
-		p.num(labels.number(h.MachineType))
-		p.num(labels.number(h.Zone))
-		p.num(uint64(len(h.Tasks)))
-		for _, job := range slices.Sorted(maps.Keys(h.Tasks)) {
-			p.num(jobs.number(job))
-			p.num(uint64(len(h.Tasks[job])))
-			for _, x := range h.Tasks[job] {
-				p.num(x[0])
-				p.num(x[1] - base)
-			}
-		}
+		p.text(id[shared:])
+		p.machine(machines[id])
+		previous = id
 	}
-	head := packer{out: []byte{denseVersion}}
-	head.num(base)
-	head.table(&labels)
-	head.table(&jobs)
-	names := slices.Sorted(maps.Keys(b.Done))
+}
+
+// sharedPrefix is the number of bytes with which both strings begin.
+func sharedPrefix(a, b string) int {
+	n := 0
+	for n < len(a) && n < len(b) && a[n] == b[n] {
+		n++
+	}
+	return n
+}
+
+// Kinds of machines in the dense form.
+const (
+	denseGone     = 0
+	denseOnDemand = 1
+	denseSpot     = 2
+)
+
+func (p *bundlePacker) machine(machine *MachineRecord) {
+	if machine == nil {
+		p.num(denseGone)
+		return
+	}
+	if machine.Spot {
+		p.num(denseSpot)
+	} else {
+		p.num(denseOnDemand)
+	}
+	p.num(p.labels.number(machine.MachineType))
+	p.num(p.labels.number(machine.Zone))
+	p.num(uint64(len(machine.Tasks)))
+	for _, job := range slices.Sorted(maps.Keys(machine.Tasks)) {
+		p.num(p.jobs.number(job))
+		p.tasks(machine.Tasks[job])
+	}
+}
+
+// tasks packs pairs of a task's number and its attempt.
+func (p *bundlePacker) tasks(tasks [][2]uint64) {
+	p.num(uint64(len(tasks)))
+	for _, task := range tasks {
+		p.num(task[0])
+		p.num(task[1] - p.baseAttempt)
+	}
+}
+
+func (p *bundlePacker) finished(done map[string][]byte) {
+	names := slices.Sorted(maps.Keys(done))
 	p.num(uint64(len(names)))
 	for _, name := range names {
 		p.text(name)
-		p.text(string(b.Done[name]))
+		p.text(string(done[name]))
 	}
-	return append(head.out, p.out...)
 }
 
 var errDense = errors.New("not a dense bundle of this version")
@@ -148,10 +189,13 @@
 	bad bool
 }
 
+// fail notes that the input is malformed: whatever is read from now on is empty.
+func (u *unpacker) fail() { u.bad, u.in = true, nil }
+
 func (u *unpacker) num() uint64 {
 	v, n := binary.Uvarint(u.in)
 	if n <= 0 {
-		u.bad, u.in = true, nil
+		u.fail()
 		return 0
 	}
 	u.in = u.in[n:]
@@ -162,7 +206,7 @@
 func (u *unpacker) count() int {
 	v := u.num()
 	if v > uint64(len(u.in)) {
-		u.bad, u.in = true, nil
+		u.fail()
 		return 0
 	}
 	return int(v)
@@ -183,56 +227,89 @@
 	return t
 }
 
-func (u *unpacker) of(t []string) string {
+// nameIn reads the number of a name in a table.
+func (u *unpacker) nameIn(table []string) string {
 	n := u.num()
-	if n >= uint64(len(t)) {
-		u.bad, u.in = true, nil
+	if n >= uint64(len(table)) {
+		u.fail()
 		return ""
 	}
-	return t[n]
+	return table[n]
+}
+
+// bundleUnpacker reads the body of a bundle with the tables of its header.
+type bundleUnpacker struct {
+	unpacker
+	baseAttempt  uint64
+	labels, jobs []string
 }
 
 func (b *BundleRecord) unpack(in []byte) error {
 	if len(in) == 0 || in[0] != denseVersion {
 		return errDense
 	}
-	u := &unpacker{in: in[1:]}
-	*b = BundleRecord{Dense: true, Machines: map[string]*MachineRecord{}, Done: map[string][]byte{}}
-	base := u.num()
-	labels, jobs := u.table(), u.table()
-	last := ""
+	u := &bundleUnpacker{unpacker: unpacker{in: in[1:]}}
+	u.baseAttempt = u.num()
+	u.labels = u.table()
+	u.jobs = u.table()
+	machines := u.machines()
+	done := u.finished()
+	*b = BundleRecord{Dense: true, Machines: machines, Done: done}
+	if u.bad || len(u.in) > 0 {
+		return errDense
+	}
+	return nil
+}
+
+func (u *bundleUnpacker) machines() map[string]*MachineRecord {
+	machines := map[string]*MachineRecord{}
+	previous := ""
 	for range u.count() {
 		shared := u.num()
-		if shared > uint64(len(last)) {
-			return errDense
-		}
-		ref := last[:shared] + u.text()
-		last = ref
-		kind := u.num()
-		if kind == 0 {
-			b.Machines[ref] = nil
-			continue
+		if shared > uint64(len(previous)) {
+			u.fail()
+			return machines
 		}
-		h := &MachineRecord{Spot: kind == 2, MachineType: u.of(labels), Zone: u.of(labels), Tasks: map[string][][2]uint64{}}
-		for range u.count() {
-			job := u.of(jobs)
-			ps := make([][2]uint64, 0, 4)
-			for range u.count() {
-				n := u.num()
-				ps = append(ps, [2]uint64{n, base + u.num()})
-			}
-			h.Tasks[job] = ps
-		}
-		b.Machines[ref] = h
+		id := previous[:shared] + u.text()
+		machines[id] = u.machine()
+		previous = id
 	}
+	return machines
+}
+
+// machine reads a machine's record, nil if the machine is gone.
+func (u *bundleUnpacker) machine() *MachineRecord {
+	kind := u.num()
+	if kind == denseGone {
+		return nil
+	}
+	machine := &MachineRecord{Spot: kind == denseSpot, Tasks: map[string][][2]uint64{}}
+	machine.MachineType = u.nameIn(u.labels)
+	machine.Zone = u.nameIn(u.labels)
 	for range u.count() {
-		name := u.text()
-		b.Done[name] = []byte(u.text())
+		job := u.nameIn(u.jobs)
+		machine.Tasks[job] = u.tasks()
 	}
-	if u.bad || len(u.in) > 0 {
-		return errDense
+	return machine
+}
+
+// tasks reads pairs of a task's number and its attempt.
+func (u *bundleUnpacker) tasks() [][2]uint64 {
+	tasks := make([][2]uint64, 0, 4)
+	for range u.count() {
+		index := u.num()
+		tasks = append(tasks, [2]uint64{index, u.baseAttempt + u.num()})
 	}
-	return nil
+	return tasks
+}
+
+func (u *bundleUnpacker) finished() map[string][]byte {
+	done := map[string][]byte{}
+	for range u.count() {
+		name := u.text()
+		done[name] = []byte(u.text())
+	}
+	return done
 }
 
 // Bytes of the dense form, counted from above.
--- a/internal/core/shard/heartbeats.go
+++ b/internal/core/shard/heartbeats.go
@@ -54,13 +54,28 @@
 		m = h.AddMachine(r.Machine, r.MachineType, r.Zone, r.Spot, now)
 		h.Log(Event{What: "appeared", Machine: r.Machine})
 	}
-	if m.Deleting {
+	if m.Deleting || isLateCopy(m, r) {
 		return Stale
 	}
-	if r.Session < m.Incarnation || r.Session == m.Incarnation && r.Sequence <= m.Sequence {
-		// A late copy must not move knowledge back.
-		return Stale
+	h.updateMachine(m, r, now)
+	reported := h.applyTaskStatuses(m, r.Tasks, now)
+	h.detectSlowMachine(m, now)
+	h.blame(m, now)
+	if r.Token == h.Token {
+		// Under an older token an earlier holder's start may still be on its way.
+		h.unbindMissing(m, reported, now)
 	}
+	return Taken
+}
+
+// isLateCopy tells whether the machine has sent a newer report already: a late copy must
+// not move knowledge back.
+func isLateCopy(m *model.Machine, r *Report) bool {
+	return r.Session < m.Incarnation || r.Session == m.Incarnation && r.Sequence <= m.Sequence
+}
+
+// updateMachine takes what a report says of the machine itself.
+func (h *State) updateMachine(m *model.Machine, r *Report, now model.Micros) {
 	h.checkAnswersArrive(m, r, now)
 	m.HasNews = m.HasNews && m.ReceivesAnswers // what a report of a deaf machine made room for waits
 	if !m.Up && r.Token == h.Token {
@@ -68,27 +83,36 @@
 		h.Log(Event{What: "up", Machine: m.ID})
 	}
 	m.Lost = false
-	m.Addr, m.Incarnation, m.Sequence, m.LastHeartbeat, m.LastAnswer, m.Token = r.Addr, r.Session, r.Sequence, now, now, r.Token
+	m.Addr, m.Token = r.Addr, r.Token
+	m.Incarnation, m.Sequence = r.Session, r.Sequence
+	m.LastHeartbeat, m.LastAnswer = now, now
 	if r.SpotNotice && !m.SpotNotice {
 		m.SpotNotice, m.ReclaimedAt = true, now+r.ReclaimedIn
 		h.drain(m, now)
 	}
-	seen := make(map[model.TaskID]bool, len(r.Tasks))
-	for i := range r.Tasks {
-		p := &r.Tasks[i]
-		b := m.Bindings[p.ID]
-		if b != nil && b.Attempt == p.Attempt {
-			seen[p.ID] = true
-			h.progress(b, p, now)
-		} else if p.Status == model.Exited && p.Cause == "done" {
-			h.complete(p.ID, nil, now)
+}
+
+// applyTaskStatuses takes the states of the tasks in a report. It returns the bound tasks
+// that the report shows.
+func (h *State) applyTaskStatuses(m *model.Machine, tasks []TaskStatus, now model.Micros) map[model.TaskID]bool {
+	reported := make(map[model.TaskID]bool, len(tasks))
+	for i := range tasks {
+		task := &tasks[i]
+		b := m.Bindings[task.ID]
+		if b != nil && b.Attempt == task.Attempt {
+			reported[task.ID] = true
+			h.progress(b, task, now)
+		} else if task.Status == model.Exited && task.Cause == "done" {
+			h.complete(task.ID, nil, now)
 		}
 	}
-	h.detectSlowMachine(m, now)
-	h.blame(m, now)
+	return reported
+}
+
+// unbindMissing unbinds the tasks that a report proves not to be on the machine.
+func (h *State) unbindMissing(m *model.Machine, reported map[model.TaskID]bool, now model.Micros) {
 	for id, b := range m.Bindings {
-		if seen[id] || r.Token != h.Token {
-			// Under an older token an earlier holder's start may still be on its way.
+		if reported[id] {
 			continue
 		}
 		sent := b.SentIncarnation != 0 || b.SentSequence != 0
@@ -103,7 +127,6 @@
 			h.unbind(b, "start never took", now)
 		}
 	}
-	return Taken
 }
 
 // checkAnswersArrive tells from a report whether our answer to the one before reached
--- a/internal/core/shard/slots.go
+++ b/internal/core/shard/slots.go
@@ -89,37 +89,45 @@
 // open begins a bundle for an entry of that size, in the slot that has least to be
 // carried along. A new slot is added when all are rather full.
 func (h *State) open(taken map[int]bool, size int) *Write {
+	slotIndex := h.chooseSlot(taken, size)
+	h.opened++
+	taken[slotIndex] = true
+	w := &Write{Slot: slotIndex, vers: map[string]uint64{}, known: map[string]bool{}, size: h.bundleBytes()}
+	entries, _ := h.carried(slotIndex)
+	slices.Sort(entries)
+	for _, entry := range entries {
+		h.include(w, entry)
+	}
+	return w
+}
+
+// chooseSlot finds the slot that has least to be carried along, or adds one.
+func (h *State) chooseSlot(taken map[int]bool, size int) int {
 	most := max(0, min(h.Params.MaxValue/carryShare, h.Params.MaxValue-h.bundleBytes()-size))
 	best := h.emptiest(taken)
 	if best >= 0 && h.slots[best].live > most && h.opened > len(h.slots)/4 {
 		// What has ended since may be all that fills them.
-		h.opened = 0
-		h.oldest()
-		for k := range h.slots {
-			h.recount(k)
-		}
+		h.recountAll()
 		best = h.emptiest(taken)
 	}
 	for best >= 0 && h.slots[best].live <= most {
 		// What it has may have grown since it was written.
 		if h.recount(best); h.slots[best].live <= most {
-			break
+			return best
 		}
 		best = h.emptiest(taken)
 	}
-	if best < 0 || h.slots[best].live > most {
-		best = len(h.slots)
-		h.slots = append(h.slots, &slot{})
-	}
-	h.opened++
-	taken[best] = true
-	w := &Write{Slot: best, vers: map[string]uint64{}, known: map[string]bool{}, size: h.bundleBytes()}
-	entries, _ := h.carried(best)
-	slices.Sort(entries)
-	for _, e := range entries {
-		h.include(w, e)
+	h.slots = append(h.slots, &slot{})
+	return len(h.slots) - 1
+}
+
+// recountAll finds out anew how much of every slot still has to be kept.
+func (h *State) recountAll() {
+	h.opened = 0
+	h.oldest()
+	for k := range h.slots {
+		h.recount(k)
 	}
-	return w
 }
 
 // recount finds out anew how much of a slot still has to be kept.
--- a/internal/core/shard/writes.go
+++ b/internal/core/shard/writes.go
@@ -20,6 +20,10 @@
 	lost bool
 }
 
+// jobKeyPrefix is the beginning of the keys of jobs.
+const jobKeyPrefix = "job/"
+
+// push queues an entry to be written, unless it is queued already.
 func (h *State) push(entry string) {
 	if !h.queued[entry] {
 		h.queued[entry] = true
@@ -41,36 +45,13 @@
 	rec, _ := w.Value.(BundleRecord)
 	rec.Dense = h.Params.Dense
 	size := h.sizeIn(entry, w.known)
-	if ref, ok := strings.CutPrefix(entry, MachineEntry); ok {
-		m := h.Machines[ref]
-		others := h.copies[entry]
-		if _, ok := h.slots[w.Slot].has[entry]; ok {
-			others--
-		}
-		if m == nil && others == 0 {
-			return // nothing durable is left that would have to be denied
-		}
-		if rec.Machines == nil {
-			rec.Machines = map[string]*MachineRecord{}
-		}
-		if m == nil {
-			rec.Machines[ref], w.vers[entry] = nil, 0
-		} else {
-			rec.Machines[ref], w.vers[entry] = record(m), m.Version
-		}
-	} else if js, k := h.partOf(entry); js != nil && js.Ended == "" {
-		if rec.Done == nil {
-			rec.Done = map[string][]byte{}
-		}
-		bits := js.Done.Bytes()
-		if k >= 0 {
-			bits = js.Done.Part(k)
-		}
-		rec.Done[strings.TrimPrefix(entry, DoneEntry)], w.vers[entry] = slices.Clone(bits), 0
-		if v := versions(js, k); v != nil {
-			w.vers[entry] = v.Now
-		}
+	included := false
+	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
+		included = h.includeMachine(w, &rec, machineID)
 	} else {
+		included = h.includeFinished(w, &rec, entry)
+	}
+	if !included {
 		return
 	}
 	w.Value = rec
@@ -78,9 +59,68 @@
 	h.learnNames(entry, w.known)
 }
 
+// includeMachine puts a machine's record into a bundle, nil if it is gone. It tells
+// whether that is needed.
+func (h *State) includeMachine(w *Write, rec *BundleRecord, machineID string) bool {
+	entry := MachineEntry + machineID
+	m := h.Machines[machineID]
+	if m == nil && h.copiesElsewhere(entry, w.Slot) == 0 {
+		return false // no durable record is left that would have to be denied
+	}
+	if rec.Machines == nil {
+		rec.Machines = map[string]*MachineRecord{}
+	}
+	if m == nil {
+		rec.Machines[machineID], w.vers[entry] = nil, 0
+	} else {
+		rec.Machines[machineID], w.vers[entry] = record(m), m.Version
+	}
+	return true
+}
+
+// copiesElsewhere is the number of other slots that hold some version of an entry.
+func (h *State) copiesElsewhere(entry string, slot int) int {
+	copies := h.copies[entry]
+	if _, ok := h.slots[slot].has[entry]; ok {
+		copies--
+	}
+	return copies
+}
+
+// includeFinished puts the finished tasks of a job that has not ended into a bundle. It
+// tells whether there is such a job.
+func (h *State) includeFinished(w *Write, rec *BundleRecord, entry string) bool {
+	js, part := h.partOf(entry)
+	if js == nil || js.Ended != "" {
+		return false
+	}
+	if rec.Done == nil {
+		rec.Done = map[string][]byte{}
+	}
+	bits := js.Done.Bytes()
+	if part >= 0 {
+		bits = js.Done.Part(part)
+	}
+	rec.Done[strings.TrimPrefix(entry, DoneEntry)], w.vers[entry] = slices.Clone(bits), 0
+	if v := versions(js, part); v != nil {
+		w.vers[entry] = v.Now
+	}
+	return true
+}
+
 // maxEndBytes is what a job's end takes in a transaction at most.
 const maxEndBytes = 300
 
+// transaction collects the writes of one transaction.
+type transaction struct {
+	maxWrites  int
+	bytesLeft  int
+	writes     []*Write
+	bundle     *Write          // entries are added to it while they fit
+	takenSlots map[int]bool    // slots that are written by this transaction
+	written    map[string]bool // entries that are written by this transaction
+}
+
 // Writes takes changes from the queue, in order, as many as fit. Each value is
 // made now, so it covers everything decided until now. If the transaction fails,
 // they are given back by Retry. What got no answer goes first, as it was and alone:
@@ -88,113 +128,159 @@
 // been overwritten in other bundles.
 func (h *State) Writes(ops, bytes int) []Write {
 	if n := min(ops, len(h.again)); n > 0 {
-		ws := h.again[:n:n]
+		writes := h.again[:n:n]
 		h.again = h.again[n:]
-		return ws
+		return writes
 	}
-	var ws []*Write
+	txn := &transaction{maxWrites: ops, bytesLeft: bytes, takenSlots: map[int]bool{}, written: map[string]bool{}}
 	// Ends first: users, and jobs that await these, wait for them. They need no order
-	// among the rest: whatever is still booked of such a job has completed.
-	for len(h.ends) > 0 && len(ws) < ops && bytes >= maxEndBytes {
-		ref := h.ends[0]
+	// among the rest: whatever is still bound of such a job has completed.
+	h.addEnds(txn)
+	h.addQueued(txn)
+	return txn.result()
+}
+
+// addEnds adds the ends of jobs to a transaction, as many as fit.
+func (h *State) addEnds(txn *transaction) {
+	for len(h.ends) > 0 && len(txn.writes) < txn.maxWrites && txn.bytesLeft >= maxEndBytes {
+		jobID := h.ends[0]
 		h.ends = h.ends[1:]
-		if js := h.Jobs[ref]; js != nil && js.Ended == "" {
-			bytes -= maxEndBytes
-			ws = append(ws, &Write{Key: "job/" + ref, Slot: -1, Value: JobRecord{End: "done", Tasks: js.Tasks}})
+		if js := h.Jobs[jobID]; js != nil && js.Ended == "" {
+			txn.bytesLeft -= maxEndBytes
+			txn.writes = append(txn.writes, &Write{Key: jobKeyPrefix + jobID, Slot: -1, Value: JobRecord{End: "done", Tasks: js.Tasks}})
 		}
 	}
-	taken := map[int]bool{}
-	written := map[string]bool{}
-	var cur *Write
-	var left []string
-	used := 0
-	for _, entry := range h.queue {
-		if written[entry] {
+}
+
+// addQueued adds the entries of the queue to a transaction, as many as fit.
+func (h *State) addQueued(txn *transaction) {
+	taken := 0
+	var postponed []string
+	for taken < len(h.queue) {
+		entry := h.queue[taken]
+		switch {
+		case txn.written[entry]:
 			// It was carried along, at its present version. Two versions of it with the
 			// same stamp would leave readers to guess which one counts.
-			used++
-			continue
-		}
-		if js, k := h.partOf(entry); js != nil && versions(js, k) == nil {
-			used++ // its parts are queued
-			continue
-		}
-		size := h.size(entry)
-		if h.bundleBytes()+size > h.Params.MaxValue && strings.HasPrefix(entry, MachineEntry) {
-			// A machine on which a holder with larger values has bound more than a value
-			// bears now. It gets nothing new, so it will fit; until then a new holder finds
-			// tasks on it that are gone, which it has to see for itself.
-			left = append(left, entry)
-			used++
-			continue
-		}
-		if cur != nil {
-			size = h.sizeIn(entry, cur.known)
-		}
-		if cur == nil || cur.size+size > h.Params.MaxValue {
-			size = h.size(entry)
-			if len(ws) >= ops || bytes < size {
-				break
-			}
-			cur = h.open(taken, size)
-			for e := range cur.vers {
-				written[e] = true
-			}
-			bytes -= cur.size
-			ws = append(ws, cur)
-			if written[entry] {
-				used++
-				continue
+		case h.isStoredInParts(entry):
+			// Its parts are queued.
+		case h.exceedsValue(entry):
+			postponed = append(postponed, entry)
+		default:
+			if !h.addEntry(txn, entry) {
+				h.dequeue(taken, postponed)
+				return
 			}
 		}
-		if bytes < size && len(cur.vers) > 0 {
-			break
-		}
-		before := cur.size
-		h.include(cur, entry)
-		written[entry] = true
-		bytes -= cur.size - before
-		used++
+		taken++
 	}
-	for _, entry := range h.queue[:used] {
+	h.dequeue(taken, postponed)
+}
+
+// dequeue takes the first entries out of the queue, and puts the postponed ones of
+// them back at its end.
+func (h *State) dequeue(taken int, postponed []string) {
+	for _, entry := range h.queue[:taken] {
 		delete(h.queued, entry)
 	}
-	h.queue = h.queue[used:]
-	for _, entry := range left {
+	h.queue = h.queue[taken:]
+	for _, entry := range postponed {
 		h.push(entry)
 	}
-	out := make([]Write, 0, len(ws))
-	for _, w := range ws {
+}
+
+// isStoredInParts tells whether an entry is about all finished tasks of a job whose
+// finished tasks are now stored in parts.
+func (h *State) isStoredInParts(entry string) bool {
+	js, part := h.partOf(entry)
+	return js != nil && versions(js, part) == nil
+}
+
+// exceedsValue tells whether a machine's record is too large for a bundle: an earlier
+// holder with larger values has bound more to it than a value bears now. It gets nothing
+// new, so it will fit; until then a new holder finds tasks on it that are gone, which it
+// has to see for itself.
+func (h *State) exceedsValue(entry string) bool {
+	return strings.HasPrefix(entry, MachineEntry) && h.bundleBytes()+h.size(entry) > h.Params.MaxValue
+}
+
+// addEntry adds an entry to the transaction's bundle, or to a new one if it does not
+// fit there. It tells whether the transaction had room for it.
+func (h *State) addEntry(txn *transaction, entry string) bool {
+	size := 0
+	if txn.bundle != nil {
+		size = h.sizeIn(entry, txn.bundle.known)
+	}
+	if txn.bundle == nil || txn.bundle.size+size > h.Params.MaxValue {
+		size = h.size(entry)
+		if len(txn.writes) >= txn.maxWrites || txn.bytesLeft < size {
+			return false
+		}
+		h.addBundle(txn, size)
+		if txn.written[entry] {
+			return true
+		}
+	}
+	if txn.bytesLeft < size && len(txn.bundle.vers) > 0 {
+		return false
+	}
+	before := txn.bundle.size
+	h.include(txn.bundle, entry)
+	txn.written[entry] = true
+	txn.bytesLeft -= txn.bundle.size - before
+	return true
+}
+
+// addBundle begins a new bundle, for an entry of that size.
+func (h *State) addBundle(txn *transaction, size int) {
+	txn.bundle = h.open(txn.takenSlots, size)
+	for entry := range txn.bundle.vers {
+		txn.written[entry] = true
+	}
+	txn.bytesLeft -= txn.bundle.size
+	txn.writes = append(txn.writes, txn.bundle)
+}
+
+func (txn *transaction) result() []Write {
+	writes := make([]Write, 0, len(txn.writes))
+	for _, w := range txn.writes {
 		if w.Value == nil && w.Slot >= 0 {
 			w.Value = BundleRecord{}
 		}
-		out = append(out, *w)
+		writes = append(writes, *w)
 	}
-	return out
+	return writes
 }
 
 // Committed takes note that the changes are durable.
-func (h *State) Committed(ws []Write, now model.Micros) {
-	for i := range ws {
-		w := &ws[i]
+func (h *State) Committed(writes []Write, now model.Micros) {
+	for i := range writes {
+		w := &writes[i]
 		if w.Slot < 0 {
-			h.EndJob(strings.TrimPrefix(w.Key, "job/"), "done", now)
+			h.EndJob(strings.TrimPrefix(w.Key, jobKeyPrefix), "done", now)
 			continue
 		}
-		names := make([]string, 0, len(w.vers))
-		for e, ver := range w.vers {
-			names = append(names, e)
-			if ref, ok := strings.CutPrefix(e, MachineEntry); ok {
-				if m := h.Machines[ref]; m != nil {
-					m.DurableVersion, m.Stored = max(m.DurableVersion, ver), true
-				}
-			} else if js, k := h.partOf(e); js != nil {
-				if v := versions(js, k); v != nil {
-					v.Stored = max(v.Stored, ver)
-				}
-			}
+		entries := make([]string, 0, len(w.vers))
+		for entry, version := range w.vers {
+			entries = append(entries, entry)
+			h.markDurable(entry, version)
+		}
+		h.LoadSlot(w.Slot, entries)
+	}
+}
+
+// markDurable takes note that a version of an entry is durable.
+func (h *State) markDurable(entry string, version uint64) {
+	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
+		if m := h.Machines[machineID]; m != nil {
+			m.DurableVersion, m.Stored = max(m.DurableVersion, version), true
+		}
+		return
+	}
+	if js, part := h.partOf(entry); js != nil {
+		if v := versions(js, part); v != nil {
+			v.Stored = max(v.Stored, version)
 		}
-		h.LoadSlot(w.Slot, names)
 	}
 }
 
@@ -221,7 +307,7 @@
 	for i := range ws {
 		w := ws[i]
 		if w.Slot < 0 {
-			ends = append(ends, strings.TrimPrefix(w.Key, "job/"))
+			ends = append(ends, strings.TrimPrefix(w.Key, jobKeyPrefix))
 			continue
 		}
 		if w.lost = w.lost || lost; w.lost {
