--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -242,7 +242,7 @@
 		if errors.Is(m.err, state.ErrTooBig) {
 			c.tighten(m.err)
 			l.block.Params.MaxValue = c.maxValue()
-			l.block.Recut(m.writes)
+			l.block.RetryTooLarge(m.writes)
 		} else {
 			l.block.Retry(m.writes, !state.NotExecuted(m.err))
 		}
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -31,7 +31,7 @@
 	msgUp struct{ reply chan<- bool }
 	// msgHeartbeat is a worker's report.
 	msgHeartbeat struct {
-		report *shard.Report
+		report *shard.Heartbeat
 		reply  chan<- workerAnswer
 		// relayed tells that it came through a sibling.
 		relayed bool
--- a/internal/controller/responses.go
+++ b/internal/controller/responses.go
@@ -18,11 +18,11 @@
 	case shard.Stale:
 		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
 		return
-	case shard.Deposed:
+	case shard.HigherToken:
 		c.afterSync(func(bool) {})
 		m.reply <- workerAnswer{code: 421, body: workerapi.Elsewhere("")}
 		return
-	case shard.Introduced:
+	case shard.TokenUnknown:
 		m.reply <- workerAnswer{code: 200, body: workerapi.Answer(l.token, nil)}
 		return
 	}
@@ -60,7 +60,7 @@
 		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
 		return
 	}
-	if h == nil || h.Incarnation != m.report.Session || h.Sequence != m.report.Sequence || h.Deleting || !l.c.auth.Holds(l.c.now) {
+	if h == nil || h.Incarnation != m.report.Incarnation || h.Sequence != m.report.Sequence || h.Deleting || !l.c.auth.Holds(l.c.now) {
 		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
 		return
 	}
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -183,6 +183,6 @@
 	return s
 }
 
-func simReport(machine string) *shard.Report {
-	return &shard.Report{Machine: machine, MachineType: "small", Zone: "a", Session: 1, Sequence: 1}
+func simReport(machine string) *shard.Heartbeat {
+	return &shard.Heartbeat{Machine: machine, MachineType: "small", Zone: "a", Incarnation: 1, Sequence: 1}
 }
--- a/internal/core/shard/bench_test.go
+++ b/internal/core/shard/bench_test.go
@@ -11,10 +11,10 @@
 // fleetSizes are those of the largest deployments measured, and of more than twice that.
 var fleetSizes = []int{1900, 4000}
 
-// bigFleet is a holder of so many machines, nearly full, with more than ten waiting tasks
-// for each.
-func bigFleet(machines int) (h *State, workers []*worker) {
-	h = New(Params{
+// newLargeFleet returns a shard of so many machines, nearly full, with more than ten
+// waiting tasks for each.
+func newLargeFleet(machines int) (s *State, workers []*worker) {
+	s = New(Params{
 		Teams: map[string]*model.Team{
 			"red":  {Name: "red", Guaranteed: model.Resources{Cores: 40_000_000, GPUs: 3_000_000}, Limit: model.Resources{Cores: 190_000_000, GPUs: 19_000_000}},
 			"blue": {Name: "blue", Guaranteed: model.Resources{Cores: 40_000_000}, Limit: model.Resources{Cores: 190_000_000}},
@@ -22,7 +22,7 @@
 		Report: 5 * sec, Lease: 26500 * model.Millisecond, GangWait: 30 * sec, Margin: sec, MaxValue: 28_000,
 		Waits: map[string][]model.Micros{"gang": {30 * sec}},
 	}, 5)
-	h.SetMachineTypes([]model.MachineType{
+	s.SetMachineTypes([]model.MachineType{
 		{Name: "box", Cores: 16, MemoryGB: 64, CacheGB: 60, FetchGBps: 0.2, Price: 0.86, SpotPrice: 0.2, BootS: 20, Zones: []string{"a"}},
 		{Name: "gpu", Cores: 96, GPUs: 8, MemoryGB: 384, CacheGB: 80, FetchGBps: 0.6, Price: 27, SpotPrice: 6.9, BootS: 25, Zones: []string{"a"}}})
 	for i := range machines {
@@ -30,19 +30,19 @@
 		if i%2 == 0 {
 			machineType = "gpu"
 		}
-		w := newWorker(h, fmt.Sprintf("host-%06d", i), machineType, "a")
-		w.r.Spot = i%5 < 2
+		w := newWorker(s, fmt.Sprintf("host-%06d", i), machineType, "a")
+		w.heartbeat.Spot = i%5 < 2
 		workers = append(workers, w)
 	}
-	ref := 0
-	add := func(tasks int, shape model.JobKind, need model.Resources, class, team string) {
-		ref++
-		j := &model.Job{ID: fmt.Sprintf("j-%06d", ref), Class: class, Team: team, Kind: shape, Priority: model.LowPriority, Tasks: tasks,
-			Request: need, Image: fmt.Sprintf("img-%d", ref%6), ImageGB: 4, EstimatedRun: 60 * sec, AllowsSpot: shape == model.Array}
-		if shape == model.Gang {
-			j.Priority, j.AllowsSpot, j.CheckpointInterval, j.SaveTime = model.HighPriority, false, 15*sec, 5*sec
+	jobCount := 0
+	add := func(tasks int, kind model.JobKind, need model.Resources, class, team string) {
+		jobCount++
+		job := &model.Job{ID: fmt.Sprintf("j-%06d", jobCount), Class: class, Team: team, Kind: kind, Priority: model.LowPriority, Tasks: tasks,
+			Request: need, Image: fmt.Sprintf("img-%d", jobCount%6), ImageGB: 4, EstimatedRun: 60 * sec, AllowsSpot: kind == model.Array}
+		if kind == model.Gang {
+			job.Priority, job.AllowsSpot, job.CheckpointInterval, job.SaveTime = model.HighPriority, false, 15*sec, 5*sec
 		}
-		h.AddJob(j, model.Set{}, "", 0, 0)
+		s.AddJob(job, model.Set{}, "", 0, 0)
 	}
 	for range 150 * machines / fleetSizes[0] {
 		add(6, model.Gang, model.Resources{Cores: 15_000, Mem: 51_000}, "gang", "blue")
@@ -52,29 +52,29 @@
 	}
 	for range 2 {
 		for _, w := range workers {
-			w.tally++
-			r := w.r
-			r.Sequence, r.Token = w.tally, 5
-			h.ApplyHeartbeat(&r, sec)
+			w.sequence++
+			heartbeat := w.heartbeat
+			heartbeat.Sequence, heartbeat.Token = w.sequence, 5
+			s.ApplyHeartbeat(&heartbeat, sec)
 		}
 	}
 	for range 3 {
-		h.Place(sec, true)
+		s.Place(sec, true)
 	}
-	write(h, sec)
+	commitAll(s, sec)
 	for _, w := range workers {
 		w.report(2 * sec)
 	}
-	return h, workers
+	return s, workers
 }
 
 // report has the worker say that all that is bound runs.
-func (w *worker) report(now model.Micros) *Report {
-	w.tally++
-	r := w.r
-	r.Sequence, r.Token, r.Tasks = w.tally, 5, running(w.h, w.r.Machine)
-	w.h.ApplyHeartbeat(&r, now)
-	return &r
+func (w *worker) report(now model.Micros) *Heartbeat {
+	w.sequence++
+	heartbeat := w.heartbeat
+	heartbeat.Sequence, heartbeat.Token, heartbeat.Tasks = w.sequence, 5, running(w.state, w.heartbeat.Machine)
+	w.state.ApplyHeartbeat(&heartbeat, now)
+	return &heartbeat
 }
 
 // forFleets runs a benchmark with fleets of several sizes.
@@ -87,11 +87,11 @@
 func BenchmarkPlace(b *testing.B) { forFleets(b, benchPlace) }
 
 func benchPlace(b *testing.B, machines int) {
-	h, ws := bigFleet(machines)
+	s, workers := newLargeFleet(machines)
 	b.ResetTimer()
 	waiting := 0
-	for _, j := range h.Jobs {
-		waiting += len(j.Waiting)
+	for _, job := range s.Jobs {
+		waiting += len(job.Waiting)
 	}
 	b.ReportMetric(float64(waiting), "waiting")
 	runtime.GC()
@@ -100,44 +100,44 @@
 	b.ReportMetric(float64(memory.HeapAlloc)/1e6, "heap-MB")
 	for i := range b.N {
 		now := 3*sec + model.Micros(i)*100*model.Millisecond
-		for _, w := range ws {
-			h.Machines[w.r.Machine].LastHeartbeat = now
+		for _, w := range workers {
+			s.Machines[w.heartbeat.Machine].LastHeartbeat = now
 		}
 		// A few tasks end between two rounds.
 		for k := range 4 {
-			m := h.Machines[ws[(i*7+k*151)%len(ws)].r.Machine]
+			m := s.Machines[workers[(i*7+k*151)%len(workers)].heartbeat.Machine]
 			for _, x := range m.Bindings {
 				if x.Job.Kind == model.Array {
-					h.unbind(x, "ended", now)
+					s.unbind(x, "ended", now)
 					break
 				}
 			}
 		}
-		h.Place(now, i%6 == 0)
+		s.Place(now, i%6 == 0)
 	}
 }
 
 func BenchmarkReport(b *testing.B) { forFleets(b, benchReport) }
 
 func benchReport(b *testing.B, machines int) {
-	_, ws := bigFleet(machines)
+	_, workers := newLargeFleet(machines)
 	b.ResetTimer()
 	for i := range b.N {
-		w := ws[i%len(ws)]
+		w := workers[i%len(workers)]
 		now := 3*sec + model.Micros(i)*4*model.Millisecond
-		w.h.Commands(w.report(now), now)
+		w.state.Commands(w.report(now), now)
 	}
 }
 
 func BenchmarkWrites(b *testing.B) { forFleets(b, benchWrites) }
 
 func benchWrites(b *testing.B, machines int) {
-	h, ws := bigFleet(machines)
+	s, workers := newLargeFleet(machines)
 	b.ResetTimer()
 	for i := range b.N {
 		for k := range 8 {
-			h.markChanged(h.Machines[ws[(i*31+k*71)%len(ws)].r.Machine])
+			s.markChanged(s.Machines[workers[(i*31+k*71)%len(workers)].heartbeat.Machine])
 		}
-		h.Committed(h.Writes(16, 48<<10), sec)
+		s.Committed(s.Writes(16, 48<<10), sec)
 	}
 }
--- a/internal/core/shard/bindings.go
+++ b/internal/core/shard/bindings.go
@@ -6,212 +6,221 @@
 	"woadweir/internal/core/model"
 )
 
-// Restore books a binding that an earlier holder made durable.
-func (h *State) Restore(js *model.JobState, n int, attempt uint64, m *model.Machine) {
-	b := h.addBinding(js, n, m, attempt, m.LastAnswer)
+// Restore adds a binding that an earlier shard owner made durable.
+func (s *State) Restore(job *model.JobState, index int, attempt uint64, m *model.Machine) {
+	b := s.addBinding(job, index, m, attempt, m.LastAnswer)
 	b.Version = m.DurableVersion
 	m.Stored = true
-	if js.Kind == model.Gang && attempt > js.Attempt {
-		js.Attempt = attempt
+	if job.Kind == model.Gang && attempt > job.Attempt {
+		job.Attempt = attempt
 	}
 }
 
-func (h *State) addBinding(js *model.JobState, n int, m *model.Machine, attempt uint64, now model.Micros) *model.Binding {
-	id := model.TaskID{Job: js.ID, Index: n}
-	b := &model.Binding{ID: id, Attempt: attempt, Job: js.Job, Machine: m, BoundAt: now}
-	m.Bindings[id] = b
-	addRecordBytes(b, 1)
-	js.Bindings[n] = append(js.Bindings[n], b)
-	if i, ok := slices.BinarySearch(js.Waiting, n); ok {
-		js.Waiting = slices.Delete(js.Waiting, i, i+1)
-	}
-	m.Used = m.Used.Plus(js.Request)
-	h.Used[js.Team] = h.Used[js.Team].Plus(js.Request)
-	if f := h.MachineTypes[m.MachineType]; f != nil {
-		if !m.HasImage(js.Image) && f.FetchGBps > 0 {
-			if m.ReadyAt == nil {
-				m.ReadyAt = map[string]model.Micros{}
+// addBinding adds a binding to its job and its machine, and counts its resources as
+// used.
+func (s *State) addBinding(job *model.JobState, index int, machine *model.Machine, attempt uint64, now model.Micros) *model.Binding {
+	id := model.TaskID{Job: job.ID, Index: index}
+	binding := &model.Binding{ID: id, Attempt: attempt, Job: job.Job, Machine: machine, BoundAt: now}
+	machine.Bindings[id] = binding
+	addRecordBytes(binding, 1)
+	job.Bindings[index] = append(job.Bindings[index], binding)
+	if i, ok := slices.BinarySearch(job.Waiting, index); ok {
+		job.Waiting = slices.Delete(job.Waiting, i, i+1)
+	}
+	machine.Used = machine.Used.Plus(job.Request)
+	s.Used[job.Team] = s.Used[job.Team].Plus(job.Request)
+	if machineType := s.MachineTypes[machine.MachineType]; machineType != nil {
+		if !machine.HasImage(job.Image) && machineType.FetchGBps > 0 {
+			if machine.ReadyAt == nil {
+				machine.ReadyAt = map[string]model.Micros{}
 			}
-			m.ReadyAt[js.Image] = now + max(h.Params.Report/2, m.FetchTimeLeft(now)) + model.Seconds(js.ImageGB/f.FetchGBps)
+			machine.ReadyAt[job.Image] = now + max(s.Params.Report/2, machine.FetchTimeLeft(now)) + model.Seconds(job.ImageGB/machineType.FetchGBps)
 		}
-		b.ExpectedFetch = max(0, m.ReadyAt[js.Image]-now)
-		m.TouchImage(js.Image, js.ImageGB, f.CacheGB)
+		binding.ExpectedFetch = max(0, machine.ReadyAt[job.Image]-now)
+		machine.TouchImage(job.Image, job.ImageGB, machineType.CacheGB)
 	}
-	return b
+	return binding
 }
 
 // bind decides that a task goes to a machine. The start may be sent only once the
 // record is durable.
-func (h *State) bind(js *model.JobState, n int, m *model.Machine, attempt uint64, now model.Micros) {
-	b := h.addBinding(js, n, m, attempt, now)
-	h.markChanged(m)
+func (s *State) bind(job *model.JobState, index int, m *model.Machine, attempt uint64, now model.Micros) {
+	b := s.addBinding(job, index, m, attempt, now)
+	s.markChanged(m)
 	b.Version = m.Version
-	if js.Kind == model.Gang {
-		js.Attempt, js.AttemptFailed = attempt, false
+	if job.Kind == model.Gang {
+		job.Attempt, job.AttemptFailed = attempt, false
 	}
-	h.Log(Event{What: "bind", Machine: m.ID, Task: b.ID.String(), Attempt: attempt})
+	s.Log(Event{Kind: "bind", Machine: m.ID, Task: b.ID.String(), Attempt: attempt})
 }
 
-// unbind ends a binding. The caller has proof that the attempt is not on the
-// machine and can never start there.
-func (h *State) unbind(b *model.Binding, proof string, now model.Micros) {
-	m := b.Machine
-	if m.Bindings[b.ID] != b {
+// unbind removes a binding. The caller has proof that the attempt is not on the machine
+// and can never start there.
+func (s *State) unbind(binding *model.Binding, proof string, now model.Micros) {
+	machine := binding.Machine
+	if machine.Bindings[binding.ID] != binding {
 		return
 	}
-	delete(m.Bindings, b.ID)
-	addRecordBytes(b, -1)
-	m.Used = m.Used.Minus(b.Job.Request)
-	m.HasNews = true
-	if len(m.Bindings) == 0 {
-		m.EmptySince = now
-	}
-	h.Used[b.Job.Team] = h.Used[b.Job.Team].Minus(b.Job.Request)
-	js := h.Jobs[b.ID.Job]
-	js.Bindings[b.ID.Index] = slices.DeleteFunc(js.Bindings[b.ID.Index], func(x *model.Binding) bool { return x == b })
-	if len(js.Bindings[b.ID.Index]) == 0 {
-		delete(js.Bindings, b.ID.Index)
-		js.IdleSince = now
-		if js.Ended == "" && !js.Done.Has(b.ID.Index) {
-			if i, ok := slices.BinarySearch(js.Waiting, b.ID.Index); !ok {
-				js.Waiting = slices.Insert(js.Waiting, i, b.ID.Index)
+	delete(machine.Bindings, binding.ID)
+	addRecordBytes(binding, -1)
+	machine.Used = machine.Used.Minus(binding.Job.Request)
+	machine.HasNews = true
+	if len(machine.Bindings) == 0 {
+		machine.EmptySince = now
+	}
+	s.Used[binding.Job.Team] = s.Used[binding.Job.Team].Minus(binding.Job.Request)
+	job := s.Jobs[binding.ID.Job]
+	job.Bindings[binding.ID.Index] = slices.DeleteFunc(job.Bindings[binding.ID.Index], func(x *model.Binding) bool { return x == binding })
+	if len(job.Bindings[binding.ID.Index]) == 0 {
+		delete(job.Bindings, binding.ID.Index)
+		job.IdleSince = now
+		if job.Ended == "" && !job.Done.Has(binding.ID.Index) {
+			if i, ok := slices.BinarySearch(job.Waiting, binding.ID.Index); !ok {
+				job.Waiting = slices.Insert(job.Waiting, i, binding.ID.Index)
 			}
 		}
 	}
-	if !js.Done.Has(b.ID.Index) || js.Ended != "" {
-		// It may be bound elsewhere next, so the record of its leaving has to be
-		// durable first: the queue is first in, first out. A completed task is
-		// never bound again, and its leaving can wait for the next write.
-		h.markChanged(m)
+	if !job.Done.Has(binding.ID.Index) || job.Ended != "" {
+		// The task may be bound to another machine next. The removal has to be durable
+		// before that binding, and the queue keeps this order. A completed task is never
+		// bound again, so its removal can wait for the next write of the record.
+		s.markChanged(machine)
 	}
-	h.Log(Event{What: "unbind", Machine: m.ID, Task: b.ID.String(), Attempt: b.Attempt, Why: proof})
-	if js.Kind == model.Gang && js.Ended == "" && !js.EndPending && len(js.Bindings) > 0 && !js.AttemptFailed {
-		h.failGangAttempt(js, "mate "+b.ID.String()+" gone", now)
+	s.Log(Event{Kind: "unbind", Machine: machine.ID, Task: binding.ID.String(), Attempt: binding.Attempt, Why: proof})
+	if job.Kind == model.Gang && job.Ended == "" && !job.EndPending && len(job.Bindings) > 0 && !job.AttemptFailed {
+		s.failGangAttempt(job, "mate "+binding.ID.String()+" gone", now)
 	}
-	h.NeedsPlacement = true
-	h.forget(js)
+	s.NeedsPlacement = true
+	s.removeIfEnded(job)
 }
 
-func (h *State) stop(b *model.Binding, leeway model.Micros, why string, now model.Micros) {
+// stop decides that a bound task is to be stopped. A stop that was decided before is
+// only ever made shorter.
+func (s *State) stop(b *model.Binding, leeway model.Micros, why string, now model.Micros) {
 	if b.Stopping && leeway >= b.StopGrace {
 		return
 	}
 	if !b.Stopping {
 		b.StopDecidedAt = now
-		h.Log(Event{What: "stop", Machine: b.Machine.ID, Task: b.ID.String(), Attempt: b.Attempt, Why: why})
+		s.Log(Event{Kind: "stop", Machine: b.Machine.ID, Task: b.ID.String(), Attempt: b.Attempt, Why: why})
 	}
 	b.Stopping, b.StopGrace, b.StopReason = true, leeway, why
 }
 
-// drain moves work off a spot machine that is about to be taken: what can save
-// does so in time, and what cannot finish in time starts anew elsewhere.
-func (h *State) drain(m *model.Machine, now model.Micros) {
-	h.Log(Event{What: "recall", Machine: m.ID})
-	left := m.ReclaimedAt - now
-	for _, b := range m.Bindings {
-		js := h.Jobs[b.ID.Job]
-		if js.Kind == model.Gang {
-			for _, bs := range js.Bindings {
-				for _, g := range bs {
-					h.stop(g, h.stopGrace(js, left), "spot notice", now)
+// stopBeforeReclaim stops tasks on a spot machine that is about to be reclaimed, if
+// they would not finish in time. Tasks with checkpoints save their state, the others
+// start again on another machine.
+func (s *State) stopBeforeReclaim(machine *model.Machine, now model.Micros) {
+	s.Log(Event{Kind: "recall", Machine: machine.ID})
+	left := machine.ReclaimedAt - now
+	for _, binding := range machine.Bindings {
+		job := s.Jobs[binding.ID.Job]
+		if job.Kind == model.Gang {
+			for _, bindings := range job.Bindings {
+				for _, member := range bindings {
+					s.stop(member, s.stopGrace(job, left), "spot notice", now)
 				}
 			}
-			js.AttemptFailed = true
+			job.AttemptFailed = true
 			continue
 		}
-		rest := h.Remaining(b, now)
-		if b.Status == model.Running && (rest < left || js.CheckpointInterval == 0 && rest < left*3/2) {
+		rest := s.Remaining(binding, now)
+		if binding.Status == model.Running && (rest < left || job.CheckpointInterval == 0 && rest < left*3/2) {
 			continue
 		}
-		h.stop(b, h.stopGrace(js, left), "spot notice", now)
+		s.stop(binding, s.stopGrace(job, left), "spot notice", now)
 	}
 }
 
-func (h *State) stopGrace(js *model.JobState, left model.Micros) model.Micros {
-	if js.CheckpointInterval == 0 || left < js.SaveTime {
+// stopGrace is the time that a task gets to save its state when so much time is left.
+func (s *State) stopGrace(job *model.JobState, left model.Micros) model.Micros {
+	if job.CheckpointInterval == 0 || left < job.SaveTime {
 		return 0
 	}
-	return max(js.SaveTime, left-model.Second)
+	return max(job.SaveTime, left-model.Second)
 }
 
-// MachineDeleted unbinds everything on a machine whose deletion was answered.
-func (h *State) MachineDeleted(ref, proof string, now model.Micros) {
-	m := h.Machines[ref]
-	if m == nil {
+// MachineDeleted removes a machine whose deletion the cloud has confirmed, with all its
+// bindings.
+func (s *State) MachineDeleted(machineID, proof string, now model.Micros) {
+	machine := s.Machines[machineID]
+	if machine == nil {
 		return
 	}
-	for _, b := range m.Bindings {
-		h.unbind(b, proof, now)
+	for _, b := range machine.Bindings {
+		s.unbind(b, proof, now)
 	}
-	delete(h.Machines, ref)
-	if m.Stored || m.Version > 0 {
-		h.push(MachineEntry + ref)
+	delete(s.Machines, machineID)
+	if machine.Stored || machine.Version > 0 {
+		s.enqueue(MachineEntry + machineID)
 	}
 }
 
-// LeaseExpiry is how long after the last possible answer a worker surely has
-// killed everything.
-func (h *State) LeaseExpiry() model.Micros {
-	return h.Params.Lease + h.Params.Lease/500 + h.Params.Margin
+// LeaseExpiry is the time after the last possible response at which a worker has
+// certainly killed all its tasks.
+func (s *State) LeaseExpiry() model.Micros {
+	return s.Params.Lease + s.Params.Lease/500 + s.Params.Margin
 }
 
-// Tick unbinds what was on machines whose lease has surely run out.
-func (h *State) Tick(now model.Micros) {
-	for _, m := range h.Machines {
-		if now-m.LastAnswer <= h.LeaseExpiry() {
+// Tick removes the bindings of machines whose lease has certainly expired, and fails
+// gang attempts that do not start.
+func (s *State) Tick(now model.Micros) {
+	for _, machine := range s.Machines {
+		if now-machine.LastAnswer <= s.LeaseExpiry() {
 			continue
 		}
-		for _, b := range m.Bindings {
-			h.unbind(b, "worker's lease is over", now)
+		for _, b := range machine.Bindings {
+			s.unbind(b, "worker's lease is over", now)
 		}
-		if m.Up && !m.Lost {
-			m.Lost = true
-			h.Log(Event{What: "lost", Machine: m.ID})
+		if machine.Up && !machine.Lost {
+			machine.Lost = true
+			s.Log(Event{Kind: "lost", Machine: machine.ID})
 		}
 	}
-	for _, js := range h.Jobs {
-		h.checkGang(js, now)
+	for _, job := range s.Jobs {
+		s.checkGang(job, now)
 	}
-	// Time alone makes jobs late.
-	h.NeedsPlacement = true
+	// Jobs become late without any other event.
+	s.NeedsPlacement = true
 }
 
-// StopSuperseded drops what a takeover found ended already, once everything has been
-// restored. Where a task is bound more than once, the earlier holder had proof
-// that the older attempts were gone, and only their leaving was not written any
-// more: they must never be started again beside the newest.
-func (h *State) StopSuperseded() {
-	for _, js := range h.Jobs {
-		for _, bs := range js.Bindings {
+// StopSuperseded runs once all bindings are restored after a takeover. It stops the
+// bindings of ended jobs and older attempts of tasks that are bound more than once: the
+// earlier owner had proof that those were gone, but its removal of them was not
+// written. They must never be started again beside the newest attempt.
+func (s *State) StopSuperseded() {
+	for _, job := range s.Jobs {
+		for _, bindings := range job.Bindings {
 			newest := uint64(0)
-			for _, b := range bs {
+			for _, b := range bindings {
 				newest = max(newest, b.Attempt)
 			}
-			for _, b := range bs {
+			for _, b := range bindings {
 				switch {
-				case js.Ended != "":
-					h.stop(b, 0, "job "+js.Ended, b.Machine.LastAnswer)
+				case job.Ended != "":
+					s.stop(b, 0, "job "+job.Ended, b.Machine.LastAnswer)
 				case b.Attempt < newest:
-					h.stop(b, 0, "a newer attempt is bound", b.Machine.LastAnswer)
+					s.stop(b, 0, "a newer attempt is bound", b.Machine.LastAnswer)
 				}
 			}
 		}
-		if js.Kind == model.Gang && len(js.Bindings) > 0 && len(js.Bindings) < js.Tasks && js.Ended == "" {
-			h.failGangAttempt(js, "attempt is not whole", 0)
+		if job.Kind == model.Gang && len(job.Bindings) > 0 && len(job.Bindings) < job.Tasks && job.Ended == "" {
+			s.failGangAttempt(job, "attempt is not whole", 0)
 		}
-		h.forget(js)
+		s.removeIfEnded(job)
 	}
-	h.oldest()
+	s.refreshOldestAttempt()
 }
 
-// ReportOverdue is how long after a worker's last report the next one should have come:
-// they go out every period, give or take a quarter.
-func (h *State) ReportOverdue() model.Micros { return h.Params.Report*5/4 + model.Second }
+// ReportOverdue is the time after a heartbeat by which the next one should have
+// arrived: workers send them at every interval, with a jitter of a quarter of it.
+func (s *State) ReportOverdue() model.Micros { return s.Params.Report*5/4 + model.Second }
 
-// Vacate has the tasks on a machine begin anew elsewhere, so that it can be returned.
-func (h *State) Vacate(m *model.Machine, now model.Micros) {
+// Vacate stops the tasks on a machine so that they start again on others, and the
+// machine can be returned to the cloud.
+func (s *State) Vacate(m *model.Machine, now model.Micros) {
 	m.Draining = true
 	for _, b := range m.Bindings {
-		h.stop(b, h.stopGrace(h.Jobs[b.ID.Job], b.Job.SaveTime+model.Second), "moved to other machines", now)
+		s.stop(b, s.stopGrace(s.Jobs[b.ID.Job], b.Job.SaveTime+model.Second), "moved to other machines", now)
 	}
 }
--- a/internal/core/shard/commands.go
+++ b/internal/core/shard/commands.go
@@ -6,7 +6,7 @@
 	"woadweir/internal/core/model"
 )
 
-// Command is a command to a worker.
+// Command tells a worker what to do with a task.
 type Command struct {
 	Op      string
 	Task    model.TaskID
@@ -14,73 +14,73 @@
 	Grace   model.Micros
 }
 
-// Commands makes the commands of the response to the report that was taken last
+// Commands returns the commands in the response to the last heartbeat that was accepted
 // from this machine. The caller sends them at once or not at all.
-func (h *State) Commands(r *Report, now model.Micros) []Command {
-	m := h.Machines[r.Machine]
-	if m == nil {
+func (s *State) Commands(heartbeat *Heartbeat, now model.Micros) []Command {
+	machine := s.Machines[heartbeat.Machine]
+	if machine == nil {
 		return nil
 	}
 	var commands []Command
-	for i := range r.Tasks {
-		if command, ok := h.commandFor(m, &r.Tasks[i], now); ok {
+	for i := range heartbeat.Tasks {
+		if command, ok := s.commandFor(machine, &heartbeat.Tasks[i], now); ok {
 			commands = append(commands, command)
 		}
 	}
-	for _, b := range h.bindingsToStart(m, r.Tasks) {
-		b.SentIncarnation, b.SentSequence = r.Session, r.Sequence
+	for _, b := range s.bindingsToStart(machine, heartbeat.Tasks) {
+		b.SentIncarnation, b.SentSequence = heartbeat.Incarnation, heartbeat.Sequence
 		commands = append(commands, Command{Op: "start", Task: b.ID, Attempt: b.Attempt})
 	}
 	return commands
 }
 
-// commandFor is the command for a reported task, if it needs one.
-func (h *State) commandFor(m *model.Machine, task *TaskStatus, now model.Micros) (Command, bool) {
-	if b := m.Bindings[task.ID]; b != nil && b.Attempt == task.Attempt {
+// commandFor returns the command for a task in a heartbeat, if it needs one.
+func (s *State) commandFor(machine *model.Machine, task *TaskStatus, now model.Micros) (Command, bool) {
+	if b := machine.Bindings[task.ID]; b != nil && b.Attempt == task.Attempt {
 		return stopCommand(b, task, now)
 	}
 	if task.Status != model.Exited {
-		// Nothing durable says that it may be here.
+		// No durable record says that the task may be on this machine.
 		return Command{Op: "stop", Task: task.ID, Attempt: task.Attempt}, true
 	}
-	if task.Cause == "done" && h.awaitsDurableCompletion(task.ID) {
-		return Command{}, false // the worker must not forget it yet
+	if task.Cause == "done" && s.awaitsDurableCompletion(task.ID) {
+		return Command{}, false // the worker must not clear it yet
 	}
 	return Command{Op: "clear", Task: task.ID, Attempt: task.Attempt}, true
 }
 
-// stopCommand is the command to stop a bound task, if that was decided and the task
-// neither has exited nor saves its state for it.
-func stopCommand(b *model.Binding, task *TaskStatus, now model.Micros) (Command, bool) {
-	if !b.Stopping || task.Status == model.Exited {
+// stopCommand returns the command to stop a bound task if that was decided, and the
+// task neither has exited nor saves its state already.
+func stopCommand(binding *model.Binding, task *TaskStatus, now model.Micros) (Command, bool) {
+	if !binding.Stopping || task.Status == model.Exited {
 		return Command{}, false
 	}
-	if b.StopSentAt == 0 {
-		b.StopSentAt = now
+	if binding.StopSentAt == 0 {
+		binding.StopSentAt = now
 	}
-	if task.Status == model.Saving && b.StopGrace > 0 {
+	if task.Status == model.Saving && binding.StopGrace > 0 {
 		return Command{}, false
 	}
-	return Command{Op: "stop", Task: task.ID, Attempt: task.Attempt, Grace: b.StopGrace}, true
+	return Command{Op: "stop", Task: task.ID, Attempt: task.Attempt, Grace: binding.StopGrace}, true
 }
 
-// awaitsDurableCompletion tells whether the completion of a task is known but not
-// durable yet.
-func (h *State) awaitsDurableCompletion(id model.TaskID) bool {
-	js := h.Jobs[id.Job]
-	return js != nil && js.Ended == "" && (js.EndPending || !isDurable(js, id.Index))
+// awaitsDurableCompletion tells whether a task is known to be done, but the record of
+// it is not durable yet.
+func (s *State) awaitsDurableCompletion(id model.TaskID) bool {
+	job := s.Jobs[id.Job]
+	return job != nil && job.Ended == "" && (job.EndPending || !isCompletionDurable(job, id.Index))
 }
 
-// bindingsToStart are the bindings of a machine that are to be started and that its
-// report does not show, in the order in which to start them.
-func (h *State) bindingsToStart(m *model.Machine, tasks []TaskStatus) []*model.Binding {
+// bindingsToStart returns the bindings of a machine whose tasks are to be started and
+// are not in its heartbeat, in the order of the starts.
+func (s *State) bindingsToStart(machine *model.Machine, tasks []TaskStatus) []*model.Binding {
 	reported := make(map[model.TaskID]uint64, len(tasks))
 	for i := range tasks {
 		reported[tasks[i].ID] = tasks[i].Attempt
 	}
 	var starts []*model.Binding
-	for id, b := range m.Bindings {
-		if reported[id] != b.Attempt && h.mayStart(b) {
+	for id, b := range machine.Bindings {
+		if reported[id] != b.Attempt && s.mayStart(b) {
 			starts = append(starts, b)
 		}
 	}
@@ -92,28 +92,28 @@
 }
 
 // mayStart tells whether a binding is durable and its task may be started now.
-func (h *State) mayStart(b *model.Binding) bool {
-	if b.Version > b.Machine.DurableVersion || b.Stopping || b.Seen {
+func (s *State) mayStart(binding *model.Binding) bool {
+	if binding.Version > binding.Machine.DurableVersion || binding.Stopping || binding.Seen {
 		return false
 	}
-	js := h.Jobs[b.ID.Job]
-	if js.Ended != "" || js.EndPending || js.Suspended || js.Done.Has(b.ID.Index) {
+	job := s.Jobs[binding.ID.Job]
+	if job.Ended != "" || job.EndPending || job.Suspended || job.Done.Has(binding.ID.Index) {
 		return false
 	}
-	if js.Kind != model.Gang {
+	if job.Kind != model.Gang {
 		return true
 	}
-	return !js.AttemptFailed && h.gangDurable(js) && !h.startsLater(js, b)
+	return !job.AttemptFailed && s.gangDurable(job) && !s.shouldStartLater(job, binding)
 }
 
-// gangDurable tells whether every binding of the attempt is durable: none
-// starts before all may.
-func (h *State) gangDurable(js *model.JobState) bool {
-	if len(js.Bindings) != js.Tasks {
+// gangDurable tells whether all bindings of a gang's attempt are durable. None of them
+// starts before.
+func (s *State) gangDurable(job *model.JobState) bool {
+	if len(job.Bindings) != job.Tasks {
 		return false
 	}
-	for _, bs := range js.Bindings {
-		for _, b := range bs {
+	for _, bindings := range job.Bindings {
+		for _, b := range bindings {
 			if b.Version > b.Machine.DurableVersion {
 				return false
 			}
@@ -122,14 +122,14 @@
 	return true
 }
 
-// startsLater tells that a gang's task had better start later: others of the gang have
-// an image to fetch that may take longer than a task waits for its gang. It
-// starts when theirs is there. The order among them is by the length of the
-// fetch, so that no two wait for each other.
-func (h *State) startsLater(js *model.JobState, b *model.Binding) bool {
-	for _, bs := range js.Bindings {
-		for _, o := range bs {
-			if o.ExpectedFetch-b.ExpectedFetch > h.Params.GangWait*2/3 && o.Status < model.WaitingForGang {
+// shouldStartLater tells whether a gang's task should start later because other members
+// of the gang may fetch their image for longer than a task waits for its gang. It
+// starts once their images are there. Members are ordered by the length of the fetch,
+// so no two wait for each other.
+func (s *State) shouldStartLater(job *model.JobState, b *model.Binding) bool {
+	for _, bindings := range job.Bindings {
+		for _, other := range bindings {
+			if other.ExpectedFetch-b.ExpectedFetch > s.Params.GangWait*2/3 && other.Status < model.WaitingForGang {
 				return true
 			}
 		}
@@ -138,7 +138,7 @@
 }
 
 // Pending tells whether the machine has a binding that is not durable yet.
-func (h *State) Pending(ref string) bool {
-	m := h.Machines[ref]
+func (s *State) Pending(machineID string) bool {
+	m := s.Machines[machineID]
 	return m != nil && m.Version > m.DurableVersion
 }
--- a/internal/core/shard/dense.go
+++ b/internal/core/shard/dense.go
@@ -9,18 +9,20 @@
 	"strings"
 )
 
-// The dense form of a bundle is for small values: a third of the plain one, so that
-// a change makes three times as many bindings durable. A version that doesn't know it
-// can't read it, and stops, as "hosts" is a string there.
+// The dense encoding of a bundle is for deployments whose values have to be small: it
+// takes a third of the plain JSON. Controllers that do not know it fail to read it and
+// stop, as "hosts" is a string in it.
 //
-// All numbers are unsigned varints; strings have their length before them. Attempts
-// are counted from the smallest one in the bundle, jobs, machine types and zones are
-// numbered, and machines share the beginning of their names with the one before.
+// All numbers are unsigned varints, and strings are preceded by their length. Attempts
+// are relative to the smallest one in the bundle. Jobs, machine types and zones are
+// numbers in tables. Of a machine's name, the prefix that it shares with the machine
+// before it is left out.
 const denseVersion = 1
 
+// plainBundle is a bundle without the methods, for plain JSON.
 type plainBundle BundleRecord
 
-// MarshalJSON writes the bundle in its form.
+// MarshalJSON writes the dense or the plain encoding, as Dense says.
 func (b BundleRecord) MarshalJSON() ([]byte, error) {
 	if !b.Dense {
 		return json.Marshal(plainBundle(b))
@@ -30,7 +32,7 @@
 	}{b.pack()})
 }
 
-// UnmarshalJSON reads either form.
+// UnmarshalJSON reads either encoding.
 func (b *BundleRecord) UnmarshalJSON(raw []byte) error {
 	var form struct {
 		Hosts json.RawMessage `json:"hosts"`
@@ -48,43 +50,44 @@
 	return b.unpack(packed)
 }
 
-// table numbers strings in the order in which they are first used.
+// table numbers strings in the order of their first use.
 type table struct {
-	at    map[string]uint64
-	names []string
+	numbers map[string]uint64
+	names   []string
 }
 
 func (t *table) number(s string) uint64 {
-	n, ok := t.at[s]
+	n, ok := t.numbers[s]
 	if !ok {
-		if t.at == nil {
-			t.at = map[string]uint64{}
+		if t.numbers == nil {
+			t.numbers = map[string]uint64{}
 		}
 		n = uint64(len(t.names))
-		t.at[s] = n
+		t.numbers[s] = n
 		t.names = append(t.names, s)
 	}
 	return n
 }
 
+// packer appends the basic values of the dense encoding.
 type packer struct{ out []byte }
 
-func (p *packer) num(v uint64) { p.out = binary.AppendUvarint(p.out, v) }
+func (p *packer) number(v uint64) { p.out = binary.AppendUvarint(p.out, v) }
 func (p *packer) text(s string) {
-	p.num(uint64(len(s)))
+	p.number(uint64(len(s)))
 	p.out = append(p.out, s...)
 }
 func (p *packer) table(t *table) {
-	p.num(uint64(len(t.names)))
+	p.number(uint64(len(t.names)))
 	for _, s := range t.names {
 		p.text(s)
 	}
 }
 
-// bundlePacker packs the body of a bundle, and collects the tables of its header.
+// bundlePacker encodes the body of a bundle and collects the tables of its header.
 type bundlePacker struct {
 	packer
-	baseAttempt uint64 // attempts are counted from it
+	baseAttempt uint64 // attempts are relative to it
 	labels      table  // machine types and zones
 	jobs        table
 }
@@ -94,13 +97,14 @@
 	body.machines(b.Machines)
 	body.finished(b.Done)
 	header := packer{out: []byte{denseVersion}}
-	header.num(body.baseAttempt)
+	header.number(body.baseAttempt)
 	header.table(&body.labels)
 	header.table(&body.jobs)
 	return append(header.out, body.out...)
 }
 
-// smallestAttempt is the smallest attempt in the bundle, the largest number if it has none.
+// smallestAttempt returns the smallest attempt in the bundle, or the largest number if
+// the bundle has no attempts.
 func (b *BundleRecord) smallestAttempt() uint64 {
 	smallest := ^uint64(0)
 	for _, machine := range b.Machines {
@@ -118,18 +122,18 @@
 
 func (p *bundlePacker) machines(machines map[string]*MachineRecord) {
 	ids := slices.Sorted(maps.Keys(machines))
-	p.num(uint64(len(ids)))
+	p.number(uint64(len(ids)))
 	previous := ""
 	for _, id := range ids {
 		shared := sharedPrefix(previous, id)
-		p.num(uint64(shared))
+		p.number(uint64(shared))
 		p.text(id[shared:])
 		p.machine(machines[id])
 		previous = id
 	}
 }
 
-// sharedPrefix is the number of bytes with which both strings begin.
+// sharedPrefix returns the length of the common prefix of two strings.
 func sharedPrefix(a, b string) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
@@ -138,7 +142,7 @@
 	return n
 }
 
-// Kinds of machines in the dense form.
+// Kinds of machines in the dense encoding.
 const (
 	denseGone     = 0
 	denseOnDemand = 1
@@ -147,35 +151,35 @@
 
 func (p *bundlePacker) machine(machine *MachineRecord) {
 	if machine == nil {
-		p.num(denseGone)
+		p.number(denseGone)
 		return
 	}
 	if machine.Spot {
-		p.num(denseSpot)
+		p.number(denseSpot)
 	} else {
-		p.num(denseOnDemand)
+		p.number(denseOnDemand)
 	}
-	p.num(p.labels.number(machine.MachineType))
-	p.num(p.labels.number(machine.Zone))
-	p.num(uint64(len(machine.Tasks)))
+	p.number(p.labels.number(machine.MachineType))
+	p.number(p.labels.number(machine.Zone))
+	p.number(uint64(len(machine.Tasks)))
 	for _, job := range slices.Sorted(maps.Keys(machine.Tasks)) {
-		p.num(p.jobs.number(job))
+		p.number(p.jobs.number(job))
 		p.tasks(machine.Tasks[job])
 	}
 }
 
-// tasks packs pairs of a task's number and its attempt.
+// tasks encodes pairs of a task's index and its attempt.
 func (p *bundlePacker) tasks(tasks [][2]uint64) {
-	p.num(uint64(len(tasks)))
+	p.number(uint64(len(tasks)))
 	for _, task := range tasks {
-		p.num(task[0])
-		p.num(task[1] - p.baseAttempt)
+		p.number(task[0])
+		p.number(task[1] - p.baseAttempt)
 	}
 }
 
 func (p *bundlePacker) finished(done map[string][]byte) {
 	names := slices.Sorted(maps.Keys(done))
-	p.num(uint64(len(names)))
+	p.number(uint64(len(names)))
 	for _, name := range names {
 		p.text(name)
 		p.text(string(done[name]))
@@ -184,15 +188,16 @@
 
 var errDense = errors.New("not a dense bundle of this version")
 
+// unpacker reads the basic values of the dense encoding.
 type unpacker struct {
-	in  []byte
-	bad bool
+	in        []byte
+	malformed bool
 }
 
-// fail notes that the input is malformed: whatever is read from now on is empty.
-func (u *unpacker) fail() { u.bad, u.in = true, nil }
+// fail marks the input as malformed. All values read after that are empty.
+func (u *unpacker) fail() { u.malformed, u.in = true, nil }
 
-func (u *unpacker) num() uint64 {
+func (u *unpacker) number() uint64 {
 	v, n := binary.Uvarint(u.in)
 	if n <= 0 {
 		u.fail()
@@ -202,9 +207,10 @@
 	return v
 }
 
-// count is a number of things that take a byte each at least.
+// count reads the number of items that follow. Each takes a byte at least, so a number
+// beyond the input is malformed.
 func (u *unpacker) count() int {
-	v := u.num()
+	v := u.number()
 	if v > uint64(len(u.in)) {
 		u.fail()
 		return 0
@@ -229,7 +235,7 @@
 
 // nameIn reads the number of a name in a table.
 func (u *unpacker) nameIn(table []string) string {
-	n := u.num()
+	n := u.number()
 	if n >= uint64(len(table)) {
 		u.fail()
 		return ""
@@ -237,7 +243,7 @@
 	return table[n]
 }
 
-// bundleUnpacker reads the body of a bundle with the tables of its header.
+// bundleUnpacker decodes the body of a bundle with the tables of its header.
 type bundleUnpacker struct {
 	unpacker
 	baseAttempt  uint64
@@ -249,13 +255,13 @@
 		return errDense
 	}
 	u := &bundleUnpacker{unpacker: unpacker{in: in[1:]}}
-	u.baseAttempt = u.num()
+	u.baseAttempt = u.number()
 	u.labels = u.table()
 	u.jobs = u.table()
 	machines := u.machines()
 	done := u.finished()
 	*b = BundleRecord{Dense: true, Machines: machines, Done: done}
-	if u.bad || len(u.in) > 0 {
+	if u.malformed || len(u.in) > 0 {
 		return errDense
 	}
 	return nil
@@ -265,7 +271,7 @@
 	machines := map[string]*MachineRecord{}
 	previous := ""
 	for range u.count() {
-		shared := u.num()
+		shared := u.number()
 		if shared > uint64(len(previous)) {
 			u.fail()
 			return machines
@@ -277,9 +283,9 @@
 	return machines
 }
 
-// machine reads a machine's record, nil if the machine is gone.
+// machine decodes a machine's record, nil if the machine is gone.
 func (u *bundleUnpacker) machine() *MachineRecord {
-	kind := u.num()
+	kind := u.number()
 	if kind == denseGone {
 		return nil
 	}
@@ -293,12 +299,12 @@
 	return machine
 }
 
-// tasks reads pairs of a task's number and its attempt.
+// tasks decodes pairs of a task's index and its attempt.
 func (u *bundleUnpacker) tasks() [][2]uint64 {
 	tasks := make([][2]uint64, 0, 4)
 	for range u.count() {
-		index := u.num()
-		tasks = append(tasks, [2]uint64{index, u.baseAttempt + u.num()})
+		index := u.number()
+		tasks = append(tasks, [2]uint64{index, u.baseAttempt + u.number()})
 	}
 	return tasks
 }
@@ -312,18 +318,19 @@
 	return done
 }
 
-// Bytes of the dense form, counted from above.
+// Upper bounds of the bytes that parts of the dense encoding take.
 const (
-	denseBundle = 64 // version, smallest attempt, counts, and the quotes round it all
-	denseHost   = 8  // lengths, kind, numbers of type and zone, number of jobs
-	denseJob    = 4  // number and count
-	denseDone   = 6
+	denseBytesBundle   = 64 // version, smallest attempt, counts, and the quotes
+	denseBytesMachine  = 8  // lengths, kind, numbers of type and zone, number of jobs
+	denseBytesJob      = 4  // number and count
+	denseBytesFinished = 6
 )
 
-// inBase64 is what so many bytes take in a value.
-func inBase64(n int) int { return (n*4 + 2) / 3 }
+// base64Bytes returns the length of n bytes in base64.
+func base64Bytes(n int) int { return (n*4 + 2) / 3 }
 
-func uvarint(v uint64) int {
+// uvarintBytes returns the length of a number as an unsigned varint.
+func uvarintBytes(v uint64) int {
 	n := 1
 	for ; v >= 0x80; v >>= 7 {
 		n++
@@ -331,50 +338,51 @@
 	return n
 }
 
-// denseTask is what a bound task takes: attempts are counted from the smallest one
-// that is bound anywhere, or closer.
-func (h *State) denseTask(n int, attempt uint64) int {
-	return uvarint(uint64(n)) + uvarint(attempt-min(h.oldestAttempt, attempt))
+// denseTaskBytes returns the most that a bound task takes. Its attempt is relative to
+// the smallest one in the bundle, which is never below the smallest one that is bound.
+func (s *State) denseTaskBytes(index int, attempt uint64) int {
+	return uvarintBytes(uint64(index)) + uvarintBytes(attempt-min(s.oldestAttempt, attempt))
 }
 
-// denseName is what a name takes in a table, nothing if it is there.
-func denseName(name string, known map[string]bool) int {
+// denseNameBytes returns what a name takes in a table, 0 if it is there already.
+func denseNameBytes(name string, known map[string]bool) int {
 	if known[name] {
 		return 0
 	}
-	return uvarint(uint64(len(name))) + len(name)
+	return uvarintBytes(uint64(len(name))) + len(name)
 }
 
-// denseSize is what an entry takes in a bundle whose tables have the known names.
-func (h *State) denseSize(entry string, known map[string]bool) int {
-	if ref, ok := strings.CutPrefix(entry, MachineEntry); ok {
-		n := denseHost + len(ref)
-		m := h.Machines[ref]
-		if m == nil {
-			return inBase64(n)
+// denseEntryBytes returns the most that an entry takes in a bundle whose tables have
+// the known names.
+func (s *State) denseEntryBytes(entry string, known map[string]bool) int {
+	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
+		n := denseBytesMachine + len(machineID)
+		machine := s.Machines[machineID]
+		if machine == nil {
+			return base64Bytes(n)
 		}
-		n += denseName(m.MachineType, known) + denseName(m.Zone, known)
-		for job := range m.TaskCounts {
-			n += denseJob + denseName(job, known)
+		n += denseNameBytes(machine.MachineType, known) + denseNameBytes(machine.Zone, known)
+		for job := range machine.TaskCounts {
+			n += denseBytesJob + denseNameBytes(job, known)
 		}
-		for id, b := range m.Bindings {
-			n += h.denseTask(id.Index, b.Attempt)
+		for id, b := range machine.Bindings {
+			n += s.denseTaskBytes(id.Index, b.Attempt)
 		}
-		return inBase64(n)
+		return base64Bytes(n)
 	}
-	js, k := h.partOf(entry)
+	job, part := s.partOf(entry)
 	switch {
-	case js == nil:
-		return inBase64(denseDone)
-	case k >= 0:
-		return inBase64(denseDone + 4 + len(js.ID) + len(js.Done.Part(k)))
+	case job == nil:
+		return base64Bytes(denseBytesFinished)
+	case part >= 0:
+		return base64Bytes(denseBytesFinished + 4 + len(job.ID) + len(job.Done.Part(part)))
 	}
-	return inBase64(denseDone + len(js.ID) + len(js.Done.Bytes()))
+	return base64Bytes(denseBytesFinished + len(job.ID) + len(job.Done.Bytes()))
 }
 
-// learnNames notes the names that an entry brings into the tables.
-func (h *State) learnNames(entry string, known map[string]bool) {
-	if m := h.Machines[strings.TrimPrefix(entry, MachineEntry)]; m != nil {
+// addNames adds the names that an entry puts into the tables to the known ones.
+func (s *State) addNames(entry string, known map[string]bool) {
+	if m := s.Machines[strings.TrimPrefix(entry, MachineEntry)]; m != nil {
 		known[m.MachineType], known[m.Zone] = true, true
 		for job := range m.TaskCounts {
 			known[job] = true
@@ -382,12 +390,12 @@
 	}
 }
 
-// oldest finds the smallest attempt that is bound.
-func (h *State) oldest() {
-	h.oldestAttempt = h.Token << 20
-	for _, m := range h.Machines {
+// refreshOldestAttempt finds the smallest attempt that is bound.
+func (s *State) refreshOldestAttempt() {
+	s.oldestAttempt = s.Token << attemptBits
+	for _, m := range s.Machines {
 		for _, b := range m.Bindings {
-			h.oldestAttempt = min(h.oldestAttempt, b.Attempt)
+			s.oldestAttempt = min(s.oldestAttempt, b.Attempt)
 		}
 	}
 }
--- a/internal/core/shard/dense_test.go
+++ b/internal/core/shard/dense_test.go
@@ -16,37 +16,37 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	plainBytes, denseBytes := 0, 0
 	for round := range 200 {
-		h := newHolder(uint64(5 + rng.IntN(100_000)))
-		h.Params.MaxValue, h.Params.Dense = 1920, true
+		s := newTestState(uint64(5 + rng.IntN(100_000)))
+		s.Params.MaxValue, s.Params.Dense = 1920, true
 		for k := range 1 + rng.IntN(4) {
-			h.AddJob(job(fmt.Sprintf("j-%06d", rng.IntN(1_000_000)*10+k), 1+rng.IntN(200), model.Array), model.Set{}, "", 0, 0)
+			s.AddJob(newJob(fmt.Sprintf("j-%06d", rng.IntN(1_000_000)*10+k), 1+rng.IntN(200), model.Array), model.Set{}, "", 0, 0)
 		}
 		for i := range 1 + rng.IntN(12) {
-			ref := fmt.Sprintf("host-%06d", rng.IntN(3000))
-			m := h.AddMachine(ref, []string{"box", "big \"<type>"}[i%2], "a", i%3 == 0, 0)
-			for _, js := range h.Jobs {
+			machineID := fmt.Sprintf("host-%06d", rng.IntN(3000))
+			machine := s.AddMachine(machineID, []string{"box", "big \"<type>"}[i%2], "a", i%3 == 0, 0)
+			for _, job := range s.Jobs {
 				for range rng.IntN(4) {
-					if len(js.Waiting) > 0 {
-						h.bind(js, js.Waiting[0], m, h.NextAttempt()-uint64(rng.IntN(2))<<20, 0)
+					if len(job.Waiting) > 0 {
+						s.bind(job, job.Waiting[0], machine, s.NextAttempt()-uint64(rng.IntN(2))<<20, 0)
 					}
 				}
-				if js.Done.Add(rng.IntN(js.Tasks)) {
-					h.pushDone(js, 0)
+				if job.Done.Add(rng.IntN(job.Tasks)) {
+					s.enqueueFinished(job, 0)
 				}
 			}
-			h.markChanged(m)
+			s.markChanged(machine)
 		}
-		h.oldest()
-		for h.Queued() > 0 {
-			ws := h.Writes(5, 48<<10)
-			if len(ws) == 0 {
-				t.Fatalf("round %d: nothing is written of %d", round, h.Queued())
+		s.refreshOldestAttempt()
+		for s.Queued() > 0 {
+			writes := s.Writes(5, 48<<10)
+			if len(writes) == 0 {
+				t.Fatalf("round %d: nothing is written of %d", round, s.Queued())
 			}
-			for _, w := range ws {
-				rec := w.Value.(BundleRecord)
+			for _, write := range writes {
+				rec := write.Value.(BundleRecord)
 				raw, err := json.Marshal(rec)
-				if err != nil || len(raw) > w.size || len(raw) > h.Params.MaxValue {
-					t.Fatalf("%d bytes, thought to be %d: %v", len(raw), w.size, err)
+				if err != nil || len(raw) > write.size || len(raw) > s.Params.MaxValue {
+					t.Fatalf("%d bytes, thought to be %d: %v", len(raw), write.size, err)
 				}
 				denseBytes += len(raw)
 				var back BundleRecord
@@ -66,7 +66,7 @@
 					t.Fatalf("the plain form: %v", err)
 				}
 			}
-			h.Committed(ws, 0)
+			s.Committed(writes, 0)
 		}
 	}
 	if denseBytes*2 > plainBytes {
--- a/internal/core/shard/done.go
+++ b/internal/core/shard/done.go
@@ -6,51 +6,51 @@
 	"woadweir/internal/core/model"
 )
 
-// pushDone notes that finished tasks of a job are to be written: the part of them
-// that task n is in.
-func (h *State) pushDone(js *model.JobState, n int) {
-	if js.HomeCell != "" {
-		return // its home stores that
+// enqueueFinished queues the finished tasks of a job to be written, or the part of them
+// with the given index if they are stored in parts.
+func (s *State) enqueueFinished(job *model.JobState, index int) {
+	if job.HomeCell != "" {
+		return // its home cell stores them
 	}
-	if len(js.DoneVersions) == 1 {
-		js.DoneVersions[0].Now++
-		h.push(DoneEntry + js.ID)
+	if len(job.DoneVersions) == 1 {
+		job.DoneVersions[0].Now++
+		s.enqueue(DoneEntry + job.ID)
 		return
 	}
-	k := n / model.TasksPerPart
-	js.DoneVersions[k].Now++
-	h.push(PartEntry(js.ID, k))
+	part := index / model.TasksPerPart
+	job.DoneVersions[part].Now++
+	s.enqueue(PartEntry(job.ID, part))
 }
 
-// versions are those of a part of a job's finished tasks, or of the whole (-1). There
-// are none if the job is stored in the other form: such an entry is one of a holder
-// that had other limits, and is only carried along.
-func versions(js *model.JobState, part int) *model.Versions {
-	if (part < 0) != (len(js.DoneVersions) == 1) {
+// finishedVersions returns the versions of a part of a job's finished tasks, or of the
+// whole (-1). It is nil if the job is stored in the other form: such an entry was
+// written by an owner with other limits, and is only copied along.
+func finishedVersions(job *model.JobState, part int) *model.Versions {
+	if (part < 0) != (len(job.DoneVersions) == 1) {
 		return nil
 	}
-	return &js.DoneVersions[max(part, 0)]
+	return &job.DoneVersions[max(part, 0)]
 }
 
-// split has a job's finished tasks stored in parts from now on.
-func (h *State) split(js *model.JobState) {
-	js.DoneVersions = make([]model.Versions, model.Parts(js.Tasks))
-	for k := range js.DoneVersions {
-		if slices.ContainsFunc(js.Done.Part(k), func(b byte) bool { return b != 0 }) {
-			h.pushDone(js, k*model.TasksPerPart)
+// storeInParts stores a job's finished tasks in parts from now on.
+func (s *State) storeInParts(job *model.JobState) {
+	job.DoneVersions = make([]model.Versions, model.Parts(job.Tasks))
+	for part := range job.DoneVersions {
+		if slices.ContainsFunc(job.Done.Part(part), func(b byte) bool { return b != 0 }) {
+			s.enqueueFinished(job, part*model.TasksPerPart)
 		}
 	}
 }
 
-// isDurable tells that the completion of a task is durable, or will be with the
-// job's end.
-func isDurable(js *model.JobState, n int) bool {
-	if js.HomeCell != "" {
-		return js.Confirmed.Has(n)
+// isCompletionDurable tells whether the completion of a task is durable, or will be
+// with the end of the job.
+func isCompletionDurable(job *model.JobState, index int) bool {
+	if job.HomeCell != "" {
+		return job.Confirmed.Has(index)
 	}
-	v := js.DoneVersions[0]
-	if len(js.DoneVersions) > 1 {
-		v = js.DoneVersions[n/model.TasksPerPart]
+	v := job.DoneVersions[0]
+	if len(job.DoneVersions) > 1 {
+		v = job.DoneVersions[index/model.TasksPerPart]
 	}
 	return v.Stored >= v.Now
 }
--- a/internal/core/shard/heartbeats.go
+++ b/internal/core/shard/heartbeats.go
@@ -6,7 +6,7 @@
 	"woadweir/internal/core/model"
 )
 
-// TaskStatus is a task in a report.
+// TaskStatus is the state of one attempt of a task in a heartbeat.
 type TaskStatus struct {
 	ID      model.TaskID
 	Attempt uint64
@@ -15,283 +15,290 @@
 	Stored  bool
 }
 
-// Report is a worker's report.
-type Report struct {
+// Heartbeat is a worker's message about its machine and the tasks on it.
+type Heartbeat struct {
 	Machine, Addr, MachineType, Zone string
 	Spot                             bool
-	Session, Sequence, Token         uint64
+	Incarnation, Sequence, Token     uint64
 	SpotNotice                       bool
 	ReclaimedIn                      model.Micros
 	Tasks                            []TaskStatus
 }
 
-// Verdict is what to do with a report.
+// Verdict is the result of ApplyHeartbeat.
 type Verdict uint8
 
-// Verdicts: Taken reports get a 200, Stale ones are late copies, Deposed means
-// that the worker knows a higher token than ours, and Introduced ones, of machines
-// that nobody expected, are answered with our token alone: if it is no old copy,
-// the next report will show that token.
+// The results of ApplyHeartbeat.
 const (
-	Taken Verdict = iota
+	// Accepted heartbeats are answered with commands.
+	Accepted Verdict = iota
+	// Stale heartbeats are late copies, or of a machine that is being deleted.
 	Stale
-	Deposed
-	Introduced
+	// HigherToken means that the worker knows a higher fencing token than ours.
+	HigherToken
+	// TokenUnknown means that an unknown machine does not know our token yet. It is
+	// answered with the token alone: unless the heartbeat is an old copy, the machine's
+	// next heartbeat has that token.
+	TokenUnknown
 )
 
-// ApplyHeartbeat takes a report in. The answer is made by Commands, after what the report
-// made possible has been decided.
-func (h *State) ApplyHeartbeat(r *Report, now model.Micros) Verdict {
-	if r.Token > h.Token {
-		return Deposed
-	}
-	m := h.Machines[r.Machine]
-	if m == nil && r.Token != h.Token {
-		// Perhaps the copy of a report of a machine that is long gone.
-		return Introduced
-	}
-	if m == nil {
-		m = h.AddMachine(r.Machine, r.MachineType, r.Zone, r.Spot, now)
-		h.Log(Event{What: "appeared", Machine: r.Machine})
-	}
-	if m.Deleting || isLateCopy(m, r) {
+// ApplyHeartbeat updates the state with a heartbeat. The response is made by Commands,
+// after the placement round that the heartbeat may have caused.
+func (s *State) ApplyHeartbeat(heartbeat *Heartbeat, now model.Micros) Verdict {
+	if heartbeat.Token > s.Token {
+		return HigherToken
+	}
+	machine := s.Machines[heartbeat.Machine]
+	if machine == nil && heartbeat.Token != s.Token {
+		// It may be an old copy, of a machine that is gone.
+		return TokenUnknown
+	}
+	if machine == nil {
+		machine = s.AddMachine(heartbeat.Machine, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot, now)
+		s.Log(Event{Kind: "appeared", Machine: heartbeat.Machine})
+	}
+	if machine.Deleting || isLateCopy(machine, heartbeat) {
 		return Stale
 	}
-	h.updateMachine(m, r, now)
-	reported := h.applyTaskStatuses(m, r.Tasks, now)
-	h.detectSlowMachine(m, now)
-	h.blame(m, now)
-	if r.Token == h.Token {
-		// Under an older token an earlier holder's start may still be on its way.
-		h.unbindMissing(m, reported, now)
+	s.updateMachine(machine, heartbeat, now)
+	reported := s.applyTaskStatuses(machine, heartbeat.Tasks, now)
+	s.detectSlowMachine(machine, now)
+	s.quarantineIfFaulty(machine, now)
+	if heartbeat.Token == s.Token {
+		// Under an older token, a start of an earlier owner may still be on its way.
+		s.unbindMissing(machine, reported, now)
 	}
-	return Taken
+	return Accepted
 }
 
-// isLateCopy tells whether the machine has sent a newer report already: a late copy must
-// not move knowledge back.
-func isLateCopy(m *model.Machine, r *Report) bool {
-	return r.Session < m.Incarnation || r.Session == m.Incarnation && r.Sequence <= m.Sequence
+// isLateCopy tells whether a newer heartbeat of the machine has been applied already. A
+// late copy must not revert what that said.
+func isLateCopy(m *model.Machine, heartbeat *Heartbeat) bool {
+	return heartbeat.Incarnation < m.Incarnation || heartbeat.Incarnation == m.Incarnation && heartbeat.Sequence <= m.Sequence
 }
 
-// updateMachine takes what a report says of the machine itself.
-func (h *State) updateMachine(m *model.Machine, r *Report, now model.Micros) {
-	h.checkAnswersArrive(m, r, now)
-	m.HasNews = m.HasNews && m.ReceivesAnswers // what a report of a deaf machine made room for waits
-	if !m.Up && r.Token == h.Token {
-		m.Up, m.HasNews, h.NeedsPlacement = true, true, true
-		h.Log(Event{What: "up", Machine: m.ID})
-	}
-	m.Lost = false
-	m.Addr, m.Token = r.Addr, r.Token
-	m.Incarnation, m.Sequence = r.Session, r.Sequence
-	m.LastHeartbeat, m.LastAnswer = now, now
-	if r.SpotNotice && !m.SpotNotice {
-		m.SpotNotice, m.ReclaimedAt = true, now+r.ReclaimedIn
-		h.drain(m, now)
+// updateMachine applies what a heartbeat says about the machine itself.
+func (s *State) updateMachine(machine *model.Machine, heartbeat *Heartbeat, now model.Micros) {
+	s.checkReceivesAnswers(machine, heartbeat, now)
+	// The response must not wait for a placement round if it may not arrive.
+	machine.HasNews = machine.HasNews && machine.ReceivesAnswers
+	if !machine.Up && heartbeat.Token == s.Token {
+		machine.Up, machine.HasNews, s.NeedsPlacement = true, true, true
+		s.Log(Event{Kind: "up", Machine: machine.ID})
+	}
+	machine.Lost = false
+	machine.Addr, machine.Token = heartbeat.Addr, heartbeat.Token
+	machine.Incarnation, machine.Sequence = heartbeat.Incarnation, heartbeat.Sequence
+	machine.LastHeartbeat, machine.LastAnswer = now, now
+	if heartbeat.SpotNotice && !machine.SpotNotice {
+		machine.SpotNotice, machine.ReclaimedAt = true, now+heartbeat.ReclaimedIn
+		s.stopBeforeReclaim(machine, now)
 	}
 }
 
-// applyTaskStatuses takes the states of the tasks in a report. It returns the bound tasks
-// that the report shows.
-func (h *State) applyTaskStatuses(m *model.Machine, tasks []TaskStatus, now model.Micros) map[model.TaskID]bool {
+// applyTaskStatuses applies the states of the tasks in a heartbeat. It returns the
+// bound tasks that are in it.
+func (s *State) applyTaskStatuses(machine *model.Machine, tasks []TaskStatus, now model.Micros) map[model.TaskID]bool {
 	reported := make(map[model.TaskID]bool, len(tasks))
 	for i := range tasks {
 		task := &tasks[i]
-		b := m.Bindings[task.ID]
+		b := machine.Bindings[task.ID]
 		if b != nil && b.Attempt == task.Attempt {
 			reported[task.ID] = true
-			h.progress(b, task, now)
+			s.updateBinding(b, task, now)
 		} else if task.Status == model.Exited && task.Cause == "done" {
-			h.complete(task.ID, nil, now)
+			s.recordCompletion(task.ID, nil, now)
 		}
 	}
 	return reported
 }
 
-// unbindMissing unbinds the tasks that a report proves not to be on the machine.
-func (h *State) unbindMissing(m *model.Machine, reported map[model.TaskID]bool, now model.Micros) {
-	for id, b := range m.Bindings {
+// unbindMissing removes the bindings of tasks that are proven not to be on the machine,
+// as its heartbeat does not have them.
+func (s *State) unbindMissing(machine *model.Machine, reported map[model.TaskID]bool, now model.Micros) {
+	for id, binding := range machine.Bindings {
 		if reported[id] {
 			continue
 		}
-		sent := b.SentIncarnation != 0 || b.SentSequence != 0
+		sent := binding.SentIncarnation != 0 || binding.SentSequence != 0
 		switch {
-		case b.Seen:
-			h.unbind(b, "newer report without it", now)
-		case b.Stopping || h.Jobs[id.Job].Done.Has(id.Index) || h.Jobs[id.Job].Ended != "":
-			// Never started by us, or the response was dropped: a worker acts on no
-			// response but the one to its last report, and this report is newer.
-			h.unbind(b, "newer report without it, not wanted", now)
-		case sent && now-b.BoundAt > h.Params.GangWait:
-			h.unbind(b, "start never took", now)
+		case binding.Seen:
+			s.unbind(binding, "newer report without it", now)
+		case binding.Stopping || s.Jobs[id.Job].Done.Has(id.Index) || s.Jobs[id.Job].Ended != "":
+			// We never started it, or that response was lost: a worker only acts on the
+			// response to its last heartbeat, and this heartbeat is newer.
+			s.unbind(binding, "newer report without it, not wanted", now)
+		case sent && now-binding.BoundAt > s.Params.GangWait:
+			s.unbind(binding, "start never took", now)
 		}
 	}
 }
 
-// checkAnswersArrive tells from a report whether our answer to the one before reached
-// the worker: it bears our token, comes as soon as after an answer, in the same
-// session, and shows what that answer started. One whose answer got lost goes to
-// another controller first, after a pause. A machine whose reports arrive while
-// nothing reaches it ends its tasks with its lease, session after session.
-func (h *State) checkAnswersArrive(m *model.Machine, r *Report, now model.Micros) {
-	was := m.ReceivesAnswers
-	m.ReceivesAnswers = r.Token == h.Token && r.Session == m.Incarnation && now-m.LastHeartbeat <= h.Params.Report*3/2+model.Second
-	if m.ReceivesAnswers {
-		for _, b := range m.Bindings {
-			if b.SentIncarnation == m.Incarnation && b.SentSequence == m.Sequence && !slices.ContainsFunc(r.Tasks, func(p TaskStatus) bool { return p.ID == b.ID && p.Attempt == b.Attempt }) {
-				m.ReceivesAnswers = false
+// checkReceivesAnswers finds out from a heartbeat whether our response to the one
+// before reached the worker. In that case the heartbeat has our token, comes without
+// the delay of a retry, is of the same incarnation, and has the tasks that the response
+// started. A worker whose response was lost tries another controller first, after a
+// pause. A machine whose heartbeats arrive while no response reaches it kills its tasks
+// whenever its lease expires.
+func (s *State) checkReceivesAnswers(machine *model.Machine, heartbeat *Heartbeat, now model.Micros) {
+	was := machine.ReceivesAnswers
+	machine.ReceivesAnswers = heartbeat.Token == s.Token && heartbeat.Incarnation == machine.Incarnation && now-machine.LastHeartbeat <= s.Params.Report*3/2+model.Second
+	if machine.ReceivesAnswers {
+		for _, b := range machine.Bindings {
+			if b.SentIncarnation == machine.Incarnation && b.SentSequence == machine.Sequence && !slices.ContainsFunc(heartbeat.Tasks, func(task TaskStatus) bool { return task.ID == b.ID && task.Attempt == b.Attempt }) {
+				machine.ReceivesAnswers = false
 				break
 			}
 		}
 	}
 	switch {
-	case m.ReceivesAnswers:
-		m.UnansweredSince = 0
-	case m.UnansweredSince == 0:
-		m.UnansweredSince = now
+	case machine.ReceivesAnswers:
+		machine.UnansweredSince = 0
+	case machine.UnansweredSince == 0:
+		machine.UnansweredSince = now
 	}
-	if m.ReceivesAnswers && !was {
-		m.HasNews, h.NeedsPlacement = true, true
+	if machine.ReceivesAnswers && !was {
+		machine.HasNews, s.NeedsPlacement = true, true
 	}
 }
 
-// Unreachable tells that a machine goes on reporting, but has not heard us for longer
-// than its tasks can have lived without an answer.
-func (h *State) Unreachable(m *model.Machine, now model.Micros) bool {
-	return m.UnansweredSince != 0 && now-m.UnansweredSince > h.LeaseExpiry()+2*h.Params.Report && now-m.LastHeartbeat < h.LeaseExpiry()
+// Unreachable tells whether a machine still sends heartbeats, but has not received our
+// responses for longer than its tasks can live without them.
+func (s *State) Unreachable(m *model.Machine, now model.Micros) bool {
+	return m.UnansweredSince != 0 && now-m.UnansweredSince > s.LeaseExpiry()+2*s.Params.Report && now-m.LastHeartbeat < s.LeaseExpiry()
 }
 
-// progress takes the reported state of a bound task.
-func (h *State) progress(b *model.Binding, p *TaskStatus, now model.Micros) {
-	m := b.Machine
-	b.Seen = true
-	if b.Status != model.Running && p.Status == model.Running {
-		b.RunningSince, h.Jobs[b.ID.Job].HasRun = now, true
-		h.clearFailures(m)
-		h.Log(Event{What: "runs", Machine: m.ID, Task: b.ID.String(), Attempt: b.Attempt})
-	}
-	b.Status = p.Status
-	if p.Status == model.Running || p.Status == model.WaitingForGang || p.Cause == "done" {
-		delete(m.ReadyAt, b.Job.Image)
-	}
-	if p.Status != model.Exited {
+// updateBinding applies the reported state of a bound task.
+func (s *State) updateBinding(binding *model.Binding, task *TaskStatus, now model.Micros) {
+	machine := binding.Machine
+	binding.Seen = true
+	if binding.Status != model.Running && task.Status == model.Running {
+		binding.RunningSince, s.Jobs[binding.ID.Job].HasRun = now, true
+		s.clearFailures(machine)
+		s.Log(Event{Kind: "runs", Machine: machine.ID, Task: binding.ID.String(), Attempt: binding.Attempt})
+	}
+	binding.Status = task.Status
+	if task.Status == model.Running || task.Status == model.WaitingForGang || task.Cause == "done" {
+		delete(machine.ReadyAt, binding.Job.Image)
+	}
+	if task.Status != model.Exited {
 		return
 	}
-	if m.Token != h.Token {
-		// The report may be an old copy: the same attempt may have been started
-		// again since. A completion is a fact all the same.
-		if p.Cause == "done" {
-			h.complete(p.ID, b, now)
+	if machine.Token != s.Token {
+		// The heartbeat may be an old copy, and the same attempt may have been started
+		// again since. A completion stays true all the same.
+		if task.Cause == "done" {
+			s.recordCompletion(task.ID, binding, now)
 		}
 		return
 	}
-	js := h.Jobs[b.ID.Job]
-	switch p.Cause {
+	job := s.Jobs[binding.ID.Job]
+	switch task.Cause {
 	case "done":
-		h.complete(p.ID, b, now)
-		h.clearFailures(m)
-		h.unbind(b, "ended: done", now)
+		s.recordCompletion(task.ID, binding, now)
+		s.clearFailures(machine)
+		s.unbind(binding, "ended: done", now)
 		return
 	case "error":
-		h.failed(js, m, now)
+		s.recordFailure(job, machine, now)
 	case "full", "in_use", "unknown":
-		js.UnknownToWorkers = js.UnknownToWorkers || p.Cause == "unknown"
-		js.NotBefore = max(js.NotBefore, now+model.Second)
+		job.UnknownToWorkers = job.UnknownToWorkers || task.Cause == "unknown"
+		job.NotBefore = max(job.NotBefore, now+model.Second)
 	}
-	h.unbind(b, "ended: "+p.Cause, now)
+	s.unbind(binding, "ended: "+task.Cause, now)
 }
 
-// complete takes note of a finished task.
-func (h *State) complete(id model.TaskID, b *model.Binding, now model.Micros) {
-	js := h.Jobs[id.Job]
-	if js == nil || js.Ended != "" || id.Index >= js.Tasks {
+// recordCompletion marks a task as done, and requests the end of its job if it was the
+// last one. The binding is nil if the attempt is not bound.
+func (s *State) recordCompletion(id model.TaskID, binding *model.Binding, now model.Micros) {
+	job := s.Jobs[id.Job]
+	if job == nil || job.Ended != "" || id.Index >= job.Tasks {
 		return
 	}
-	if b != nil && b.RunningSince != 0 && b.RunningSince > b.BoundAt {
-		h.recordRunTime(js.Class, now-b.RunningSince)
+	if binding != nil && binding.RunningSince != 0 && binding.RunningSince > binding.BoundAt {
+		s.recordRunTime(job.Class, now-binding.RunningSince)
 	}
-	if js.Kind == model.Gang {
-		// If one task of a gang is done, all of them are.
-		h.requestEnd(js)
+	if job.Kind == model.Gang {
+		// One done task of a gang means that all of them are done.
+		s.requestEnd(job)
 		return
 	}
-	if !js.Done.Add(id.Index) {
+	if !job.Done.Add(id.Index) {
 		return
 	}
-	h.noLongerWaits(js, id.Index)
-	if js.Done.Len() >= js.Tasks {
-		h.requestEnd(js)
+	s.removeFromWaiting(job, id.Index)
+	if job.Done.Len() >= job.Tasks {
+		s.requestEnd(job)
 		return
 	}
-	h.pushDone(js, id.Index)
+	s.enqueueFinished(job, id.Index)
 }
 
-// failed takes a failed task into account. Mostly the machine is at fault; but a
-// job that was submitted with a mistake fails on every machine, and its failures
-// must not get healthy machines set aside: each would be drained and another
-// rented for its work. Machines are therefore judged apart from the jobs that
-// fail on them (see blame), and a job that fails on several machines waits longer
-// before each new try.
-func (h *State) failed(js *model.JobState, m *model.Machine, now model.Micros) {
-	if js.NoteFailure(m.ID, now) && js.NeedsBackoff() {
-		h.Log(Event{What: "fails everywhere", Machine: m.ID, Task: js.ID, Why: "to be retried with one task, later and later"})
-	}
-	if !js.IsKnownToRun() && runsOther(js, m) {
-		js.AtFault = true
-	}
-	if !js.IsAtFault() {
-		m.NoteFailure(js.ID, now)
+// recordFailure counts a failed task against its machine, or against its job. Mostly
+// the machine is at fault. But a job that was submitted with a mistake fails on every
+// machine, and must not get healthy machines quarantined: each would be drained and
+// replaced. So failures are counted for both (see quarantineIfFaulty), and a job that
+// fails on several machines is retried with a backoff.
+func (s *State) recordFailure(job *model.JobState, m *model.Machine, now model.Micros) {
+	if job.NoteFailure(m.ID, now) && job.NeedsBackoff() {
+		s.Log(Event{Kind: "fails everywhere", Machine: m.ID, Task: job.ID, Why: "to be retried with one task, later and later"})
+	}
+	if !job.IsKnownToRun() && otherJobRuns(job, m) {
+		job.AtFault = true
+	}
+	if !job.IsAtFault() {
+		m.NoteFailure(job.ID, now)
 	}
 }
 
-// runsOther tells whether a task of another job runs on the machine.
-func runsOther(js *model.JobState, m *model.Machine) bool {
+// otherJobRuns tells whether a task of another job runs on the machine.
+func otherJobRuns(job *model.JobState, m *model.Machine) bool {
 	for id, b := range m.Bindings {
-		if id.Job != js.ID && b.Status == model.Running {
+		if id.Job != job.ID && b.Status == model.Running {
 			return true
 		}
 	}
 	return false
 }
 
-// clearFailures takes note of a task that runs on a machine, or has completed there:
-// the machine is not faulty, so what failed on it without ever running is at fault
-// itself.
-func (h *State) clearFailures(m *model.Machine) {
+// clearFailures forgets the failures on a machine on which a task runs or has
+// completed. The machine is not faulty, so jobs that failed on it and have not run
+// anywhere are at fault.
+func (s *State) clearFailures(m *model.Machine) {
 	for _, f := range m.FailuresInRow {
-		if js := h.Jobs[f.Job]; js != nil && !js.IsKnownToRun() {
-			js.AtFault = true
+		if job := s.Jobs[f.Job]; job != nil && !job.IsKnownToRun() {
+			job.AtFault = true
 		}
 	}
 	m.FailuresInRow = nil
 }
 
-// How failures are judged.
+// Limits of consecutive failures on a machine.
 const (
-	// faultyAfterProven is how many failures in a row, of jobs that are known to run,
-	// set a machine aside.
+	// faultyAfterProven is the number of failures of jobs that have run elsewhere after
+	// which a machine is quarantined.
 	faultyAfterProven = 2
-	// faultyAfterUnproven is how many failures in a row, of jobs that have not run
-	// anywhere yet, set it aside as long as nothing else runs on it: such a job may have
-	// nowhere else to go, and would fail there for ever. It does so to one machine only.
+	// faultyAfterUnproven is the number of failures of jobs that have not run anywhere
+	// yet after which a machine is quarantined, as long as nothing else runs on it. Such
+	// a job may not fit on other machines, and would fail there for ever. It gets only
+	// one machine quarantined.
 	faultyAfterUnproven = 3
 )
 
-// blame sets a machine aside if the failures on it are thought to be its own fault. A
-// failure weighs more once its job is known to run: the first tasks of new jobs with a
-// mistake come to the same machines at once and are no evidence. So a machine is judged
-// with every report, when its jobs may have been seen to run elsewhere meanwhile.
-func (h *State) blame(m *model.Machine, now model.Micros) {
-	if m.Quarantined || len(m.FailuresInRow) < faultyAfterProven {
+// quarantineIfFaulty quarantines a machine if the failures on it are its own fault.
+// Failures of jobs that are known to run count for more: the first tasks of new jobs
+// with a mistake often fail on the same machines at once, which proves nothing. This is
+// checked with every heartbeat, as the jobs may have run elsewhere since.
+func (s *State) quarantineIfFaulty(machine *model.Machine, now model.Micros) {
+	if machine.Quarantined || len(machine.FailuresInRow) < faultyAfterProven {
 		return
 	}
 	proven, unproven := 0, 0
-	for _, f := range m.FailuresInRow {
-		js := h.Jobs[f.Job]
+	for _, f := range machine.FailuresInRow {
+		job := s.Jobs[f.Job]
 		switch {
-		case js == nil || js.IsAtFault():
-		case js.IsKnownToRun():
+		case job == nil || job.IsAtFault():
+		case job.IsKnownToRun():
 			proven++
 		default:
 			unproven++
@@ -300,18 +307,18 @@
 	if proven < faultyAfterProven && unproven < faultyAfterUnproven {
 		return
 	}
-	// The jobs that have not run anywhere have had their one machine: should they fail
-	// on the next as well, the fault is theirs.
-	for _, f := range m.FailuresInRow {
-		if js := h.Jobs[f.Job]; js != nil && !js.IsKnownToRun() {
-			js.AtFault = true
+	// The jobs that have not run anywhere have had their one machine quarantined. If they
+	// fail on the next as well, they are at fault.
+	for _, f := range machine.FailuresInRow {
+		if job := s.Jobs[f.Job]; job != nil && !job.IsKnownToRun() {
+			job.AtFault = true
 		}
 	}
-	m.Quarantined, m.Draining = true, true
-	h.Log(Event{What: "sick", Machine: m.ID, Why: "tasks fail on it"})
-	for _, b := range m.Bindings {
+	machine.Quarantined, machine.Draining = true, true
+	s.Log(Event{Kind: "sick", Machine: machine.ID, Why: "tasks fail on it"})
+	for _, b := range machine.Bindings {
 		if b.Status != model.Running {
-			h.stop(b, 0, "machine is sick", now)
+			s.stop(b, 0, "machine is sick", now)
 		}
 	}
 }
--- a/internal/core/shard/heartbeats_test.go
+++ b/internal/core/shard/heartbeats_test.go
@@ -7,25 +7,25 @@
 )
 
 func TestLateReportMovesNothingBack(t *testing.T) {
-	h := newHolder(5)
-	h.AddJob(job("j-1", 1, model.Array), model.Set{}, "", 0, 0)
-	w := newWorker(h, "h1", "box", "a")
+	s := newTestState(5)
+	s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
+	w := newWorker(s, "h1", "box", "a")
 	w.starts()
-	b := bound(h, "h1")
+	b := bound(s, "h1")
 	w.says(3*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running})
-	late := w.r
+	late := w.heartbeat
 	late.Sequence, late.Token = 2, 5
-	if v := h.ApplyHeartbeat(&late, 4*sec); v != Stale {
+	if v := s.ApplyHeartbeat(&late, 4*sec); v != Stale {
 		t.Fatalf("verdict %v for a late copy", v)
 	}
-	if bound(h, "h1") != b {
-		t.Fatal("a late copy unbound the piece")
+	if bound(s, "h1") != b {
+		t.Fatal("a late copy unbound the task")
 	}
 }
 
 func TestHigherTokenDeposes(t *testing.T) {
-	h := newHolder(5)
-	if v, _ := newWorker(h, "h1", "box", "a").says(sec, 6); v != Deposed {
+	s := newTestState(5)
+	if v, _ := newWorker(s, "h1", "box", "a").says(sec, 6); v != HigherToken {
 		t.Fatalf("verdict %v for a worker that knows a higher token", v)
 	}
 }
@@ -33,150 +33,150 @@
 // A worker forgets a finished task only once its completion is durable, and a
 // job is done only once its end is.
 func TestCompletionDurableBeforeClear(t *testing.T) {
-	h := newHolder(5)
-	js := h.AddJob(job("j-1", 2, model.Array), model.Set{}, "", 0, 0)
-	w := newWorker(h, "h1", "box", "a")
+	s := newTestState(5)
+	job := s.AddJob(newJob("j-1", 2, model.Array), model.Set{}, "", 0, 0)
+	w := newWorker(s, "h1", "box", "a")
 	w.starts()
-	b := js.Bindings[0][0]
-	done := TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Exited, Cause: "done"}
-	other := TaskStatus{ID: js.Bindings[1][0].ID, Attempt: js.Bindings[1][0].Attempt, Status: model.Running}
-	if _, commands := w.says(3*sec, 5, done, other); verbs(commands, "clear") != 0 {
+	binding := job.Bindings[0][0]
+	done := TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Exited, Cause: "done"}
+	other := TaskStatus{ID: job.Bindings[1][0].ID, Attempt: job.Bindings[1][0].Attempt, Status: model.Running}
+	if _, commands := w.says(3*sec, 5, done, other); countCommands(commands, "clear") != 0 {
 		t.Fatal("cleared before the completion is durable")
 	}
-	write(h, 3*sec)
-	if _, commands := w.says(4*sec, 5, done, other); verbs(commands, "clear") != 1 {
+	commitAll(s, 3*sec)
+	if _, commands := w.says(4*sec, 5, done, other); countCommands(commands, "clear") != 1 {
 		t.Fatal("not cleared though the completion is durable")
 	}
 	other.Status, other.Cause = model.Exited, "done"
-	if _, commands := w.says(5*sec, 5, other); verbs(commands, "clear") != 0 || js.Ended != "" {
+	if _, commands := w.says(5*sec, 5, other); countCommands(commands, "clear") != 0 || job.Ended != "" {
 		t.Fatal("ended before the end is durable")
 	}
-	write(h, 5*sec)
-	if js.Ended != "done" {
+	commitAll(s, 5*sec)
+	if job.Ended != "done" {
 		t.Fatal("the end was not written")
 	}
 }
 
 // A cancellation that was decided first stands, whatever finishes.
 func TestCancelAgainstCompletion(t *testing.T) {
-	h := newHolder(5)
-	js := h.AddJob(job("j-1", 2, model.Array), model.Set{}, "", 0, 0)
-	w := newWorker(h, "h1", "box", "a")
+	s := newTestState(5)
+	job := s.AddJob(newJob("j-1", 2, model.Array), model.Set{}, "", 0, 0)
+	w := newWorker(s, "h1", "box", "a")
 	w.starts()
 	for n := range 2 { // the second is still on its machine when the job ends
-		h.complete(model.TaskID{Job: "j-1", Index: n}, nil, 3*sec)
+		s.recordCompletion(model.TaskID{Job: "j-1", Index: n}, nil, 3*sec)
 	}
-	h.EndJob("j-1", "withdrawn", 4*sec)
-	for _, x := range h.Writes(16, 48<<10) {
+	s.EndJob("j-1", "withdrawn", 4*sec)
+	for _, x := range s.Writes(16, 48<<10) {
 		if x.Key == "job/j-1" {
 			t.Fatal("the end is to be written over a cancellation")
 		}
 	}
-	if js.Ended != "withdrawn" {
-		t.Fatalf("ended %q", js.Ended)
+	if job.Ended != "withdrawn" {
+		t.Fatalf("ended %q", job.Ended)
 	}
 }
 
 // failAll has a worker come up, get what is bound to it started, and report
 // all of it failed.
-func failAll(h *State, w *worker, now model.Micros) {
+func failAll(s *State, w *worker, now model.Micros) {
 	w.says(now, 5)
-	write(h, now)
+	commitAll(s, now)
 	w.says(now+sec, 5)
-	w.says(now+2*sec, 5, failures(h, w.r.Machine)...)
+	w.says(now+2*sec, 5, failures(s, w.heartbeat.Machine)...)
 }
 
 // failures are the tasks of a report that says that all that is bound to a
 // machine failed.
-func failures(h *State, machine string) (ps []TaskStatus) {
-	for _, b := range h.Machines[machine].Bindings {
-		ps = append(ps, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Exited, Cause: "error"})
+func failures(s *State, machine string) (tasks []TaskStatus) {
+	for _, b := range s.Machines[machine].Bindings {
+		tasks = append(tasks, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Exited, Cause: "error"})
 	}
-	return ps
+	return tasks
 }
 
-// A machine is set aside when tasks of two jobs fail on it that are known to
+// A machine is quarantined when tasks of two jobs fail on it that are known to
 // run: their work is done elsewhere. Two new jobs that fail on it at once are no
 // evidence against it until they are seen to run.
 func TestFaultIsFoundOut(t *testing.T) {
-	h := newHolder(5)
-	for _, ref := range []string{"j-1", "j-2"} {
-		h.AddJob(job(ref, 2, model.Array), model.Set{}, "", 0, 0)
-		h.complete(model.TaskID{Job: ref, Index: 0}, nil, sec/2)
+	s := newTestState(5)
+	for _, jobID := range []string{"j-1", "j-2"} {
+		s.AddJob(newJob(jobID, 2, model.Array), model.Set{}, "", 0, 0)
+		s.recordCompletion(model.TaskID{Job: jobID, Index: 0}, nil, sec/2)
 	}
-	failAll(h, newWorker(h, "h1", "box", "a"), sec)
-	if !h.Machines["h1"].Quarantined {
-		t.Fatal("a machine on which two jobs failed that have done work is not set aside")
+	failAll(s, newWorker(s, "h1", "box", "a"), sec)
+	if !s.Machines["h1"].Quarantined {
+		t.Fatal("a machine on which two jobs failed that have done work is not quarantined")
 	}
-	h.EndJob("j-1", "withdrawn", 4*sec)
-	h.EndJob("j-2", "withdrawn", 4*sec)
-	for _, ref := range []string{"j-3", "j-4", "j-5"} {
-		h.AddJob(job(ref, 2, model.Array), model.Set{}, "", 0, 0)
+	s.EndJob("j-1", "withdrawn", 4*sec)
+	s.EndJob("j-2", "withdrawn", 4*sec)
+	for _, jobID := range []string{"j-3", "j-4", "j-5"} {
+		s.AddJob(newJob(jobID, 2, model.Array), model.Set{}, "", 0, 0)
 	}
-	h2 := newWorker(h, "h2", "box", "a")
-	failAll(h, h2, 10*sec)
-	if h.Machines["h2"].Quarantined {
-		t.Fatal("a machine is set aside for the first failures of new jobs")
+	h2 := newWorker(s, "h2", "box", "a")
+	failAll(s, h2, 10*sec)
+	if s.Machines["h2"].Quarantined {
+		t.Fatal("a machine is quarantined for the first failures of new jobs")
 	}
-	for _, ref := range []string{"j-3", "j-4", "j-5"} {
-		h.complete(model.TaskID{Job: ref, Index: 1}, nil, 15*sec)
+	for _, jobID := range []string{"j-3", "j-4", "j-5"} {
+		s.recordCompletion(model.TaskID{Job: jobID, Index: 1}, nil, 15*sec)
 	}
 	h2.says(16*sec, 5)
-	if !h.Machines["h2"].Quarantined {
-		t.Fatal("a machine on which jobs failed that have since done work elsewhere is not set aside")
+	if !s.Machines["h2"].Quarantined {
+		t.Fatal("a machine on which jobs failed that have since done work elsewhere is not quarantined")
 	}
 }
 
-// A machine that fails all that comes to it is set aside even if it is one job that
+// A machine that fails all that comes to it is quarantined even if it is one job that
 // has nowhere else to go: else that would fail there for ever. The job has one machine
-// set aside, not every one that it fails on.
+// quarantined, not every one that it fails on.
 func TestJobWithOneMachineToGoTo(t *testing.T) {
-	h := newHolder(5)
-	js := h.AddJob(job("j-1", 1, model.Array), model.Set{}, "", 0, 0)
-	w := newWorker(h, "h1", "box", "a")
+	s := newTestState(5)
+	job := s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
+	w := newWorker(s, "h1", "box", "a")
 	for i := range faultyAfterUnproven {
-		if m := h.Machines["h1"]; m != nil && m.Quarantined {
-			t.Fatalf("set aside after %d failures", i)
+		if m := s.Machines["h1"]; m != nil && m.Quarantined {
+			t.Fatalf("quarantined after %d failures", i)
 		}
-		failAll(h, w, model.Micros(1+100*i)*sec)
+		failAll(s, w, model.Micros(1+100*i)*sec)
 	}
-	if !h.Machines["h1"].Quarantined {
-		t.Fatalf("a machine on which all fails is not set aside after %d failures", faultyAfterUnproven)
+	if !s.Machines["h1"].Quarantined {
+		t.Fatalf("a machine on which all fails is not quarantined after %d failures", faultyAfterUnproven)
 	}
-	other := newWorker(h, "h2", "box", "a")
+	other := newWorker(s, "h2", "box", "a")
 	for i := range 2 * faultyAfterUnproven {
-		failAll(h, other, model.Micros(1000+100*i)*sec)
+		failAll(s, other, model.Micros(1000+100*i)*sec)
 	}
-	if h.Machines["h2"].Quarantined || len(js.FailedMachines) != 2 {
-		t.Fatalf("a job that failed on %d machines had the second set aside as well", len(js.FailedMachines))
+	if s.Machines["h2"].Quarantined || len(job.FailedMachines) != 2 {
+		t.Fatalf("a job that failed on %d machines had the second quarantined as well", len(job.FailedMachines))
 	}
 }
 
 // What fails on a machine where other work runs is at fault itself, if nothing of it has
 // run yet.
 func TestOtherWorkThatRunsClearsAMachine(t *testing.T) {
-	h := newHolder(5)
-	h.AddJob(job("j-1", 1, model.Array), model.Set{}, "", 0, 0)
-	mistaken := h.AddJob(job("j-2", 3, model.Array), model.Set{}, "", 0, 0)
-	w := newWorker(h, "h1", "box", "a")
+	s := newTestState(5)
+	s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
+	mistaken := s.AddJob(newJob("j-2", 3, model.Array), model.Set{}, "", 0, 0)
+	w := newWorker(s, "h1", "box", "a")
 	runs := func(at model.Micros) {
-		ps := failures(h, "h1")
-		for i := range ps {
-			if ps[i].ID.Job == "j-1" {
-				ps[i].Status, ps[i].Cause = model.Running, ""
+		tasks := failures(s, "h1")
+		for i := range tasks {
+			if tasks[i].ID.Job == "j-1" {
+				tasks[i].Status, tasks[i].Cause = model.Running, ""
 			}
 		}
-		w.says(at, 5, ps...)
+		w.says(at, 5, tasks...)
 	}
 	w.says(sec, 5)
-	write(h, sec)
+	commitAll(s, sec)
 	w.says(2*sec, 5)
 	for i := range 2 * faultyAfterUnproven {
 		runs(model.Micros(3+100*i) * sec)
-		write(h, model.Micros(4+100*i)*sec)
+		commitAll(s, model.Micros(4+100*i)*sec)
 	}
-	if h.Machines["h1"].Quarantined {
-		t.Fatal("a machine on which other work runs is set aside for a job that never ran")
+	if s.Machines["h1"].Quarantined {
+		t.Fatal("a machine on which other work runs is quarantined for a job that never ran")
 	}
 	if !mistaken.IsAtFault() {
 		t.Fatal("a job that fails where other work runs is not found to be at fault")
@@ -184,64 +184,64 @@
 }
 
 // A job that was submitted with a mistake fails on every machine. Its failures
-// must not get healthy machines set aside: each would be returned and another
+// must not get healthy machines quarantined: each would be returned and another
 // rented for the work that it had. The job stays known, and waits longer before
 // each new try.
 func TestJobThatFailsEverywhereSpoilsNoMachine(t *testing.T) {
-	h := newHolder(5)
+	s := newTestState(5)
 	names := []string{"h1", "h2", "h3"}
 	var workers []*worker
 	for _, name := range names {
-		w := newWorker(h, name, "box", "a")
+		w := newWorker(s, name, "box", "a")
 		w.says(sec, 5)
 		workers = append(workers, w)
 	}
-	js := h.AddJob(job("j-1", 12, model.Array), model.Set{}, "", 0, 0)
+	job := s.AddJob(newJob("j-1", 12, model.Array), model.Set{}, "", 0, 0)
 	// retry has what may be bound start and fail on all machines, and tells how many tasks.
 	retry := func(now model.Micros) (tried int) {
 		for _, w := range workers {
 			w.says(now, 5)
 		}
-		h.Place(now, true)
-		write(h, now)
-		tried = js.BindingCount()
+		s.Place(now, true)
+		commitAll(s, now)
+		tried = job.BindingCount()
 		for _, w := range workers {
 			w.says(now+sec, 5)
-			w.says(now+2*sec, 5, failures(h, w.r.Machine)...)
+			w.says(now+2*sec, 5, failures(s, w.heartbeat.Machine)...)
 		}
 		return tried
 	}
 	now := -2 * sec
 	for range 4 {
-		if len(js.FailedMachines) < len(names) {
-			now = max(now+4*sec, js.NotBefore)
+		if len(job.FailedMachines) < len(names) {
+			now = max(now+4*sec, job.NotBefore)
 			retry(now)
 		}
 	}
-	if len(js.FailedMachines) != len(names) {
-		t.Fatalf("the job failed on %d machines, not %d", len(js.FailedMachines), len(names))
+	if len(job.FailedMachines) != len(names) {
+		t.Fatalf("the job failed on %d machines, not %d", len(job.FailedMachines), len(names))
 	}
 	for _, name := range names {
-		m := h.Machines[name]
+		m := s.Machines[name]
 		if m.Quarantined || m.Draining {
-			t.Fatalf("machine %s set aside for a job that fails everywhere", name)
+			t.Fatalf("machine %s quarantined for a job that fails everywhere", name)
 		}
 	}
-	wait := js.NotBefore - now - 2*sec
+	wait := job.NotBefore - now - 2*sec
 	if wait < 8*sec {
 		t.Fatalf("a job that failed on three machines is tried again after %v", wait)
 	}
-	if kept := len(js.Waiting) + js.BindingCount(); js.Ended != "" || kept != 12 {
-		t.Fatalf("the job is not kept: ended %q, %d of 12 tasks wait or are bound", js.Ended, kept)
+	if kept := len(job.Waiting) + job.BindingCount(); job.Ended != "" || kept != 12 {
+		t.Fatalf("the job is not kept: ended %q, %d of 12 tasks wait or are bound", job.Ended, kept)
 	}
 	// Once its wait is over, one task at a time is tried, and the next wait is longer, up
 	// to a bound.
 	for i := range 8 {
-		now = js.NotBefore + sec
+		now = job.NotBefore + sec
 		if n := retry(now); n != 1 {
 			t.Fatalf("retry %d: %d tasks of a job that fails everywhere are tried at once", i, n)
 		}
-		next := js.NotBefore - now - 2*sec
+		next := job.NotBefore - now - 2*sec
 		if next < min(wait, 60*sec) || next > 70*sec {
 			t.Fatalf("retry %d: waits %v after a wait of %v", i, next, wait)
 		}
@@ -252,32 +252,32 @@
 // Nothing new is bound to a machine before a report shows that it hears us: one
 // that bears an older token may be an old copy.
 func TestNoWorkForAMachineThatDoesNotHear(t *testing.T) {
-	h := newHolder(5)
-	js := h.AddJob(job("j-1", 1, model.Array), model.Set{}, "", 0, 0)
-	m := h.AddMachine("h1", "box", "a", false, 0)
-	w := newWorker(h, "h1", "box", "a")
+	s := newTestState(5)
+	job := s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
+	machine := s.AddMachine("h1", "box", "a", false, 0)
+	w := newWorker(s, "h1", "box", "a")
 	for i := range model.Micros(4) {
 		w.says(i*sec, 4)
 	}
-	if len(js.Bindings) != 0 {
+	if len(job.Bindings) != 0 {
 		t.Fatal("work for a machine whose reports bear an older token")
 	}
 	w.says(4*sec, 5)
-	if len(js.Bindings) != 1 {
+	if len(job.Bindings) != 1 {
 		t.Fatal("no work for a machine that hears")
 	}
-	more := h.AddJob(job("j-2", 1, model.Array), model.Set{}, "", 0, 0)
-	r := w.r
+	more := s.AddJob(newJob("j-2", 1, model.Array), model.Set{}, "", 0, 0)
+	heartbeat := w.heartbeat
 	for i := range model.Micros(8) { // its answers are lost: it comes back from the other controllers
-		w.tally++
-		r.Sequence, r.Token = w.tally, 5
-		h.ApplyHeartbeat(&r, 10*sec+i*5*sec)
-		h.Place(10*sec+i*5*sec, true)
+		w.sequence++
+		heartbeat.Sequence, heartbeat.Token = w.sequence, 5
+		s.ApplyHeartbeat(&heartbeat, 10*sec+i*5*sec)
+		s.Place(10*sec+i*5*sec, true)
 	}
 	if len(more.Bindings) != 0 {
 		t.Fatal("more work for a machine that has not heard the last answers")
 	}
-	if !h.Unreachable(m, 10*sec+35*sec) || h.Unreachable(m, 10*sec+20*sec) {
+	if !s.Unreachable(machine, 10*sec+35*sec) || s.Unreachable(machine, 10*sec+20*sec) {
 		t.Fatal("a machine that goes on reporting without hearing is not found out in time")
 	}
 }
@@ -288,21 +288,21 @@
 // period closes half of the machines for a round, or notices nothing, at another.
 func TestHearingAtBothReportPeriods(t *testing.T) {
 	for _, report := range []model.Micros{5 * sec / 2, 5 * sec} {
-		h := newHolder(5)
-		h.Params.Report = report
-		m := h.AddMachine("h1", "box", "a", false, 0)
-		w := newWorker(h, "h1", "box", "a")
-		r := w.r
+		s := newTestState(5)
+		s.Params.Report = report
+		machine := s.AddMachine("h1", "box", "a", false, 0)
+		w := newWorker(s, "h1", "box", "a")
+		heartbeat := w.heartbeat
 		at := sec
 		for i, gap := range []model.Micros{0, report, report * 3 / 2, 10 * sec} {
 			at += gap
-			r.Sequence, r.Token = uint64(i+1), 5
-			h.ApplyHeartbeat(&r, at)
-			if want := i == 1 || i == 2; m.ReceivesAnswers != want {
-				t.Errorf("reports every %v: after %v it counts as heard: %v", report, gap, m.ReceivesAnswers)
+			heartbeat.Sequence, heartbeat.Token = uint64(i+1), 5
+			s.ApplyHeartbeat(&heartbeat, at)
+			if want := i == 1 || i == 2; machine.ReceivesAnswers != want {
+				t.Errorf("reports every %v: after %v it counts as heard: %v", report, gap, machine.ReceivesAnswers)
 			}
 		}
-		if stop := h.World(at).StopTime; stop < report || stop > 2*report {
+		if stop := s.World(at).StopTime; stop < report || stop > 2*report {
 			t.Errorf("reports every %v: %v until a stopped task's room is free", report, stop)
 		}
 	}
--- a/internal/core/shard/jobs.go
+++ b/internal/core/shard/jobs.go
@@ -2,64 +2,64 @@
 
 import "woadweir/internal/core/model"
 
-// AddJob makes a job known that was accepted age ago, with the tasks that are
-// already done.
-func (h *State) AddJob(j *model.Job, done model.Set, ended string, now, age model.Micros) *model.JobState {
-	if js := h.Jobs[j.ID]; js != nil {
-		return js
+// AddJob adds a job that was accepted age ago, with the tasks that are done already.
+func (s *State) AddJob(spec *model.Job, done model.Set, ended string, now, age model.Micros) *model.JobState {
+	if job := s.Jobs[spec.ID]; job != nil {
+		return job
 	}
-	js := &model.JobState{Job: j, Done: done, Ended: ended, Bindings: map[int][]*model.Binding{}, ReadySince: now - age, IdleSince: now - age}
-	js.DoneVersions = make([]model.Versions, 1)
-	if h.parted(j) && ended == "" {
-		// What is done may stand in a whole that is too large to be written again.
-		h.split(js)
+	job := &model.JobState{Job: spec, Done: done, Ended: ended, Bindings: map[int][]*model.Binding{}, ReadySince: now - age, IdleSince: now - age}
+	job.DoneVersions = make([]model.Versions, 1)
+	if s.needsParts(spec) && ended == "" {
+		// The finished tasks may be stored as a whole that is too large to be written again.
+		s.storeInParts(job)
 	}
 	if ended == "" {
-		js.Waiting = make([]int, 0, j.Tasks-done.Len())
-		for i := range j.Tasks {
+		job.Waiting = make([]int, 0, spec.Tasks-done.Len())
+		for i := range spec.Tasks {
 			if !done.Has(i) {
-				js.Waiting = append(js.Waiting, i)
+				job.Waiting = append(job.Waiting, i)
 			}
 		}
-		if done.Len() >= j.Tasks {
-			h.requestEnd(js)
+		if done.Len() >= spec.Tasks {
+			s.requestEnd(job)
 		}
 	}
-	h.Jobs[j.ID] = js
-	h.NeedsPlacement = true
-	h.Log(Event{What: "job", Task: j.ID, Why: j.Class + " of " + j.Team})
-	return js
+	s.Jobs[spec.ID] = job
+	s.NeedsPlacement = true
+	s.Log(Event{Kind: "job", Task: spec.ID, Why: spec.Class + " of " + spec.Team})
+	return job
 }
 
-// EndJob takes note of a job's durable end.
-func (h *State) EndJob(ref, status string, now model.Micros) {
-	js := h.Jobs[ref]
-	if js == nil || js.Ended != "" {
+// EndJob marks a job as ended, once its end is durable, and stops its tasks.
+func (s *State) EndJob(jobID, status string, now model.Micros) {
+	job := s.Jobs[jobID]
+	if job == nil || job.Ended != "" {
 		return
 	}
-	js.Ended, js.EndPending, js.Waiting = status, false, nil
-	for _, bs := range js.Bindings {
-		for _, b := range bs {
-			h.stop(b, 0, "job "+status, now)
+	job.Ended, job.EndPending, job.Waiting = status, false, nil
+	for _, bindings := range job.Bindings {
+		for _, b := range bindings {
+			s.stop(b, 0, "job "+status, now)
 		}
 	}
-	h.forget(js)
+	s.removeIfEnded(job)
 }
 
-// forget drops an ended job once nothing of it is bound: its end is kept in the
-// state service, for ever.
-func (h *State) forget(js *model.JobState) {
-	if js.Ended != "" && len(js.Bindings) == 0 {
-		delete(h.Jobs, js.ID)
+// removeIfEnded removes an ended job once none of its tasks is bound. Its end stays in
+// the state service for ever.
+func (s *State) removeIfEnded(job *model.JobState) {
+	if job.Ended != "" && len(job.Bindings) == 0 {
+		delete(s.Jobs, job.ID)
 	}
 }
 
-func (h *State) requestEnd(js *model.JobState) {
-	if js.Ended == "" && !js.EndPending {
-		js.EndPending = true
-		js.Waiting = nil
-		if js.HomeCell == "" { // else its home writes the end
-			h.ends = append(h.ends, js.ID)
+// requestEnd queues the end of a job whose tasks are done, to be written.
+func (s *State) requestEnd(job *model.JobState) {
+	if job.Ended == "" && !job.EndPending {
+		job.EndPending = true
+		job.Waiting = nil
+		if job.HomeCell == "" { // the end of a guest job is written by its home cell
+			s.pendingEnds = append(s.pendingEnds, job.ID)
 		}
 	}
 }
--- a/internal/core/shard/learn.go
+++ b/internal/core/shard/learn.go
@@ -5,55 +5,56 @@
 	"woadweir/internal/core/placement"
 )
 
-// runStat is what is known of the run times of a class.
-type runStat struct {
+// runTimeStats are the statistics of the run times of a class.
+type runTimeStats struct {
 	n    int
-	mean float64 // microseconds, moving
+	mean float64 // moving average in microseconds
 }
 
-func (h *State) recordRunTime(class string, run model.Micros) {
-	s := h.runTimes[class]
-	if s == nil {
-		s = &runStat{}
-		h.runTimes[class] = s
-	}
-	s.n++
-	weight := max(1/float64(s.n), 0.05)
-	s.mean += (float64(run) - s.mean) * weight
+// recordRunTime adds the run time of a completed task to the statistics of its class.
+func (s *State) recordRunTime(class string, run model.Micros) {
+	stats := s.runTimes[class]
+	if stats == nil {
+		stats = &runTimeStats{}
+		s.runTimes[class] = stats
+	}
+	stats.n++
+	weight := max(1/float64(stats.n), 0.05)
+	stats.mean += (float64(run) - stats.mean) * weight
 }
 
-// Expected is how long a task of the job is thought to run: the owner's guess,
-// tempered by what the class has shown.
-func (h *State) Expected(j *model.Job) model.Micros {
-	s := h.runTimes[j.Class]
-	if s == nil || s.n < 3 {
-		return j.EstimatedRun
+// Expected is the expected run time of a task of the job: the mean of the owner's
+// estimate and the average of the class.
+func (s *State) Expected(job *model.Job) model.Micros {
+	stats := s.runTimes[job.Class]
+	if stats == nil || stats.n < 3 {
+		return job.EstimatedRun
 	}
-	if j.EstimatedRun == 0 {
-		return model.Micros(s.mean)
+	if job.EstimatedRun == 0 {
+		return model.Micros(stats.mean)
 	}
-	return (j.EstimatedRun + model.Micros(s.mean)) / 2
+	return (job.EstimatedRun + model.Micros(stats.mean)) / 2
 }
 
-// Remaining is how long a bound task is thought to go on.
-func (h *State) Remaining(b *model.Binding, now model.Micros) model.Micros {
-	e := h.Expected(b.Job)
+// Remaining is the expected time until a bound task is done.
+func (s *State) Remaining(b *model.Binding, now model.Micros) model.Micros {
+	e := s.Expected(b.Job)
 	if b.RunningSince == 0 {
 		return e
 	}
 	ran := now - b.RunningSince
-	// The longer it has run beyond what was expected, the longer it may go on.
+	// The longer a task has exceeded its estimate, the longer it may still take.
 	return max(e-ran, ran/4)
 }
 
-// classLoad is what a class asks for and gets.
+// classLoad is the load that the tasks of a class make.
 type classLoad struct {
-	rate    float64 // tasks that end in a second, and make room for others
-	waiting int     // tasks
+	rate    float64 // tasks that are expected to end in a second
+	waiting int     // tasks that may be started
 }
 
-// drain is how long it takes until what waits now has begun.
-func (l classLoad) drain() model.Micros {
+// timeToStart is the time until all waiting tasks of the class have started.
+func (l classLoad) timeToStart() model.Micros {
 	if l.waiting == 0 {
 		return 0
 	}
@@ -63,47 +64,49 @@
 	return model.Seconds(min(float64(l.waiting)/l.rate, forever.Seconds()))
 }
 
+// forever is longer than any time that matters.
 const forever = model.Micros(1) << 50
 
-// updateClassLoads finds out the load of every class: from what is bound, so that a new
-// holder knows it at once.
-func (h *State) updateClassLoads(jobs []*model.JobState, now model.Micros) {
-	h.classLoads = make(map[string]classLoad, len(h.runTimes)+1)
-	for _, j := range jobs {
-		l := h.classLoads[j.Class]
-		if n := len(j.Bindings); n > 0 {
-			l.rate += float64(n) / max(h.Expected(j.Job), model.Second).Seconds()
+// updateClassLoads computes the load of every class from the bindings, so a new owner
+// knows it at once.
+func (s *State) updateClassLoads(jobs []*model.JobState, now model.Micros) {
+	s.classLoads = make(map[string]classLoad, len(s.runTimes)+1)
+	for _, job := range jobs {
+		l := s.classLoads[job.Class]
+		if n := len(job.Bindings); n > 0 {
+			l.rate += float64(n) / max(s.Expected(job.Job), model.Second).Seconds()
 		}
-		if now >= j.NotBefore {
-			l.waiting += len(j.Waiting)
+		if now >= job.NotBefore {
+			l.waiting += len(job.Waiting)
 		}
-		h.classLoads[j.Class] = l
+		s.classLoads[job.Class] = l
 	}
 }
 
-// missed is where the due times begin of jobs that have missed an aim, but can
-// still meet another.
-const missed = placement.Late / 2
+// dueAfterMiss is the first due time of jobs that have missed a target, but can still
+// meet another.
+const dueAfterMiss = placement.Late / 2
 
-// nearMost bounds how long a job may be overtaken by others that have less to do:
-// well within the four minutes in which even the largest are to begin, as those
-// take longest to get their machines together.
-const nearMost = 90 * model.Second
+// maxOvertaken bounds the time for which a job may be overtaken by jobs with less work
+// left. It is well within the four minutes in which all jobs are to start, as the
+// largest ones need most time to get their machines.
+const maxOvertaken = 90 * model.Second
 
-// due ranks jobs of the same rank. Of what can still meet all aims of its class,
-// that with least left to do goes first, so that most jobs are in time when not
-// all can be; then what has missed one and can meet another, and at last, by age,
-// what can't be in time any more. What is about to miss the last time in which it
-// is to start, or to be done, goes before all these, as long as what waits can all
-// be had in time: if it can't, this would only make everything late.
-func (h *State) due(j *model.JobState, now model.Micros) model.Micros {
-	if j.Kind == model.Gang && j.HasRun {
-		// It had its turn, and lost its machines: it need not queue again.
-		return j.ReadySince - placement.Late
-	}
-	run := h.Expected(j.Job)
-	left := run * model.Micros(len(j.Waiting))
-	age, end := now-j.ReadySince, now-j.ReadySince+run*9/10
+// due orders jobs of the same priority. Jobs that can still meet all targets of their
+// class go first, those with the least work left before the others: when not all jobs
+// can be in time, this order gets the most of them done in time. Then come jobs that
+// have missed a target and can meet another, and finally, by age, jobs that cannot meet
+// any. A job that is about to miss the last target for its start or its end goes before
+// all these, as long as all waiting tasks can be in time; otherwise this would only
+// make all of them late.
+func (s *State) due(job *model.JobState, now model.Micros) model.Micros {
+	if job.Kind == model.Gang && job.HasRun {
+		// It lost its machines after it had started: it need not wait in the queue again.
+		return job.ReadySince - placement.Late
+	}
+	run := s.Expected(job.Job)
+	left := run * model.Micros(len(job.Waiting))
+	age, end := now-job.ReadySince, now-job.ReadySince+run*9/10
 	met, lost := 0, 0
 	aim := func(in bool) {
 		if in {
@@ -112,27 +115,27 @@
 			lost++
 		}
 	}
-	waits := h.Params.Waits[j.Class]
+	waits := s.Params.Waits[job.Class]
 	if n := len(waits); n > 0 {
 		last := waits[n-1]
-		if near := min(last*3/4, nearMost); age >= near && age < last && h.classLoads[j.Class].drain() < last*3/4 {
-			return j.ReadySince - placement.Late
+		if near := min(last*3/4, maxOvertaken); age >= near && age < last && s.classLoads[job.Class].timeToStart() < last*3/4 {
+			return job.ReadySince - placement.Late
 		}
 		for _, w := range waits {
 			aim(age < w)
 		}
 	}
-	if j.Deadline > 0 {
-		aim(end <= j.Deadline)
-		for _, times := range h.Params.Deadlines[j.Class] {
-			aim(end <= model.Micros(float64(j.Deadline)*times))
+	if job.Deadline > 0 {
+		aim(end <= job.Deadline)
+		for _, times := range s.Params.Deadlines[job.Class] {
+			aim(end <= model.Micros(float64(job.Deadline)*times))
 		}
 	}
-	finish := h.Params.Finish[j.Class]
+	finish := s.Params.Finish[job.Class]
 	if n := len(finish); n > 0 && len(waits) > 0 {
 		last := finish[n-1]
-		if end >= last*3/4 && end <= last && h.classLoads[j.Class].drain() < last/4 {
-			return j.ReadySince - placement.Late
+		if end >= last*3/4 && end <= last && s.classLoads[job.Class].timeToStart() < last/4 {
+			return job.ReadySince - placement.Late
 		}
 	}
 	for _, f := range finish {
@@ -140,52 +143,52 @@
 	}
 	switch {
 	case met == 0:
-		return placement.Late + j.ReadySince
-	case lost == 0 || len(waits) == 0 && j.Deadline == 0:
+		return placement.Late + job.ReadySince
+	case lost == 0 || len(waits) == 0 && job.Deadline == 0:
 		return left
 	}
-	return missed + left
+	return dueAfterMiss + left
 }
 
-// What makes a machine seem slow: two tasks that run for three times as long as
-// was expected of them, which single wrong guesses hardly explain.
+// A machine counts as slow if two tasks on it run for three times their expected time: a
+// single one may be due to a wrong estimate.
 const (
-	slowFactor = 3
-	slowTasks  = 2
-	slowFor    = 60 * model.Second
+	slowFactor   = 3
+	slowTasks    = 2
+	slowDuration = 60 * model.Second
 )
 
-// detectSlowMachine notices slow machines. Work on them is left to finish; new work
-// prefers others for a while.
-func (h *State) detectSlowMachine(m *model.Machine, now model.Micros) {
+// detectSlowMachine marks a slow machine. Its tasks are left to finish, but for a while
+// new tasks go to other machines first.
+func (s *State) detectSlowMachine(machine *model.Machine, now model.Micros) {
 	n := 0
-	for _, b := range m.Bindings {
-		if e := h.Expected(b.Job); b.RunningSince != 0 && e > 0 && now-b.RunningSince > slowFactor*max(e, 5*model.Second) {
+	for _, b := range machine.Bindings {
+		if e := s.Expected(b.Job); b.RunningSince != 0 && e > 0 && now-b.RunningSince > slowFactor*max(e, 5*model.Second) {
 			n++
 		}
 	}
 	if n < slowTasks {
 		return
 	}
-	if now >= m.SlowUntil {
-		h.Log(Event{What: "slow", Machine: m.ID})
+	if now >= machine.SlowUntil {
+		s.Log(Event{Kind: "slow", Machine: machine.ID})
 	}
-	m.SlowUntil = now + slowFor
+	machine.SlowUntil = now + slowDuration
 }
 
-// lossMakesLate tells that a job is thought to meet an aim as it is, but not if one of its
-// tasks is lost half through its run and begins anew: such work is better off on machines
-// that are not taken away.
-func (h *State) lossMakesLate(j *model.JobState, now model.Micros) bool {
-	if j.Deadline <= 0 {
+// lossMakesLate tells whether a job is expected to meet its deadline, or a multiple of
+// it that is a target, but not if a task is lost after half of its run. Such jobs
+// should not run on spot machines.
+func (s *State) lossMakesLate(job *model.JobState, now model.Micros) bool {
+	if job.Deadline <= 0 {
 		return false
 	}
-	run := h.Expected(j.Job)
-	age := now - j.ReadySince
-	for _, times := range append([]float64{1}, h.Params.Deadlines[j.Class]...) {
-		aim := model.Micros(float64(j.Deadline) * times)
+	run := s.Expected(job.Job)
+	age := now - job.ReadySince
+	for _, times := range append([]float64{1}, s.Params.Deadlines[job.Class]...) {
+		aim := model.Micros(float64(job.Deadline) * times)
 		if age+run*9/10 <= aim {
-			return age+run*3/2+2*h.Params.Report > aim
+			return age+run*3/2+2*s.Params.Report > aim
 		}
 	}
 	return false
--- a/internal/core/shard/placement_test.go
+++ b/internal/core/shard/placement_test.go
@@ -9,30 +9,30 @@
 )
 
 func TestTeamLimitCountsAllBound(t *testing.T) {
-	h := newHolder(5)
-	js := h.AddJob(job("j-1", 20, model.Array), model.Set{}, "", 0, 0)
-	for _, ref := range []string{"h1", "h2", "h3", "h4"} {
-		newWorker(h, ref, "box", "a").says(sec, 5)
+	s := newTestState(5)
+	job := s.AddJob(newJob("j-1", 20, model.Array), model.Set{}, "", 0, 0)
+	for _, machineID := range []string{"h1", "h2", "h3", "h4"} {
+		newWorker(s, machineID, "box", "a").says(sec, 5)
 	}
-	if n := js.BindingCount(); n != 8 {
+	if n := job.BindingCount(); n != 8 {
 		t.Fatalf("%d tasks bound, the team's limit is 8", n)
 	}
 }
 
 func TestPlaceRulesCountOldAttempts(t *testing.T) {
-	h := newHolder(5)
-	apart := job("j-1", 5, model.Array)
+	s := newTestState(5)
+	apart := newJob("j-1", 5, model.Array)
 	apart.Spread = true
-	js := h.AddJob(apart, model.Set{}, "", 0, 0)
-	newWorker(h, "h1", "gpu", "a").says(sec, 5)
-	if n := js.BindingCount(); n != 3 {
+	job := s.AddJob(apart, model.Set{}, "", 0, 0)
+	newWorker(s, "h1", "gpu", "a").says(sec, 5)
+	if n := job.BindingCount(); n != 3 {
 		t.Fatalf("%d of 5 in one yard, want 3", n)
 	}
-	same := job("j-2", 3, model.Array)
+	same := newJob("j-2", 3, model.Array)
 	same.SameZone, same.Team = true, "blue"
-	js2 := h.AddJob(same, model.Set{}, "", 0, 0)
-	h.Restore(js2, 0, 3, h.AddMachine("h9", "box", "b", false, 0)) // an old attempt that is not surely gone
-	h.Place(2*sec, true)
+	js2 := s.AddJob(same, model.Set{}, "", 0, 0)
+	s.Restore(js2, 0, 3, s.AddMachine("h9", "box", "b", false, 0)) // an old attempt that is not surely gone
+	s.Place(2*sec, true)
 	if n := js2.BindingCount(); n != 1 {
 		t.Fatal("placed in another yard than a task that may still be on its machine")
 	}
@@ -40,28 +40,28 @@
 
 // A queue of urgent work stops work of lower rank, and never work of its own.
 func TestPreemption(t *testing.T) {
-	h := newHolder(5)
-	h.Params.Waits = map[string][]model.Micros{"hot": {8 * sec}}
-	low := job("j-1", 4, model.Array)
+	s := newTestState(5)
+	s.Params.Waits = map[string][]model.Micros{"hot": {8 * sec}}
+	low := newJob("j-1", 4, model.Array)
 	low.Priority, low.Team = model.LowPriority, "blue"
-	h.AddJob(low, model.Set{}, "", 0, 0)
-	w := newWorker(h, "h1", "box", "a")
+	s.AddJob(low, model.Set{}, "", 0, 0)
+	w := newWorker(s, "h1", "box", "a")
 	w.starts()
-	hot := job("j-2", 1, model.Gang)
+	hot := newJob("j-2", 1, model.Gang)
 	hot.Priority, hot.Class = model.HighPriority, "hot"
 	hot.Request.Cores = 2000
-	h.AddJob(hot, model.Set{}, "", 2*sec, 0)
-	ps := running(h, "h1")
-	_, commands := w.says(4*sec, 5, ps...)
-	if n := verbs(commands, "stop"); n != 2 {
-		t.Fatalf("%d stopped to make room for two cores, orders %v", n, commands)
+	s.AddJob(hot, model.Set{}, "", 2*sec, 0)
+	tasks := running(s, "h1")
+	_, commands := w.says(4*sec, 5, tasks...)
+	if n := countCommands(commands, "stop"); n != 2 {
+		t.Fatalf("%d stopped to make room for two cores, commands %v", n, commands)
 	}
-	same := job("j-3", 1, model.Array)
+	same := newJob("j-3", 1, model.Array)
 	same.Priority, same.Team = model.LowPriority, "blue"
-	h.AddJob(same, model.Set{}, "", 4*sec, 0)
-	h.Place(200*sec, true)
+	s.AddJob(same, model.Set{}, "", 4*sec, 0)
+	s.Place(200*sec, true)
 	stops := 0
-	for _, b := range h.Machines["h1"].Bindings {
+	for _, b := range s.Machines["h1"].Bindings {
 		if b.Stopping {
 			stops++
 		}
@@ -75,17 +75,17 @@
 // after a quarter of the time that it can spare, and not before.
 func TestUrgentByDeadline(t *testing.T) {
 	for _, at := range []model.Micros{4 * sec, 12 * sec} {
-		h := newHolder(5)
-		low := job("j-1", 4, model.Array)
+		s := newTestState(5)
+		low := newJob("j-1", 4, model.Array)
 		low.Priority, low.Team = model.LowPriority, "blue"
-		h.AddJob(low, model.Set{}, "", 0, 0)
-		w := newWorker(h, "h1", "box", "a")
+		s.AddJob(low, model.Set{}, "", 0, 0)
+		w := newWorker(s, "h1", "box", "a")
 		w.starts()
-		due := job("j-2", 1, model.Array)
+		due := newJob("j-2", 1, model.Array)
 		due.Priority, due.Class, due.EstimatedRun, due.Deadline = model.HighPriority, "due", 10*sec, 50*sec
-		h.AddJob(due, model.Set{}, "", 0, 0)
-		_, commands := w.says(at, 5, running(h, "h1")...)
-		if n := verbs(commands, "stop"); n != map[model.Micros]int{4 * sec: 0, 12 * sec: 1}[at] {
+		s.AddJob(due, model.Set{}, "", 0, 0)
+		_, commands := w.says(at, 5, running(s, "h1")...)
+		if n := countCommands(commands, "stop"); n != map[model.Micros]int{4 * sec: 0, 12 * sec: 1}[at] {
 			t.Errorf("%d stopped at %.0f s for a job that can spare 40 s", n, at.Seconds())
 		}
 	}
@@ -93,28 +93,28 @@
 
 // A machine on which tasks run far longer than expected gets work last.
 func TestSlowMachineIsNoticed(t *testing.T) {
-	h := newHolder(5)
-	js := h.AddJob(job("j-1", 2, model.Array), model.Set{}, "", 0, 0)
-	w := newWorker(h, "h1", "box", "a")
+	s := newTestState(5)
+	job := s.AddJob(newJob("j-1", 2, model.Array), model.Set{}, "", 0, 0)
+	w := newWorker(s, "h1", "box", "a")
 	w.says(sec, 5)
-	write(h, sec)
+	commitAll(s, sec)
 	running := func(now model.Micros) {
-		var ps []TaskStatus
+		var tasks []TaskStatus
 		for n := range 2 {
-			ps = append(ps, TaskStatus{ID: js.Bindings[n][0].ID, Attempt: js.Bindings[n][0].Attempt, Status: model.Running})
+			tasks = append(tasks, TaskStatus{ID: job.Bindings[n][0].ID, Attempt: job.Bindings[n][0].Attempt, Status: model.Running})
 		}
-		w.says(now, 5, ps...)
+		w.says(now, 5, tasks...)
 	}
 	running(2 * sec)
 	running(30 * sec)
-	if h.Machines["h1"].SlowUntil != 0 {
+	if s.Machines["h1"].SlowUntil != 0 {
 		t.Fatal("slow after less than three times the expected run")
 	}
 	running(40 * sec)
-	newWorker(h, "h2", "box", "a").says(40*sec, 5)
-	h.AddJob(job("j-2", 1, model.Array), model.Set{}, "", 40*sec, 0)
-	h.Place(40*sec, true)
-	if len(h.Machines["h2"].Bindings) != 1 {
+	newWorker(s, "h2", "box", "a").says(40*sec, 5)
+	s.AddJob(newJob("j-2", 1, model.Array), model.Set{}, "", 40*sec, 0)
+	s.Place(40*sec, true)
+	if len(s.Machines["h2"].Bindings) != 1 {
 		t.Fatal("new work goes to the slow machine")
 	}
 }
@@ -123,20 +123,20 @@
 // with one task: the others go on.
 func TestLongWaitingJobBegins(t *testing.T) {
 	for _, wait := range []model.Micros{60 * sec, 200 * sec} {
-		h := newHolder(5)
-		h.AddJob(job("j-1", 90, model.Array), model.Set{}, "", 0, 0)
-		w := newWorker(h, "h1", "box", "a")
+		s := newTestState(5)
+		s.AddJob(newJob("j-1", 90, model.Array), model.Set{}, "", 0, 0)
+		w := newWorker(s, "h1", "box", "a")
 		w.starts()
-		low := job("j-2", 3, model.Array)
+		low := newJob("j-2", 3, model.Array)
 		low.Priority = model.LowPriority
-		js := h.AddJob(low, model.Set{}, "", 2*sec, 0)
-		ps := running(h, "h1")
-		w.says(wait, 5, ps...)
-		ps[0].Status, ps[0].Cause = model.Exited, "done"
-		ps[1].Status, ps[1].Cause = model.Exited, "done"
-		w.says(wait+sec, 5, ps...)
-		if n := js.BindingCount(); (n == 1) != (wait > 150*sec) || n > 1 || len(h.Machines["h1"].Bindings) != 4 {
-			t.Errorf("after %v s: %d tasks of the waiting job, %d bound in all", wait.Seconds(), n, len(h.Machines["h1"].Bindings))
+		job := s.AddJob(low, model.Set{}, "", 2*sec, 0)
+		tasks := running(s, "h1")
+		w.says(wait, 5, tasks...)
+		tasks[0].Status, tasks[0].Cause = model.Exited, "done"
+		tasks[1].Status, tasks[1].Cause = model.Exited, "done"
+		w.says(wait+sec, 5, tasks...)
+		if n := job.BindingCount(); (n == 1) != (wait > 150*sec) || n > 1 || len(s.Machines["h1"].Bindings) != 4 {
+			t.Errorf("after %v s: %d tasks of the waiting job, %d bound in all", wait.Seconds(), n, len(s.Machines["h1"].Bindings))
 		}
 	}
 }
@@ -145,67 +145,67 @@
 // aims; what has missed one comes next, and at last what can meet none. Serving by
 // age alone makes every job late once more is asked than there is room for.
 func TestOrderWithinAClass(t *testing.T) {
-	h := newHolder(5)
-	h.Params.Waits = map[string][]model.Micros{"c": {30 * sec, 150 * sec}}
+	s := newTestState(5)
+	s.Params.Waits = map[string][]model.Micros{"c": {30 * sec, 150 * sec}}
 	now := 200 * sec
-	run := h.AddJob(job("j-run", 20, model.Array), model.Set{}, "", now, 0)
-	m := h.AddMachine("h1", "box", "a", false, 0)
+	run := s.AddJob(newJob("j-run", 20, model.Array), model.Set{}, "", now, 0)
+	machine := s.AddMachine("h1", "box", "a", false, 0)
 	for n := range 20 { // two end in a second
-		h.addBinding(run, n, m, uint64(n+1), now)
+		s.addBinding(run, n, machine, uint64(n+1), now)
 	}
-	add := func(ref string, tasks int, age model.Micros) *model.JobState {
-		j := job(ref, tasks, model.Gang)
-		j.AcceptedRevision = uint64(now - age)
-		return h.AddJob(j, model.Set{}, "", now, age)
+	add := func(machineID string, tasks int, age model.Micros) *model.JobState {
+		spec := newJob(machineID, tasks, model.Gang)
+		spec.AcceptedRevision = uint64(now - age)
+		return s.AddJob(spec, model.Set{}, "", now, age)
 	}
 	want := []*model.JobState{add("j-small", 2, 5*sec), add("j-large", 12, 20*sec), add("j-missed", 2, 40*sec), add("j-hopeless", 2, 160*sec)}
 	order := func() []*model.JobState {
-		w := h.World(now)
+		w := s.World(now)
 		w.Sort()
-		return slices.DeleteFunc(w.Jobs, func(j *model.JobState) bool { return len(j.Waiting) == 0 })
+		return slices.DeleteFunc(w.Jobs, func(job *model.JobState) bool { return len(job.Waiting) == 0 })
 	}
 	if got := order(); !slices.Equal(got, want) {
-		for i, j := range got {
-			t.Errorf("%s is served as number %d", j.ID, i)
+		for i, job := range got {
+			t.Errorf("%s is served as number %d", job.ID, i)
 		}
 	}
 	// As long as what waits can be had in time, what is about to miss the last time
 	// goes first; else this would only make all the others late.
 	near := add("j-near", 12, 118*sec)
-	if j := order()[0]; j != near {
-		t.Errorf("%s goes before what is about to be late", j.ID)
+	if job := order()[0]; job != near {
+		t.Errorf("%s goes before what is about to be late", job.ID)
 	}
 	add("j-crowd", 400, 0)
-	if j := order()[0]; j != want[0] {
-		t.Errorf("%s goes first though not all can begin in time", j.ID)
+	if job := order()[0]; job != want[0] {
+		t.Errorf("%s goes first though not all can begin in time", job.ID)
 	}
 }
 
 // Jobs begin by turns early enough that all do within four minutes, by the rate
 // at which tasks of their class begin. One of which tasks are done has begun, also
-// for a new holder that saw none of them run; but what has begun, and has had
+// for a new owner that saw none of them run; but what has begun, and has had
 // nothing on a machine for as long, is not left out for ever either.
 func TestJobsBeginInTimeByTheRateOfTheirClass(t *testing.T) {
-	h := newHolder(5)
+	s := newTestState(5)
 	now := 200 * sec
-	run := h.AddJob(job("j-run", 5, model.Array), model.Set{}, "", now, 190*sec)
-	m := h.AddMachine("h1", "box", "a", false, 0)
+	run := s.AddJob(newJob("j-run", 5, model.Array), model.Set{}, "", now, 190*sec)
+	machine := s.AddMachine("h1", "box", "a", false, 0)
 	for n := range 5 { // of ten seconds each: one begins every two seconds
-		h.addBinding(run, n, m, uint64(n+1), now)
+		s.addBinding(run, n, machine, uint64(n+1), now)
 	}
 	run.HasRun = true
 	var old []*model.JobState
 	for i := range 20 {
-		old = append(old, h.AddJob(job("j-"+string(rune('a'+i)), 3, model.Array), model.Set{}, "", now, 100*sec))
+		old = append(old, s.AddJob(newJob("j-"+string(rune('a'+i)), 3, model.Array), model.Set{}, "", now, 100*sec))
 	}
 	done := model.Set{}
 	done.Add(0)
-	begun := h.AddJob(job("j-begun", 3, model.Array), done, "", now, 190*sec)
+	begun := s.AddJob(newJob("j-begun", 3, model.Array), done, "", now, 190*sec)
 	begun.IdleSince = 150 * sec
 	starved := func() (n int) {
-		h.World(now).Sort()
-		for _, j := range old {
-			if j.Starved {
+		s.World(now).Sort()
+		for _, job := range old {
+			if job.Starved {
 				n++
 			}
 		}
@@ -215,9 +215,9 @@
 		t.Errorf("%d of 20 go before all others though they would begin in 140 s, one that has begun: %v", n, begun.Starved)
 	}
 	for i := range 40 {
-		j := h.AddJob(job("j-more"+string(rune('a'+i)), 3, model.Array), model.Set{}, "", now, 100*sec)
-		j.AcceptedRevision = 1
-		old = append(old, j)
+		job := s.AddJob(newJob("j-more"+string(rune('a'+i)), 3, model.Array), model.Set{}, "", now, 100*sec)
+		job.AcceptedRevision = 1
+		old = append(old, job)
 	}
 	if n := starved(); n != 60 {
 		t.Errorf("%d of 60 go before all others though the last would begin after 220 s", n)
@@ -232,12 +232,12 @@
 // the order of the others, what can still meet an aim would go before what can't,
 // and in a long overload the oldest would wait for ever.
 func TestOldestOfTheStarvedFirst(t *testing.T) {
-	h := newHolder(5)
-	h.Params.Waits = map[string][]model.Micros{"c": {30 * sec, 150 * sec}}
+	s := newTestState(5)
+	s.Params.Waits = map[string][]model.Micros{"c": {30 * sec, 150 * sec}}
 	now := 300 * sec
-	h.AddJob(job("j-young", 2, model.Gang), model.Set{}, "", now, 90*sec)
-	old := h.AddJob(job("j-old", 12, model.Gang), model.Set{}, "", now, 200*sec)
-	w := h.World(now)
+	s.AddJob(newJob("j-young", 2, model.Gang), model.Set{}, "", now, 90*sec)
+	old := s.AddJob(newJob("j-old", 12, model.Gang), model.Set{}, "", now, 200*sec)
+	w := s.World(now)
 	w.Sort()
 	if !w.Jobs[1].Starved || w.Jobs[0] != old {
 		t.Errorf("%s is served first; starved: %v, %v", w.Jobs[0].ID, w.Jobs[0].Starved, w.Jobs[1].Starved)
@@ -247,20 +247,20 @@
 // Of tasks alike, those whose image is there get the room that comes free: each
 // machine would else spend as long on images as on work.
 func TestTasksWhoseImageIsThereGoFirst(t *testing.T) {
-	h := newHolder(5)
-	h.AddJob(job("j-1", 4, model.Array), model.Set{}, "", 0, 0)
-	w := newWorker(h, "h1", "box", "a")
+	s := newTestState(5)
+	s.AddJob(newJob("j-1", 4, model.Array), model.Set{}, "", 0, 0)
+	w := newWorker(s, "h1", "box", "a")
 	w.starts()
-	ps := running(h, "h1")
-	w.says(3*sec, 5, ps...)
-	other, same := job("j-2", 1, model.Array), job("j-3", 1, model.Array)
+	tasks := running(s, "h1")
+	w.says(3*sec, 5, tasks...)
+	other, same := newJob("j-2", 1, model.Array), newJob("j-3", 1, model.Array)
 	other.Image, other.ImageGB = "x", 20
 	same.AcceptedRevision = 1
-	h.AddJob(other, model.Set{}, "", 3*sec, 0)
-	js := h.AddJob(same, model.Set{}, "", 3*sec, 0)
-	ps[0].Status, ps[0].Cause = model.Exited, "done"
-	w.says(4*sec, 5, ps...)
-	if len(js.Bindings) != 1 {
+	s.AddJob(other, model.Set{}, "", 3*sec, 0)
+	job := s.AddJob(same, model.Set{}, "", 3*sec, 0)
+	tasks[0].Status, tasks[0].Cause = model.Exited, "done"
+	w.says(4*sec, 5, tasks...)
+	if len(job.Bindings) != 1 {
 		t.Fatal("the room goes to a task that has to wait for its image")
 	}
 }
@@ -269,25 +269,25 @@
 // ones that wait for their image are not always the first: they would never run.
 func TestWhatIsWorthStopping(t *testing.T) {
 	for _, rank := range []model.Priority{model.NormalPriority, model.HighPriority} {
-		h := newHolder(5)
-		h.Params.Waits = map[string][]model.Micros{"hot": {8 * sec}}
-		gpu := job("j-1", 2, model.Array)
+		s := newTestState(5)
+		s.Params.Waits = map[string][]model.Micros{"hot": {8 * sec}}
+		gpu := newJob("j-1", 2, model.Array)
 		gpu.Team, gpu.Priority, gpu.Request.GPUs, gpu.Request.Cores = "blue", model.LowPriority, 1000, 4000
-		h.AddJob(gpu, model.Set{}, "", 0, 0)
-		w := newWorker(h, "h1", "gpu", "a")
+		s.AddJob(gpu, model.Set{}, "", 0, 0)
+		w := newWorker(s, "h1", "gpu", "a")
 		w.starts()
-		hot := job("j-2", 1, model.Array)
+		hot := newJob("j-2", 1, model.Array)
 		hot.Priority, hot.Class = rank, "hot"
-		h.AddJob(hot, model.Set{}, "", 2*sec, 0)
-		ps := running(h, "h1")
-		_, commands := w.says(20*sec, 5, ps...)
-		if n := verbs(commands, "stop"); n != int(rank-model.NormalPriority) {
+		s.AddJob(hot, model.Set{}, "", 2*sec, 0)
+		tasks := running(s, "h1")
+		_, commands := w.says(20*sec, 5, tasks...)
+		if n := countCommands(commands, "stop"); n != int(rank-model.NormalPriority) {
 			t.Errorf("rank %v: %d GPU tasks stopped for one without", rank, n)
 		}
 	}
 	w := &placement.World{Now: 20 * sec}
-	fetching := &model.Binding{Job: job("j-1", 1, model.Array), BoundAt: 0, ExpectedFetch: 60 * sec}
-	running := &model.Binding{Job: job("j-2", 1, model.Array), BoundAt: 0, RunningSince: 15 * sec}
+	fetching := &model.Binding{Job: newJob("j-1", 1, model.Array), BoundAt: 0, ExpectedFetch: 60 * sec}
+	running := &model.Binding{Job: newJob("j-2", 1, model.Array), BoundAt: 0, RunningSince: 15 * sec}
 	if w.PreemptionLoss(fetching) <= w.PreemptionLoss(running) || w.PreemptionLoss(fetching) != 4*w.PreemptionLoss(running) {
 		t.Errorf("20 s of fetching weigh %v, 5 s of work %v", w.PreemptionLoss(fetching), w.PreemptionLoss(running))
 	}
@@ -296,11 +296,11 @@
 // A job that meets its deadline, but not if a task begins anew half through its run, is
 // better off on machines that are not taken away.
 func TestLossMakesLate(t *testing.T) {
-	h := newHolder(5)
-	h.Params.Deadlines = map[string][]float64{"c": {1, 2}}
-	j := job("j-1", 1, model.Array) // thought to run for 10 s
-	j.Deadline = 30 * sec
-	js := h.AddJob(j, model.Set{}, "", 0, 0)
+	s := newTestState(5)
+	s.Params.Deadlines = map[string][]float64{"c": {1, 2}}
+	spec := newJob("j-1", 1, model.Array) // thought to run for 10 s
+	spec.Deadline = 30 * sec
+	job := s.AddJob(spec, model.Set{}, "", 0, 0)
 	for age, want := range map[model.Micros]bool{
 		0:        false, // 15 s, and two reports, fit into 30 s
 		15 * sec: true,  // 25 s do, but 30 s and two reports don't
@@ -308,7 +308,7 @@
 		42 * sec: true,
 		55 * sec: false, // nothing can be met any more
 	} {
-		if got := h.lossMakesLate(js, age); got != want {
+		if got := s.lossMakesLate(job, age); got != want {
 			t.Errorf("after %v s: %v", age.Seconds(), got)
 		}
 	}
--- a/internal/core/shard/records.go
+++ b/internal/core/shard/records.go
@@ -7,73 +7,76 @@
 	"woadweir/internal/core/model"
 )
 
-// MachineRecord is the durable record of a machine: what is bound to it.
+// MachineRecord is the durable record of a machine and the tasks that are bound to it.
 type MachineRecord struct {
 	MachineType string                 `json:"build"`
 	Zone        string                 `json:"yard"`
 	Spot        bool                   `json:"spot,omitempty"`
-	Tasks       map[string][][2]uint64 `json:"pieces,omitempty"` // job -> (task, try)
+	Tasks       map[string][][2]uint64 `json:"pieces,omitempty"` // job -> pairs of task index and attempt
 }
 
-// BundleRecord holds the records of some machines and the finished tasks of some
-// jobs, so that what changed on many of them costs a single change. A block has
-// several bundles; of a machine or job that stands in more than one, the bundle
-// that was written last counts. A machine that is nil there is gone.
+// BundleRecord holds the records of some machines and the finished tasks of some jobs,
+// so that changes of many of them are written at once. A shard has several bundles. Of
+// a machine or job that is in more than one, the bundle that was written last counts. A
+// machine that is nil is gone.
 type BundleRecord struct {
 	Machines map[string]*MachineRecord `json:"hosts,omitempty"`
 	Done     map[string][]byte         `json:"done,omitempty"` // job -> bit set of finished tasks
-	// Dense has it written in the dense form.
+	// Dense selects the dense encoding.
 	Dense bool `json:"-"`
 }
 
-// PartMark stands between a job and the number of a part of its finished tasks. A
-// job has parts if all its tasks' bits would be too large for a bundle.
+// PartMark separates a job and the number of a part of its finished tasks. Finished
+// tasks are stored in parts if the whole would be too large for a bundle.
 const PartMark = "#"
 
-// PartEntry names a part of a job's finished tasks.
-func PartEntry(ref string, k int) string { return DoneEntry + ref + PartMark + strconv.Itoa(k) }
+// PartEntry returns the name of the entry of a part of a job's finished tasks.
+func PartEntry(jobID string, part int) string {
+	return DoneEntry + jobID + PartMark + strconv.Itoa(part)
+}
 
-// Has tells whether an entry stands in the bundle.
+// Has tells whether the bundle has an entry of this name.
 func (b *BundleRecord) Has(name string) (ok bool) {
-	if ref, machine := strings.CutPrefix(name, MachineEntry); machine {
-		_, ok = b.Machines[ref]
+	if machineID, machine := strings.CutPrefix(name, MachineEntry); machine {
+		_, ok = b.Machines[machineID]
 	} else {
 		_, ok = b.Done[strings.TrimPrefix(name, DoneEntry)]
 	}
 	return ok
 }
 
-// Names lists the entries of a bundle.
+// Names lists the names of the entries of a bundle.
 func (b *BundleRecord) Names() []string {
 	names := make([]string, 0, len(b.Machines)+len(b.Done))
-	for ref := range b.Machines {
-		names = append(names, MachineEntry+ref)
+	for machineID := range b.Machines {
+		names = append(names, MachineEntry+machineID)
 	}
-	for ref := range b.Done {
-		names = append(names, DoneEntry+ref)
+	for jobOrPart := range b.Done {
+		names = append(names, DoneEntry+jobOrPart)
 	}
 	return names
 }
 
-// JobRecord is a job's one key for its whole life: the submission until its end,
-// and then the end, for ever. A withdrawn job keeps its submission, as what is
-// still on machines has to be counted; of a done one nothing can be.
+// JobRecord is the durable record of a job: its submission until the job ends, and then
+// its end, for ever. A cancelled job keeps its submission, as its tasks may still be on
+// machines and use resources. A done job has none there.
 type JobRecord struct {
 	Spec  *model.Submission `json:"spec,omitempty"`
 	End   string            `json:"end,omitempty"`
 	Tasks int               `json:"pieces,omitempty"`
-	// AtMs is the time of day of the end: the times of jobs that await this one count
-	// from then.
+	// AtMs is the time of day of the end, from which the waiting times of jobs that
+	// depend on this one count.
 	AtMs int64 `json:"atMs,omitempty"`
 }
 
-// Entries of bundles.
+// The prefixes of the names of the entries of bundles.
 const (
 	MachineEntry = "host/"
 	DoneEntry    = "done/"
 )
 
-func record(m *model.Machine) *MachineRecord {
+// machineRecord returns the present record of a machine.
+func machineRecord(m *model.Machine) *MachineRecord {
 	rec := &MachineRecord{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Tasks: make(map[string][][2]uint64, len(m.Bindings))}
 	for id, b := range m.Bindings {
 		rec.Tasks[id.Job] = append(rec.Tasks[id.Job], [2]uint64{uint64(id.Index), b.Attempt})
--- a/internal/core/shard/room.go
+++ b/internal/core/shard/room.go
@@ -4,72 +4,76 @@
 	"woadweir/internal/core/model"
 )
 
-// bootBy is how long a machine that was rented is counted as coming, in boot times.
-const bootBy = 2
+// bootTimeFactor is the number of boot times for which a rented machine is expected to
+// come up.
+const bootTimeFactor = 2
 
-// coming tells whether a machine was rented a moment ago and is thought to come up.
-func (h *State) coming(m *model.Machine, now model.Micros) bool {
-	f := h.MachineTypes[m.MachineType]
-	return !m.Up && !m.Failed && f != nil && now-m.RentedAt < bootBy*model.Seconds(f.BootS)
+// isBooting tells whether a machine was rented recently and is expected to come up.
+func (s *State) isBooting(m *model.Machine, now model.Micros) bool {
+	machineType := s.MachineTypes[m.MachineType]
+	return !m.Up && !m.Failed && machineType != nil && now-m.RentedAt < bootTimeFactor*model.Seconds(machineType.BootS)
 }
 
-// RoomFor tells whether so many more tasks of a job find room now on machines that are
-// up, with that share of these machines' capacity left free.
-func (h *State) RoomFor(j *model.Job, tasks int, headroom float64) bool {
-	return h.roomOn(j, tasks, headroom, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers })
+// RoomFor tells whether so many more tasks of a job fit now on the machines that are
+// up, with the given share of the capacity of these machines left free.
+func (s *State) RoomFor(job *model.Job, tasks int, headroom float64) bool {
+	return s.hasRoom(job, tasks, headroom, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers })
 }
 
-// RoomSoonFor is RoomFor without headroom, on machines that are up or coming.
-func (h *State) RoomSoonFor(j *model.Job, tasks int, now model.Micros) bool {
-	return h.roomOn(j, tasks, 0, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers || h.coming(m, now) })
+// RoomSoonFor is like RoomFor without headroom, on machines that are up or booting.
+func (s *State) RoomSoonFor(job *model.Job, tasks int, now model.Micros) bool {
+	return s.hasRoom(job, tasks, 0, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers || s.isBooting(m, now) })
 }
 
-func (h *State) roomOn(j *model.Job, tasks int, headroom float64, usable func(m *model.Machine) bool) bool {
+// hasRoom tells whether so many more tasks of a job fit on the usable machines, with
+// the given share of the capacity of these machines left free.
+func (s *State) hasRoom(job *model.Job, tasks int, headroom float64, usable func(m *model.Machine) bool) bool {
 	var total, free model.Resources
 	byZone := map[string]int{}
-	for _, m := range h.Machines {
+	for _, m := range s.Machines {
 		if !usable(m) || m.Lost || m.Deleting || m.Draining || m.Quarantined || m.SpotNotice {
 			continue
 		}
 		total = total.Plus(m.Size)
 		free = free.Plus(m.Free())
-		if j.Allows(m.MachineType, m.Zone, m.Spot) {
-			byZone[m.Zone] += j.Request.Count(m.Free(), tasks)
+		if job.Allows(m.MachineType, m.Zone, m.Spot) {
+			byZone[m.Zone] += job.Request.Count(m.Free(), tasks)
 		}
 	}
-	left := free.Minus(j.Request.Times(tasks))
+	left := free.Minus(job.Request.Times(tasks))
 	if float64(left.Cores) < headroom*float64(total.Cores) {
 		return false
 	}
 	sum := 0
 	for _, n := range byZone {
-		n = min(n, j.MaxPerZone())
-		if j.SameZone && n >= tasks {
+		n = min(n, job.MaxPerZone())
+		if job.SameZone && n >= tasks {
 			return true
 		}
 		sum += n
 	}
-	return !j.SameZone && sum >= tasks
+	return !job.SameZone && sum >= tasks
 }
 
-// WithinLimit tells whether so many more tasks of a job stay within its team's limit.
-func (h *State) WithinLimit(j *model.Job, tasks int) bool {
-	team := h.Params.Teams[j.Team]
-	return team != nil && team.Within(h.Used[j.Team].Plus(j.Request.Times(tasks)))
+// WithinLimit tells whether so many more tasks of a job are within the limit of its
+// team.
+func (s *State) WithinLimit(job *model.Job, tasks int) bool {
+	team := s.Params.Teams[job.Team]
+	return team != nil && team.Within(s.Used[job.Team].Plus(job.Request.Times(tasks)))
 }
 
-// OwnWorkWaits tells whether a job of this cell has waited for so long and could start,
-// were there machines.
-func (h *State) OwnWorkWaits(patience, now model.Micros) bool {
-	for _, js := range h.Jobs {
-		if js.HomeCell != "" || js.Suspended || js.Ended != "" || len(js.Waiting) == 0 || now < js.NotBefore {
+// OwnWorkWaits tells whether a job of this cell has waited for longer than the
+// patience, and only lacks machines to start.
+func (s *State) OwnWorkWaits(patience, now model.Micros) bool {
+	for _, job := range s.Jobs {
+		if job.HomeCell != "" || job.Suspended || job.Ended != "" || len(job.Waiting) == 0 || now < job.NotBefore {
 			continue
 		}
 		least := 1
-		if js.Kind == model.Gang {
-			least = len(js.Waiting)
+		if job.Kind == model.Gang {
+			least = len(job.Waiting)
 		}
-		if now-max(js.ReadySince, js.IdleSince) > patience && h.WithinLimit(js.Job, least) {
+		if now-max(job.ReadySince, job.IdleSince) > patience && s.WithinLimit(job.Job, least) {
 			return true
 		}
 	}
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -1,7 +1,7 @@
-// Package shard is the holder's view of the machines in its blocks and of the
-// tasks on them: what is bound where, what a report proves, and which commands
-// a worker is to get. It is pure: reports and times go in, commands and records
-// to be written come out.
+// Package shard has the state of the machines in a shard and of the tasks that are
+// bound to them. Its owner, a controller, applies the heartbeats of workers, and gets
+// the commands of the responses and the records that have to be written. The package
+// does no input or output and reads no clock: both are the caller's.
 package shard
 
 import (
@@ -9,98 +9,119 @@
 	"woadweir/internal/core/placement"
 )
 
-// Params are the settings that the holder needs.
+// Params are the settings of a shard.
 type Params struct {
 	Teams    map[string]*model.Team
-	Report   model.Micros
-	Lease    model.Micros
-	GangWait model.Micros
-	MaxValue int                       // bytes of a bundle
-	Dense    bool                      // bundles are written in the dense form
-	Waits    map[string][]model.Micros // by class: the times within which its tasks are to start, ascending
-	Finish   map[string][]model.Micros // by class: the times within which its jobs are to be done, ascending
-	// Deadlines are, by class, the multiples of their deadline by which its jobs are
-	// to be done, ascending.
+	Report   model.Micros // interval of heartbeats
+	Lease    model.Micros // workers kill their tasks if they get no response for so long
+	GangWait model.Micros // time for which a worker keeps a gang's task waiting for the others
+	MaxValue int          // bytes of a bundle at most, 0 for no limit
+	Dense    bool         // bundles are written in the dense encoding
+	// Waits has, by class, the times within which its tasks should start, ascending.
+	Waits map[string][]model.Micros
+	// Finish has, by class, the times within which its jobs should be done, ascending.
+	Finish map[string][]model.Micros
+	// Deadlines has, by class, the multiples of their deadline within which its jobs
+	// should be done, ascending.
 	Deadlines map[string][]float64
-	// Guarantee is the time within which jobs within their team's guarantee are to
-	// start, 0 if they are not counted one by one.
+	// Guarantee is the time within which jobs within the guarantee of their team should
+	// start, 0 if that is not measured for each job.
 	Guarantee model.Micros
-	Margin    model.Micros // added where the end of another's lease is waited for
+	// Margin is added where the expiry of another process's lease is waited for.
+	Margin model.Micros
 }
 
 // Event is a decision worth a log line.
 type Event struct {
-	What, Machine, Task, Why string
+	Kind, Machine, Task, Why string
 	Attempt                  uint64
 }
 
-// State is the state of one block holder. It belongs to one actor.
+// State is the state of one shard, as its owner knows it. It must be used by a single
+// goroutine at a time.
 type State struct {
 	Params       Params
-	Token        uint64
+	Token        uint64 // fencing token of the grant under which we own the shard
 	Jobs         map[string]*model.JobState
 	Machines     map[string]*model.Machine
-	Used         map[string]model.Resources
+	Used         map[string]model.Resources // by team
 	MachineTypes map[string]*model.MachineType
 	Log          func(Event)
-	// NeedsPlacement is set when something happened that may let waiting work start.
+	// NeedsPlacement is set when something happened that may let waiting tasks start.
 	NeedsPlacement bool
 
-	seq    uint64
-	queue  []string
-	queued map[string]bool
-	slots  []*slot
-	liveAt map[string]int // entry -> the slot with its latest durable version
-	copies map[string]int // entry -> how many slots hold some version of it
-	ends   []string       // jobs whose end is to be written
-	again  []Write        // bundles whose last write may yet be carried out late
-	opened int            // bundles begun since the slots were last recounted
-	labels map[string]int // bytes of names
-	// oldestAttempt is no larger than any attempt bound now, as of the last look.
+	attemptCount uint64
+	// oldestAttempt is a lower bound of the attempts that were bound at its last refresh.
 	oldestAttempt uint64
-	runTimes      map[string]*runStat
+	runTimes      map[string]*runTimeStats // by class
+	classLoads    map[string]classLoad     // by class, as of the last placement round
+	reservations  map[*model.JobState][]placement.Reservation
 
-	reservations map[*model.JobState][]placement.Reservation
-	classLoads   map[string]classLoad // by class, of the last round
+	queue               []string        // entries to be written
+	queued              map[string]bool // the same, as a set
+	pendingEnds         []string        // jobs whose end is to be written
+	unanswered          []Write         // bundles whose last write may yet be carried out late
+	slots               []*bundleSlot
+	latestSlot          map[string]int // entry -> the slot with its latest durable version
+	copies              map[string]int // entry -> the number of slots with some version of it
+	bundlesSinceRecount int            // bundles begun since the slots were last recounted
+	labelSizes          map[string]int // bytes of the names of machine types and zones
 }
 
-// New makes a holder with nothing in it.
-func New(p Params, token uint64) *State {
-	return &State{Params: p, Token: token, oldestAttempt: token << 20, Jobs: map[string]*model.JobState{}, Machines: map[string]*model.Machine{},
-		Used: map[string]model.Resources{}, MachineTypes: map[string]*model.MachineType{}, Log: func(Event) {},
-		queued: map[string]bool{}, liveAt: map[string]int{}, copies: map[string]int{}, labels: map[string]int{}, runTimes: map[string]*runStat{}, reservations: map[*model.JobState][]placement.Reservation{}}
+// New returns the state of a shard without machines and jobs.
+func New(params Params, token uint64) *State {
+	return &State{
+		Params:        params,
+		Token:         token,
+		Jobs:          map[string]*model.JobState{},
+		Machines:      map[string]*model.Machine{},
+		Used:          map[string]model.Resources{},
+		MachineTypes:  map[string]*model.MachineType{},
+		Log:           func(Event) {},
+		oldestAttempt: token << attemptBits,
+		runTimes:      map[string]*runTimeStats{},
+		reservations:  map[*model.JobState][]placement.Reservation{},
+		queued:        map[string]bool{},
+		latestSlot:    map[string]int{},
+		copies:        map[string]int{},
+		labelSizes:    map[string]int{},
+	}
 }
 
-// NextAttempt gives an attempt number that no start has ever carried: the token is
-// this grant's alone, and grows with every grant.
-func (h *State) NextAttempt() uint64 {
-	h.seq++
-	return h.Token<<20 + h.seq
+// attemptBits is the number of low bits of an attempt that count the attempts under a
+// token. The bits above them are the token.
+const attemptBits = 20
+
+// NextAttempt returns an attempt number that no start has ever had: no other grant has
+// our token, and every grant has a higher one than those before.
+func (s *State) NextAttempt() uint64 {
+	s.attemptCount++
+	return s.Token<<attemptBits + s.attemptCount
 }
 
-// AddMachine makes a machine known.
-func (h *State) AddMachine(ref, machineType, zone string, spot bool, now model.Micros) *model.Machine {
-	if m := h.Machines[ref]; m != nil {
+// AddMachine adds a machine, unless it is known already.
+func (s *State) AddMachine(machineID, machineType, zone string, spot bool, now model.Micros) *model.Machine {
+	if m := s.Machines[machineID]; m != nil {
 		return m
 	}
-	m := &model.Machine{ID: ref, MachineType: machineType, Zone: zone, Spot: spot, Bindings: map[model.TaskID]*model.Binding{},
+	m := &model.Machine{ID: machineID, MachineType: machineType, Zone: zone, Spot: spot, Bindings: map[model.TaskID]*model.Binding{},
 		LastAnswer: now, RentedAt: now, EmptySince: now}
-	if f := h.MachineTypes[machineType]; f != nil {
-		m.Size = f.Size()
+	if known := s.MachineTypes[machineType]; known != nil {
+		m.Size = known.Size()
 	}
-	h.Machines[ref] = m
+	s.Machines[machineID] = m
 	return m
 }
 
-// SetMachineTypes brings the machine types up to date.
-func (h *State) SetMachineTypes(fs []model.MachineType) {
-	for i := range fs {
-		h.MachineTypes[fs[i].Name] = &fs[i]
+// SetMachineTypes updates the machine types.
+func (s *State) SetMachineTypes(machineTypes []model.MachineType) {
+	for i := range machineTypes {
+		s.MachineTypes[machineTypes[i].Name] = &machineTypes[i]
 	}
-	for _, m := range h.Machines {
-		if f := h.MachineTypes[m.MachineType]; f != nil {
-			m.Size = f.Size()
+	for _, m := range s.Machines {
+		if machineType := s.MachineTypes[m.MachineType]; machineType != nil {
+			m.Size = machineType.Size()
 		}
 	}
-	h.NeedsPlacement = true
+	s.NeedsPlacement = true
 }
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -4,79 +4,79 @@
 
 const sec = model.Second
 
-func newHolder(token uint64) *State {
-	h := New(Params{
+func newTestState(token uint64) *State {
+	s := New(Params{
 		Teams: map[string]*model.Team{
 			"red":  {Name: "red", Guaranteed: model.Resources{Cores: 8000}, Limit: model.Resources{Cores: 8000}},
 			"blue": {Name: "blue", Limit: model.Resources{Cores: 100_000, GPUs: 8000}},
 		},
 		Report: 5 * sec / 2, Lease: 18 * sec, GangWait: 30 * sec, Margin: sec, MaxValue: 28_000,
 	}, token)
-	h.SetMachineTypes([]model.MachineType{
+	s.SetMachineTypes([]model.MachineType{
 		{Name: "box", Cores: 4, MemoryGB: 16, CacheGB: 50, FetchGBps: 1, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: []string{"a", "b"}},
 		{Name: "gpu", Cores: 8, GPUs: 2, MemoryGB: 32, CacheGB: 50, FetchGBps: 1, Price: 9, SpotPrice: 4, BootS: 10, Zones: []string{"a", "b"}}})
-	return h
+	return s
 }
 
-func job(ref string, tasks int, shape model.JobKind) *model.Job {
-	return &model.Job{ID: ref, Class: "c", Team: "red", Kind: shape, Priority: model.NormalPriority, Tasks: tasks,
+func newJob(id string, tasks int, kind model.JobKind) *model.Job {
+	return &model.Job{ID: id, Class: "c", Team: "red", Kind: kind, Priority: model.NormalPriority, Tasks: tasks,
 		Request: model.Resources{Cores: 1000, Mem: 1000}, Image: "i", ImageGB: 1, EstimatedRun: 10 * sec, AllowsSpot: true}
 }
 
 // worker is a scripted worker: it says what it is told to say.
 type worker struct {
-	h     *State
-	r     Report
-	tally uint64
+	state     *State
+	heartbeat Heartbeat
+	sequence  uint64
 }
 
-func newWorker(h *State, ref, machineType, zone string) *worker {
-	return &worker{h: h, r: Report{Machine: ref, MachineType: machineType, Zone: zone, Session: 1}}
+func newWorker(s *State, machineID, machineType, zone string) *worker {
+	return &worker{state: s, heartbeat: Heartbeat{Machine: machineID, MachineType: machineType, Zone: zone, Incarnation: 1}}
 }
 
 // says has the worker report these tasks, and returns the commands it gets.
 // One that has not reported for a while has first to show that it hears.
-func (w *worker) says(now model.Micros, token uint64, ps ...TaskStatus) (Verdict, []Command) {
-	if m := w.h.Machines[w.r.Machine]; token == w.h.Token && (m == nil || now-m.LastHeartbeat > 3*sec) {
-		w.tally++
-		r := w.r
-		r.Sequence, r.Token, r.Tasks = w.tally, token, ps
-		w.h.ApplyHeartbeat(&r, now-sec/2)
+func (w *worker) says(now model.Micros, token uint64, tasks ...TaskStatus) (Verdict, []Command) {
+	if m := w.state.Machines[w.heartbeat.Machine]; token == w.state.Token && (m == nil || now-m.LastHeartbeat > 3*sec) {
+		w.sequence++
+		heartbeat := w.heartbeat
+		heartbeat.Sequence, heartbeat.Token, heartbeat.Tasks = w.sequence, token, tasks
+		w.state.ApplyHeartbeat(&heartbeat, now-sec/2)
 	}
-	w.tally++
-	r := w.r
-	r.Sequence, r.Token, r.Tasks = w.tally, token, ps
-	v := w.h.ApplyHeartbeat(&r, now)
-	if v != Taken {
+	w.sequence++
+	heartbeat := w.heartbeat
+	heartbeat.Sequence, heartbeat.Token, heartbeat.Tasks = w.sequence, token, tasks
+	v := w.state.ApplyHeartbeat(&heartbeat, now)
+	if v != Accepted {
 		return v, nil
 	}
-	w.h.Place(now, true)
-	return v, w.h.Commands(&r, now)
+	w.state.Place(now, true)
+	return v, w.state.Commands(&heartbeat, now)
 }
 
 // starts has the worker report with nothing on it, and again once what was bound
 // then is durable: it is told to start that.
 func (w *worker) starts() {
-	w.says(sec, w.h.Token)
-	write(w.h, sec)
-	w.says(2*sec, w.h.Token)
+	w.says(sec, w.state.Token)
+	commitAll(w.state, sec)
+	w.says(2*sec, w.state.Token)
 }
 
-// write makes everything that waits durable.
-func write(h *State, now model.Micros) (keys []string) {
-	for h.Queued() > 0 {
-		ws := h.Writes(16, 48<<10)
-		for _, w := range ws {
-			for e := range w.vers {
+// commitAll makes everything that is queued durable.
+func commitAll(s *State, now model.Micros) (keys []string) {
+	for s.Queued() > 0 {
+		writes := s.Writes(16, 48<<10)
+		for _, write := range writes {
+			for e := range write.versions {
 				keys = append(keys, e)
 			}
 		}
-		h.Committed(ws, now)
+		s.Committed(writes, now)
 	}
 	return keys
 }
 
-func verbs(commands []Command, verb string) (n int) {
+func countCommands(commands []Command, verb string) (n int) {
 	for _, o := range commands {
 		if o.Op == verb {
 			n++
@@ -85,8 +85,8 @@
 	return n
 }
 
-func bound(h *State, ref string) *model.Binding {
-	for _, b := range h.Machines[ref].Bindings {
+func bound(s *State, machineID string) *model.Binding {
+	for _, b := range s.Machines[machineID].Bindings {
 		return b
 	}
 	return nil
@@ -94,9 +94,9 @@
 
 // running are the tasks of a report that says that all that is bound to a machine
 // runs.
-func running(h *State, ref string) (ps []TaskStatus) {
-	for _, b := range h.Machines[ref].Bindings {
-		ps = append(ps, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running})
+func running(s *State, machineID string) (tasks []TaskStatus) {
+	for _, b := range s.Machines[machineID].Bindings {
+		tasks = append(tasks, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running})
 	}
-	return ps
+	return tasks
 }
--- a/internal/core/shard/sizes.go
+++ b/internal/core/shard/sizes.go
@@ -8,15 +8,16 @@
 	"woadweir/internal/core/model"
 )
 
-// Bytes of records in JSON, counted from above.
+// Upper bounds of the bytes that parts of records take in JSON.
 const (
-	bytesPerMachine = len(`"":{"build":,"yard":,"spot":true,"pieces":{}},`)
-	bytesPerTask    = len(`[,],`)   // and the digits
-	bytesPerJob     = len(`"":[],`) // of the pieces on a machine
-	bytesPerDone    = len(`"":"",`) + 4
-	bytesBundle     = len(`{"hosts":{},"done":{}}`)
+	bytesPerMachine  = len(`"":{"build":,"yard":,"spot":true,"pieces":{}},`)
+	bytesPerTask     = len(`[,],`)   // without the digits
+	bytesPerJob      = len(`"":[],`) // of the tasks on a machine, without its name
+	bytesPerFinished = len(`"":"",`) + 4
+	bytesBundle      = len(`{"hosts":{},"done":{}}`)
 )
 
+// digits returns the number of decimal digits of a number.
 func digits(v uint64) int {
 	n := 1
 	for ; v > 9; v /= 10 {
@@ -25,113 +26,123 @@
 	return n
 }
 
-// taskBytes is what a bound task takes in its machine's record, beside its job.
-func taskBytes(n int, attempt uint64) int { return bytesPerTask + digits(uint64(n)) + digits(attempt) }
+// taskBytes returns what a bound task takes in the record of its machine, besides its
+// job.
+func taskBytes(index int, attempt uint64) int {
+	return bytesPerTask + digits(uint64(index)) + digits(attempt)
+}
 
-// quoted is what a string takes in JSON.
-func quoted(s string) int {
-	raw, err := json.Marshal(s)
+// quotedBytes returns what a string takes in JSON.
+func quotedBytes(text string) int {
+	raw, err := json.Marshal(text)
 	if err != nil {
 		panic(err)
 	}
 	return len(raw)
 }
 
-func (h *State) machineBytes(m *model.Machine) int {
-	return bytesPerMachine + len(m.ID) + h.label(m.MachineType) + h.label(m.Zone) + m.RecordBytes
+// machineBytes returns the most that the record of a machine takes.
+func (s *State) machineBytes(m *model.Machine) int {
+	return bytesPerMachine + len(m.ID) + s.labelBytes(m.MachineType) + s.labelBytes(m.Zone) + m.RecordBytes
 }
 
-// label is what a machine type's or a zone's name takes in JSON: there are few.
-func (h *State) label(s string) int {
-	n, ok := h.labels[s]
+// labelBytes returns what the name of a machine type or a zone takes in JSON. These are
+// few, so the results are kept.
+func (s *State) labelBytes(name string) int {
+	n, ok := s.labelSizes[name]
 	if !ok {
-		n = quoted(s)
-		h.labels[s] = n
+		n = quotedBytes(name)
+		s.labelSizes[name] = n
 	}
 	return n
 }
 
-// addRecordBytes books a task in its machine's record, or takes it out with -1.
-func addRecordBytes(b *model.Binding, sign int) {
-	m := b.Machine
-	m.RecordBytes += sign * taskBytes(b.ID.Index, b.Attempt)
-	was := m.TaskCounts[b.ID.Job]
+// addRecordBytes adds what a task takes to the size of its machine's record, or
+// subtracts it with sign -1.
+func addRecordBytes(binding *model.Binding, sign int) {
+	machine := binding.Machine
+	machine.RecordBytes += sign * taskBytes(binding.ID.Index, binding.Attempt)
+	was := machine.TaskCounts[binding.ID.Job]
 	if was == 0 || was == 1 && sign < 0 {
-		m.RecordBytes += sign * (bytesPerJob + len(b.ID.Job))
+		machine.RecordBytes += sign * (bytesPerJob + len(binding.ID.Job))
 	}
-	if m.TaskCounts == nil {
-		m.TaskCounts = map[string]int{}
+	if machine.TaskCounts == nil {
+		machine.TaskCounts = map[string]int{}
 	}
-	if m.TaskCounts[b.ID.Job] = was + sign; was+sign == 0 {
-		delete(m.TaskCounts, b.ID.Job)
+	if machine.TaskCounts[binding.ID.Job] = was + sign; was+sign == 0 {
+		delete(machine.TaskCounts, binding.ID.Job)
 	}
 }
 
-// TaskSlots is how many more tasks of a job may be bound to a machine, so that its record
-// fits into a bundle beside what that has to carry along.
-func (h *State) TaskSlots(j *model.Job, m *model.Machine) int {
-	if h.Params.MaxValue == 0 {
+// TaskSlots returns how many more tasks of a job may be bound to a machine, so that its
+// record fits into a bundle beside the entries that the bundle has to keep.
+func (s *State) TaskSlots(job *model.Job, machine *model.Machine) int {
+	if s.Params.MaxValue == 0 {
 		return model.MaxTasks
 	}
-	left := h.Params.MaxValue - h.Params.MaxValue/carryShare - h.bundleBytes()
-	if h.Params.Dense {
-		left -= h.denseSize(MachineEntry+m.ID, nil) + inBase64(denseJob+denseName(j.ID, nil))
-		return max(0, left*3/4/h.denseTask(j.Tasks, (h.Token+1)<<20))
+	left := s.Params.MaxValue - s.Params.MaxValue/keptShare - s.bundleBytes()
+	if s.Params.Dense {
+		left -= s.denseEntryBytes(MachineEntry+machine.ID, nil) + base64Bytes(denseBytesJob+denseNameBytes(job.ID, nil))
+		return max(0, left*3/4/s.denseTaskBytes(job.Tasks, (s.Token+1)<<attemptBits))
 	}
-	left -= h.machineBytes(m) + bytesPerJob + len(j.ID)
-	return max(0, left/taskBytes(j.Tasks, (h.Token+1)<<20))
+	left -= s.machineBytes(machine) + bytesPerJob + len(job.ID)
+	return max(0, left/taskBytes(job.Tasks, (s.Token+1)<<attemptBits))
 }
 
-// parted tells whether a job's finished tasks are stored in parts.
-func (h *State) parted(j *model.Job) bool {
-	return h.Params.MaxValue > 0 && j.Tasks > model.TasksPerPart && doneBytes(j, (j.Tasks+7)/8) > h.Params.MaxValue/2
+// needsParts tells whether a job's finished tasks are stored in parts.
+func (s *State) needsParts(job *model.Job) bool {
+	return s.Params.MaxValue > 0 && job.Tasks > model.TasksPerPart && finishedBytes(job, (job.Tasks+7)/8) > s.Params.MaxValue/2
 }
 
-func doneBytes(j *model.Job, bits int) int { return bytesPerDone + len(j.ID) + (bits+2)/3*4 }
+// finishedBytes returns what a job's finished tasks take as a bit set of so many bytes.
+func finishedBytes(job *model.Job, bits int) int {
+	return bytesPerFinished + len(job.ID) + (bits+2)/3*4
+}
 
-// partOf is the job and the number of the part that an entry of finished tasks is
-// about, -1 for the whole.
-func (h *State) partOf(entry string) (*model.JobState, int) {
-	ref, part, parted := strings.Cut(strings.TrimPrefix(entry, DoneEntry), PartMark)
+// partOf returns the job of an entry of finished tasks and the number of its part, -1
+// for the whole.
+func (s *State) partOf(entry string) (*model.JobState, int) {
+	jobID, suffix, parted := strings.Cut(strings.TrimPrefix(entry, DoneEntry), PartMark)
 	if !parted {
-		return h.Jobs[ref], -1
+		return s.Jobs[jobID], -1
 	}
-	k, err := strconv.Atoi(part)
-	js := h.Jobs[ref]
-	if err != nil || js == nil || k < 0 || k >= model.Parts(js.Tasks) {
+	part, err := strconv.Atoi(suffix)
+	job := s.Jobs[jobID]
+	if err != nil || job == nil || part < 0 || part >= model.Parts(job.Tasks) {
 		return nil, 0
 	}
-	return js, k
+	return job, part
 }
 
-// bundleBytes is what a bundle takes beside its entries.
-func (h *State) bundleBytes() int {
-	if h.Params.Dense {
-		return denseBundle
+// bundleBytes returns what a bundle takes besides its entries.
+func (s *State) bundleBytes() int {
+	if s.Params.Dense {
+		return denseBytesBundle
 	}
 	return bytesBundle
 }
 
-// size is what an entry takes in a bundle of its own.
-func (h *State) size(entry string) int { return h.sizeIn(entry, nil) }
+// entryBytes returns the most that an entry takes in a bundle of its own.
+func (s *State) entryBytes(entry string) int { return s.entryBytesIn(entry, nil) }
 
-// sizeIn is what an entry takes in a bundle that has the known names in its tables.
-func (h *State) sizeIn(entry string, known map[string]bool) int {
-	if h.Params.Dense {
-		return h.denseSize(entry, known)
+// entryBytesIn returns the most that an entry takes in a bundle that has the known
+// names in its tables.
+func (s *State) entryBytesIn(entry string, known map[string]bool) int {
+	if s.Params.Dense {
+		return s.denseEntryBytes(entry, known)
 	}
-	if ref, ok := strings.CutPrefix(entry, MachineEntry); ok {
-		if m := h.Machines[ref]; m != nil {
-			return h.machineBytes(m)
+	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
+		if m := s.Machines[machineID]; m != nil {
+			return s.machineBytes(m)
 		}
-		return bytesPerMachine + len(ref)
+		return bytesPerMachine + len(machineID)
 	}
-	js, k := h.partOf(entry)
+	job, part := s.partOf(entry)
 	switch {
-	case js == nil:
-		return bytesPerDone
-	case k >= 0:
-		return doneBytes(js.Job, len(js.Done.Part(k))) + 4
+	case job == nil:
+		return bytesPerFinished
+	case part >= 0:
+		return finishedBytes(job.Job, len(job.Done.Part(part))) + 4
 	}
-	return doneBytes(js.Job, len(js.Done.Bytes()))
+	return finishedBytes(job.Job, len(job.Done.Bytes()))
 }
--- a/internal/core/shard/slots.go
+++ b/internal/core/shard/slots.go
@@ -7,150 +7,150 @@
 	"woadweir/internal/core/model"
 )
 
-// slot is a place for a bundle: what stands there durably, with the sizes it had
-// when it was written, and how much of that is the latest version.
-type slot struct {
-	has  map[string]int
-	live int
+// bundleSlot is a key of the state service that holds a bundle.
+type bundleSlot struct {
+	sizes     map[string]int // the entries, with their sizes when they were written
+	liveBytes int            // of the entries whose latest version is in this slot
 }
 
-// LoadSlot books what stands durably in a slot: a bundle that was just written, or
-// one of an earlier holder's. Bundles have to be booked in the order in which they
-// were written.
-func (h *State) LoadSlot(k int, names []string) {
-	for len(h.slots) <= k {
-		h.slots = append(h.slots, &slot{})
+// LoadSlot notes the entries that are durable in a slot, in a bundle that was just
+// written or one of an earlier owner. Bundles have to be loaded in the order in which
+// they were written.
+func (s *State) LoadSlot(slotIndex int, names []string) {
+	for len(s.slots) <= slotIndex {
+		s.slots = append(s.slots, &bundleSlot{})
 	}
-	s := h.slots[k]
-	old := s.has
-	s.has, s.live = make(map[string]int, len(names)), 0
-	for _, e := range names {
-		size := h.size(e)
-		s.has[e] = size
-		s.live += size
-		if _, ok := old[e]; !ok {
-			h.copies[e]++
+	slot := s.slots[slotIndex]
+	old := slot.sizes
+	slot.sizes, slot.liveBytes = make(map[string]int, len(names)), 0
+	for _, entry := range names {
+		size := s.entryBytes(entry)
+		slot.sizes[entry] = size
+		slot.liveBytes += size
+		if _, ok := old[entry]; !ok {
+			s.copies[entry]++
 		}
-		if was, ok := h.liveAt[e]; ok && was != k {
-			h.slots[was].live -= h.slots[was].has[e]
+		if was, ok := s.latestSlot[entry]; ok && was != slotIndex {
+			s.slots[was].liveBytes -= s.slots[was].sizes[entry]
 		}
-		h.liveAt[e] = k
+		s.latestSlot[entry] = slotIndex
 	}
-	for e := range old {
-		if _, ok := s.has[e]; ok {
+	for entry := range old {
+		if _, ok := slot.sizes[entry]; ok {
 			continue
 		}
-		if h.copies[e]--; h.copies[e] == 0 {
-			delete(h.copies, e)
+		if s.copies[entry]--; s.copies[entry] == 0 {
+			delete(s.copies, entry)
 		}
-		if h.liveAt[e] == k {
-			delete(h.liveAt, e)
+		if s.latestSlot[entry] == slotIndex {
+			delete(s.latestSlot, entry)
 		}
 	}
 }
 
-// kept tells whether an entry has to stay when its slot is written anew: its
-// latest version stands there and still says something. A machine that is gone
-// is remembered as long as an older version of it stands elsewhere.
-func (h *State) kept(entry string, k int) bool {
-	if h.liveAt[entry] != k {
+// mustKeep tells whether an entry has to be written again with its slot: the slot has
+// its latest version, and that is still needed. The record that a machine is gone is
+// needed as long as another slot has an older version of the machine.
+func (s *State) mustKeep(entry string, slotIndex int) bool {
+	if s.latestSlot[entry] != slotIndex {
 		return false
 	}
-	if ref, ok := strings.CutPrefix(entry, MachineEntry); ok {
-		return h.Machines[ref] != nil || h.copies[entry] > 1
+	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
+		return s.Machines[machineID] != nil || s.copies[entry] > 1
 	}
-	js, part := h.partOf(entry)
-	if js == nil || js.Ended != "" {
+	job, part := s.partOf(entry)
+	if job == nil || job.Ended != "" {
 		return false
 	}
-	if part < 0 && len(js.DoneVersions) > 1 {
-		// The whole, of a holder that had larger values: it is read as long as not all
-		// that it says stands in parts.
-		return slices.ContainsFunc(js.DoneVersions, func(v model.Versions) bool { return v.Stored == 0 && v.Now > 0 })
+	if part < 0 && len(job.DoneVersions) > 1 {
+		// An earlier owner with larger values has stored the whole. It is needed until all
+		// of it is stored in parts.
+		return slices.ContainsFunc(job.DoneVersions, func(v model.Versions) bool { return v.Stored == 0 && v.Now > 0 })
 	}
 	return true
 }
 
-// carried is what would have to be written along with anything new in a slot.
-func (h *State) carried(k int) (entries []string, size int) {
-	for e := range h.slots[k].has {
-		if h.kept(e, k) {
-			entries = append(entries, e)
-			size += h.size(e)
+// entriesToKeep returns the entries that have to be written again with a slot, and
+// their size.
+func (s *State) entriesToKeep(slotIndex int) (entries []string, size int) {
+	for entry := range s.slots[slotIndex].sizes {
+		if s.mustKeep(entry, slotIndex) {
+			entries = append(entries, entry)
+			size += s.entryBytes(entry)
 		}
 	}
 	return entries, size
 }
 
-// carryShare is the part of a bundle that may be carried along from what stood in
-// its slot.
-const carryShare = 4
+// keptShare is the divisor of the size of a bundle that gives the most that entries
+// kept from its slot may take.
+const keptShare = 4
 
-// open begins a bundle for an entry of that size, in the slot that has least to be
-// carried along. A new slot is added when all are rather full.
-func (h *State) open(taken map[int]bool, size int) *Write {
-	slotIndex := h.chooseSlot(taken, size)
-	h.opened++
+// newBundle begins a bundle for an entry of the given size, in the slot with the least
+// to keep. A slot is added if all of them have much to keep.
+func (s *State) newBundle(taken map[int]bool, size int) *Write {
+	slotIndex := s.chooseSlot(taken, size)
+	s.bundlesSinceRecount++
 	taken[slotIndex] = true
-	w := &Write{Slot: slotIndex, vers: map[string]uint64{}, known: map[string]bool{}, size: h.bundleBytes()}
-	entries, _ := h.carried(slotIndex)
+	write := &Write{Slot: slotIndex, versions: map[string]uint64{}, knownNames: map[string]bool{}, size: s.bundleBytes()}
+	entries, _ := s.entriesToKeep(slotIndex)
 	slices.Sort(entries)
 	for _, entry := range entries {
-		h.include(w, entry)
+		s.include(write, entry)
 	}
-	return w
+	return write
 }
 
-// chooseSlot finds the slot that has least to be carried along, or adds one.
-func (h *State) chooseSlot(taken map[int]bool, size int) int {
-	most := max(0, min(h.Params.MaxValue/carryShare, h.Params.MaxValue-h.bundleBytes()-size))
-	best := h.emptiest(taken)
-	if best >= 0 && h.slots[best].live > most && h.opened > len(h.slots)/4 {
-		// What has ended since may be all that fills them.
-		h.recountAll()
-		best = h.emptiest(taken)
+// chooseSlot returns the slot with the least to keep, or a new one.
+func (s *State) chooseSlot(taken map[int]bool, size int) int {
+	most := max(0, min(s.Params.MaxValue/keptShare, s.Params.MaxValue-s.bundleBytes()-size))
+	best := s.emptiestSlot(taken)
+	if best >= 0 && s.slots[best].liveBytes > most && s.bundlesSinceRecount > len(s.slots)/4 {
+		// Entries that are no longer needed may be all that fills the slots.
+		s.recountSlots()
+		best = s.emptiestSlot(taken)
 	}
-	for best >= 0 && h.slots[best].live <= most {
-		// What it has may have grown since it was written.
-		if h.recount(best); h.slots[best].live <= most {
+	for best >= 0 && s.slots[best].liveBytes <= most {
+		// Its entries may have grown since they were written.
+		if s.recountSlot(best); s.slots[best].liveBytes <= most {
 			return best
 		}
-		best = h.emptiest(taken)
+		best = s.emptiestSlot(taken)
 	}
-	h.slots = append(h.slots, &slot{})
-	return len(h.slots) - 1
+	s.slots = append(s.slots, &bundleSlot{})
+	return len(s.slots) - 1
 }
 
-// recountAll finds out anew how much of every slot still has to be kept.
-func (h *State) recountAll() {
-	h.opened = 0
-	h.oldest()
-	for k := range h.slots {
-		h.recount(k)
+// recountSlots computes anew how much has to be kept of every slot.
+func (s *State) recountSlots() {
+	s.bundlesSinceRecount = 0
+	s.refreshOldestAttempt()
+	for slotIndex := range s.slots {
+		s.recountSlot(slotIndex)
 	}
 }
 
-// recount finds out anew how much of a slot still has to be kept.
-func (h *State) recount(k int) {
-	s := h.slots[k]
-	s.live = 0
-	for e := range s.has {
-		s.has[e] = 0
-		if h.kept(e, k) {
-			s.has[e] = h.size(e)
-			s.live += s.has[e]
+// recountSlot computes anew how much has to be kept of a slot.
+func (s *State) recountSlot(slotIndex int) {
+	slot := s.slots[slotIndex]
+	slot.liveBytes = 0
+	for entry := range slot.sizes {
+		slot.sizes[entry] = 0
+		if s.mustKeep(entry, slotIndex) {
+			slot.sizes[entry] = s.entryBytes(entry)
+			slot.liveBytes += slot.sizes[entry]
 		}
 	}
 }
 
-// emptiest is the slot in which least is still the latest version, -1 if all are
-// taken. Looking through all entries of all slots would cost more, on a large
-// fleet, than all else that a transaction takes.
-func (h *State) emptiest(taken map[int]bool) int {
+// emptiestSlot returns the slot with the fewest live bytes, -1 if all are taken. These
+// are counted as bundles are written: in a large fleet, adding up all entries of all
+// slots would take longer than the rest of a transaction.
+func (s *State) emptiestSlot(taken map[int]bool) int {
 	best := -1
-	for k, s := range h.slots {
-		if !taken[k] && (best < 0 || s.live < h.slots[best].live) {
-			best = k
+	for slotIndex, slot := range s.slots {
+		if !taken[slotIndex] && (best < 0 || slot.liveBytes < s.slots[best].liveBytes) {
+			best = slotIndex
 		}
 	}
 	return best
--- a/internal/core/shard/writes.go
+++ b/internal/core/shard/writes.go
@@ -7,324 +7,327 @@
 	"woadweir/internal/core/model"
 )
 
-// Write is a change to be made durable under our grant.
+// Write is a change of one key that is to be made durable under our grant.
 type Write struct {
-	Key   string // of a job's end
-	Slot  int    // of a bundle, if Key is empty
-	Value any
-	vers  map[string]uint64 // the entries, with the versions that the value has
-	known map[string]bool   // names in the tables of the dense form
-	size  int
-	// lost tells that the same write got no answer before, and may yet be carried out
-	// late.
-	lost bool
+	Key        string // key of a job's end, empty for a bundle
+	Slot       int    // slot of a bundle, -1 for a job's end
+	Value      any
+	versions   map[string]uint64 // the entries of the bundle, with their versions
+	knownNames map[string]bool   // names in the tables of the dense encoding
+	size       int               // bytes of the value at most
+	// unanswered means that the same write got no answer before, and may yet be
+	// carried out late.
+	unanswered bool
 }
 
-// jobKeyPrefix is the beginning of the keys of jobs.
+// jobKeyPrefix is the prefix of the keys of jobs.
 const jobKeyPrefix = "job/"
 
-// push queues an entry to be written, unless it is queued already.
-func (h *State) push(entry string) {
-	if !h.queued[entry] {
-		h.queued[entry] = true
-		h.queue = append(h.queue, entry)
+// enqueue queues an entry to be written, unless it is queued already.
+func (s *State) enqueue(entry string) {
+	if !s.queued[entry] {
+		s.queued[entry] = true
+		s.queue = append(s.queue, entry)
 	}
 }
 
-// markChanged marks a machine's record as changed.
-func (h *State) markChanged(m *model.Machine) {
+// markChanged queues the record of a machine that has changed.
+func (s *State) markChanged(m *model.Machine) {
 	m.Version++
-	h.push(MachineEntry + m.ID)
+	s.enqueue(MachineEntry + m.ID)
 }
 
-// Queued is the number of records waiting to be written.
-func (h *State) Queued() int { return len(h.ends) + len(h.queue) + len(h.again) }
+// Queued returns the number of records that wait to be written.
+func (s *State) Queued() int { return len(s.pendingEnds) + len(s.queue) + len(s.unanswered) }
 
-// include puts an entry's present value into a bundle.
-func (h *State) include(w *Write, entry string) {
-	rec, _ := w.Value.(BundleRecord)
-	rec.Dense = h.Params.Dense
-	size := h.sizeIn(entry, w.known)
+// include adds the present value of an entry to a bundle.
+func (s *State) include(write *Write, entry string) {
+	rec, _ := write.Value.(BundleRecord)
+	rec.Dense = s.Params.Dense
+	size := s.entryBytesIn(entry, write.knownNames)
 	included := false
 	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
-		included = h.includeMachine(w, &rec, machineID)
+		included = s.includeMachine(write, &rec, machineID)
 	} else {
-		included = h.includeFinished(w, &rec, entry)
+		included = s.includeFinished(write, &rec, entry)
 	}
 	if !included {
 		return
 	}
-	w.Value = rec
-	w.size += size
-	h.learnNames(entry, w.known)
+	write.Value = rec
+	write.size += size
+	s.addNames(entry, write.knownNames)
 }
 
-// includeMachine puts a machine's record into a bundle, nil if it is gone. It tells
-// whether that is needed.
-func (h *State) includeMachine(w *Write, rec *BundleRecord, machineID string) bool {
+// includeMachine adds the record of a machine to a bundle, nil if the machine is gone.
+// It tells whether the record is needed.
+func (s *State) includeMachine(write *Write, rec *BundleRecord, machineID string) bool {
 	entry := MachineEntry + machineID
-	m := h.Machines[machineID]
-	if m == nil && h.copiesElsewhere(entry, w.Slot) == 0 {
-		return false // no durable record is left that would have to be denied
+	machine := s.Machines[machineID]
+	if machine == nil && s.copiesElsewhere(entry, write.Slot) == 0 {
+		return false // no other slot has a record that would bring the machine back
 	}
 	if rec.Machines == nil {
 		rec.Machines = map[string]*MachineRecord{}
 	}
-	if m == nil {
-		rec.Machines[machineID], w.vers[entry] = nil, 0
+	if machine == nil {
+		rec.Machines[machineID], write.versions[entry] = nil, 0
 	} else {
-		rec.Machines[machineID], w.vers[entry] = record(m), m.Version
+		rec.Machines[machineID], write.versions[entry] = machineRecord(machine), machine.Version
 	}
 	return true
 }
 
-// copiesElsewhere is the number of other slots that hold some version of an entry.
-func (h *State) copiesElsewhere(entry string, slot int) int {
-	copies := h.copies[entry]
-	if _, ok := h.slots[slot].has[entry]; ok {
+// copiesElsewhere returns the number of other slots with some version of an entry.
+func (s *State) copiesElsewhere(entry string, slot int) int {
+	copies := s.copies[entry]
+	if _, ok := s.slots[slot].sizes[entry]; ok {
 		copies--
 	}
 	return copies
 }
 
-// includeFinished puts the finished tasks of a job that has not ended into a bundle. It
-// tells whether there is such a job.
-func (h *State) includeFinished(w *Write, rec *BundleRecord, entry string) bool {
-	js, part := h.partOf(entry)
-	if js == nil || js.Ended != "" {
+// includeFinished adds the finished tasks of a job to a bundle. It tells whether they
+// are needed, as the job has not ended.
+func (s *State) includeFinished(write *Write, rec *BundleRecord, entry string) bool {
+	job, part := s.partOf(entry)
+	if job == nil || job.Ended != "" {
 		return false
 	}
 	if rec.Done == nil {
 		rec.Done = map[string][]byte{}
 	}
-	bits := js.Done.Bytes()
+	bits := job.Done.Bytes()
 	if part >= 0 {
-		bits = js.Done.Part(part)
+		bits = job.Done.Part(part)
 	}
-	rec.Done[strings.TrimPrefix(entry, DoneEntry)], w.vers[entry] = slices.Clone(bits), 0
-	if v := versions(js, part); v != nil {
-		w.vers[entry] = v.Now
+	rec.Done[strings.TrimPrefix(entry, DoneEntry)], write.versions[entry] = slices.Clone(bits), 0
+	if v := finishedVersions(job, part); v != nil {
+		write.versions[entry] = v.Now
 	}
 	return true
 }
 
-// maxEndBytes is what a job's end takes in a transaction at most.
+// maxEndBytes is the most that the end of a job takes in a transaction.
 const maxEndBytes = 300
 
-// transaction collects the writes of one transaction.
+// transaction collects the writes of one transaction, within its limits.
 type transaction struct {
 	maxWrites  int
 	bytesLeft  int
 	writes     []*Write
-	bundle     *Write          // entries are added to it while they fit
-	takenSlots map[int]bool    // slots that are written by this transaction
-	written    map[string]bool // entries that are written by this transaction
+	bundle     *Write          // the last bundle, to which entries are added while they fit
+	takenSlots map[int]bool    // slots of the bundles
+	written    map[string]bool // entries of the bundles
 }
 
-// Writes takes changes from the queue, in order, as many as fit. Each value is
-// made now, so it covers everything decided until now. If the transaction fails,
-// they are given back by Retry. What got no answer goes first, as it was and alone:
-// until its keys have been written again, a late copy could bring back what has
-// been overwritten in other bundles.
-func (h *State) Writes(ops, bytes int) []Write {
-	if n := min(ops, len(h.again)); n > 0 {
-		writes := h.again[:n:n]
-		h.again = h.again[n:]
+// Writes takes changes from the queue, in order, as many as fit into a transaction of
+// so many operations and bytes. The values are made now, so they contain everything
+// decided before. If the transaction fails, the caller gives them back with Retry.
+// Writes that got no answer go first, unchanged and alone: until their keys have been
+// written again, a late copy of them could revert entries that were since written to
+// other bundles.
+func (s *State) Writes(ops, bytes int) []Write {
+	if n := min(ops, len(s.unanswered)); n > 0 {
+		writes := s.unanswered[:n:n]
+		s.unanswered = s.unanswered[n:]
 		return writes
 	}
 	txn := &transaction{maxWrites: ops, bytesLeft: bytes, takenSlots: map[int]bool{}, written: map[string]bool{}}
-	// Ends first: users, and jobs that await these, wait for them. They need no order
-	// among the rest: whatever is still bound of such a job has completed.
-	h.addEnds(txn)
-	h.addQueued(txn)
+	// Ends of jobs go first, as users and dependent jobs wait for them. Their order among
+	// the bundles does not matter: all tasks of these jobs are done.
+	s.addEnds(txn)
+	s.addQueued(txn)
 	return txn.result()
 }
 
-// addEnds adds the ends of jobs to a transaction, as many as fit.
-func (h *State) addEnds(txn *transaction) {
-	for len(h.ends) > 0 && len(txn.writes) < txn.maxWrites && txn.bytesLeft >= maxEndBytes {
-		jobID := h.ends[0]
-		h.ends = h.ends[1:]
-		if js := h.Jobs[jobID]; js != nil && js.Ended == "" {
+// addEnds adds as many ends of jobs as fit.
+func (s *State) addEnds(txn *transaction) {
+	for len(s.pendingEnds) > 0 && len(txn.writes) < txn.maxWrites && txn.bytesLeft >= maxEndBytes {
+		jobID := s.pendingEnds[0]
+		s.pendingEnds = s.pendingEnds[1:]
+		if job := s.Jobs[jobID]; job != nil && job.Ended == "" {
 			txn.bytesLeft -= maxEndBytes
-			txn.writes = append(txn.writes, &Write{Key: jobKeyPrefix + jobID, Slot: -1, Value: JobRecord{End: "done", Tasks: js.Tasks}})
+			txn.writes = append(txn.writes, &Write{Key: jobKeyPrefix + jobID, Slot: -1, Value: JobRecord{End: "done", Tasks: job.Tasks}})
 		}
 	}
 }
 
-// addQueued adds the entries of the queue to a transaction, as many as fit.
-func (h *State) addQueued(txn *transaction) {
+// addQueued adds as many entries of the queue as fit.
+func (s *State) addQueued(txn *transaction) {
 	taken := 0
 	var postponed []string
-	for taken < len(h.queue) {
-		entry := h.queue[taken]
+	for taken < len(s.queue) {
+		entry := s.queue[taken]
 		switch {
 		case txn.written[entry]:
-			// It was carried along, at its present version. Two versions of it with the
-			// same stamp would leave readers to guess which one counts.
-		case h.isStoredInParts(entry):
-			// Its parts are queued.
-		case h.exceedsValue(entry):
+			// A bundle has its present version already. Readers could not tell which of two
+			// versions in one transaction counts.
+		case s.isStoredInParts(entry):
+			// The parts are queued themselves.
+		case s.exceedsValue(entry):
 			postponed = append(postponed, entry)
 		default:
-			if !h.addEntry(txn, entry) {
-				h.dequeue(taken, postponed)
+			if !s.addEntry(txn, entry) {
+				s.dequeue(taken, postponed)
 				return
 			}
 		}
 		taken++
 	}
-	h.dequeue(taken, postponed)
+	s.dequeue(taken, postponed)
 }
 
-// dequeue takes the first entries out of the queue, and puts the postponed ones of
+// dequeue removes the first entries from the queue, and puts the postponed ones among
 // them back at its end.
-func (h *State) dequeue(taken int, postponed []string) {
-	for _, entry := range h.queue[:taken] {
-		delete(h.queued, entry)
+func (s *State) dequeue(taken int, postponed []string) {
+	for _, entry := range s.queue[:taken] {
+		delete(s.queued, entry)
 	}
-	h.queue = h.queue[taken:]
+	s.queue = s.queue[taken:]
 	for _, entry := range postponed {
-		h.push(entry)
+		s.enqueue(entry)
 	}
 }
 
-// isStoredInParts tells whether an entry is about all finished tasks of a job whose
-// finished tasks are now stored in parts.
-func (h *State) isStoredInParts(entry string) bool {
-	js, part := h.partOf(entry)
-	return js != nil && versions(js, part) == nil
+// isStoredInParts tells whether an entry has all finished tasks of a job that is now
+// stored in parts.
+func (s *State) isStoredInParts(entry string) bool {
+	job, part := s.partOf(entry)
+	return job != nil && finishedVersions(job, part) == nil
 }
 
-// exceedsValue tells whether a machine's record is too large for a bundle: an earlier
-// holder with larger values has bound more to it than a value bears now. It gets nothing
-// new, so it will fit; until then a new holder finds tasks on it that are gone, which it
-// has to see for itself.
-func (h *State) exceedsValue(entry string) bool {
-	return strings.HasPrefix(entry, MachineEntry) && h.bundleBytes()+h.size(entry) > h.Params.MaxValue
+// exceedsValue tells whether the record of a machine is too large for a bundle, as an
+// earlier owner with a higher limit has bound too many tasks to it. The machine gets no
+// new tasks, so its record will fit. Until then, a new owner finds tasks in the old
+// record that are gone, and has to get its own proof of that.
+func (s *State) exceedsValue(entry string) bool {
+	return strings.HasPrefix(entry, MachineEntry) && s.bundleBytes()+s.entryBytes(entry) > s.Params.MaxValue
 }
 
-// addEntry adds an entry to the transaction's bundle, or to a new one if it does not
-// fit there. It tells whether the transaction had room for it.
-func (h *State) addEntry(txn *transaction, entry string) bool {
+// addEntry adds an entry to the last bundle, or to a new one if it does not fit there.
+// It tells whether the transaction had room for it.
+func (s *State) addEntry(txn *transaction, entry string) bool {
 	size := 0
 	if txn.bundle != nil {
-		size = h.sizeIn(entry, txn.bundle.known)
+		size = s.entryBytesIn(entry, txn.bundle.knownNames)
 	}
-	if txn.bundle == nil || txn.bundle.size+size > h.Params.MaxValue {
-		size = h.size(entry)
+	if txn.bundle == nil || txn.bundle.size+size > s.Params.MaxValue {
+		size = s.entryBytes(entry)
 		if len(txn.writes) >= txn.maxWrites || txn.bytesLeft < size {
 			return false
 		}
-		h.addBundle(txn, size)
+		s.addBundle(txn, size)
 		if txn.written[entry] {
 			return true
 		}
 	}
-	if txn.bytesLeft < size && len(txn.bundle.vers) > 0 {
+	if txn.bytesLeft < size && len(txn.bundle.versions) > 0 {
 		return false
 	}
 	before := txn.bundle.size
-	h.include(txn.bundle, entry)
+	s.include(txn.bundle, entry)
 	txn.written[entry] = true
 	txn.bytesLeft -= txn.bundle.size - before
 	return true
 }
 
-// addBundle begins a new bundle, for an entry of that size.
-func (h *State) addBundle(txn *transaction, size int) {
-	txn.bundle = h.open(txn.takenSlots, size)
-	for entry := range txn.bundle.vers {
+// addBundle adds a bundle for an entry of the given size.
+func (s *State) addBundle(txn *transaction, size int) {
+	txn.bundle = s.newBundle(txn.takenSlots, size)
+	for entry := range txn.bundle.versions {
 		txn.written[entry] = true
 	}
 	txn.bytesLeft -= txn.bundle.size
 	txn.writes = append(txn.writes, txn.bundle)
 }
 
+// result returns the writes with their values.
 func (txn *transaction) result() []Write {
 	writes := make([]Write, 0, len(txn.writes))
-	for _, w := range txn.writes {
-		if w.Value == nil && w.Slot >= 0 {
-			w.Value = BundleRecord{}
+	for _, write := range txn.writes {
+		if write.Value == nil && write.Slot >= 0 {
+			write.Value = BundleRecord{}
 		}
-		writes = append(writes, *w)
+		writes = append(writes, *write)
 	}
 	return writes
 }
 
-// Committed takes note that the changes are durable.
-func (h *State) Committed(writes []Write, now model.Micros) {
+// Committed notes that writes are durable.
+func (s *State) Committed(writes []Write, now model.Micros) {
 	for i := range writes {
-		w := &writes[i]
-		if w.Slot < 0 {
-			h.EndJob(strings.TrimPrefix(w.Key, jobKeyPrefix), "done", now)
+		write := &writes[i]
+		if write.Slot < 0 {
+			s.EndJob(strings.TrimPrefix(write.Key, jobKeyPrefix), "done", now)
 			continue
 		}
-		entries := make([]string, 0, len(w.vers))
-		for entry, version := range w.vers {
+		entries := make([]string, 0, len(write.versions))
+		for entry, version := range write.versions {
 			entries = append(entries, entry)
-			h.markDurable(entry, version)
+			s.markDurable(entry, version)
 		}
-		h.LoadSlot(w.Slot, entries)
+		s.LoadSlot(write.Slot, entries)
 	}
 }
 
-// markDurable takes note that a version of an entry is durable.
-func (h *State) markDurable(entry string, version uint64) {
+// markDurable notes that a version of an entry is durable.
+func (s *State) markDurable(entry string, version uint64) {
 	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
-		if m := h.Machines[machineID]; m != nil {
+		if m := s.Machines[machineID]; m != nil {
 			m.DurableVersion, m.Stored = max(m.DurableVersion, version), true
 		}
 		return
 	}
-	if js, part := h.partOf(entry); js != nil {
-		if v := versions(js, part); v != nil {
+	if job, part := s.partOf(entry); job != nil {
+		if v := finishedVersions(job, part); v != nil {
 			v.Stored = max(v.Stored, version)
 		}
 	}
 }
 
-// Recut takes back changes that were refused as too large: they are cut anew, by
-// MaxValue as it is now. Earlier tries at them will not be carried out any more.
-func (h *State) Recut(ws []Write) {
-	for _, js := range h.Jobs {
-		if len(js.DoneVersions) == 1 && h.parted(js.Job) {
-			h.split(js)
+// RetryTooLarge takes back writes that were refused as too large: their entries are
+// written in bundles within MaxValue, which the caller has lowered. Earlier tries of
+// these writes will not be carried out any more.
+func (s *State) RetryTooLarge(writes []Write) {
+	for _, job := range s.Jobs {
+		if len(job.DoneVersions) == 1 && s.needsParts(job.Job) {
+			s.storeInParts(job)
 		}
 	}
-	for i := range ws {
-		ws[i].lost = false
+	for i := range writes {
+		writes[i].unanswered = false
 	}
-	h.Retry(ws, false)
+	s.Retry(writes, false)
 }
 
-// Retry takes back changes whose transaction failed, or got no answer (lost). In
-// the latter case bundles are written once more just as they were: that they fit is
-// known, and the guards on the versions that we last saw make it harmless.
-func (h *State) Retry(ws []Write, lost bool) {
+// Retry takes back writes whose transaction failed, or got no answer (lost). In the
+// latter case bundles are written again unchanged: they are known to fit, and the
+// conditions on the revisions that we last saw make late copies harmless.
+func (s *State) Retry(writes []Write, lost bool) {
 	var head, ends []string
 	var again []Write
-	for i := range ws {
-		w := ws[i]
-		if w.Slot < 0 {
-			ends = append(ends, strings.TrimPrefix(w.Key, jobKeyPrefix))
+	for i := range writes {
+		write := writes[i]
+		if write.Slot < 0 {
+			ends = append(ends, strings.TrimPrefix(write.Key, jobKeyPrefix))
 			continue
 		}
-		if w.lost = w.lost || lost; w.lost {
-			again = append(again, w)
+		if write.unanswered = write.unanswered || lost; write.unanswered {
+			again = append(again, write)
 			continue
 		}
-		for e := range w.vers {
-			head = append(head, e)
+		for entry := range write.versions {
+			head = append(head, entry)
 		}
 	}
-	h.again = append(again, h.again...)
-	h.ends = append(ends, h.ends...)
+	s.unanswered = append(again, s.unanswered...)
+	s.pendingEnds = append(ends, s.pendingEnds...)
 	slices.Sort(head)
-	// What was changed again meanwhile moves to the front.
-	h.queue = slices.DeleteFunc(h.queue, func(e string) bool { return slices.Contains(head, e) })
-	for _, e := range head {
-		h.queued[e] = true
+	// Entries that have changed again since move to the front.
+	s.queue = slices.DeleteFunc(s.queue, func(entry string) bool { return slices.Contains(head, entry) })
+	for _, entry := range head {
+		s.queued[entry] = true
 	}
-	h.queue = append(head, h.queue...)
+	s.queue = append(head, s.queue...)
 }
--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -31,7 +31,7 @@
 }
 
 // ParseHeartbeat reads a check-in.
-func ParseHeartbeat(body []byte) (*shard.Report, error) {
+func ParseHeartbeat(body []byte) (*shard.Heartbeat, error) {
 	var w wireReport
 	if err := json.Unmarshal(body, &w); err != nil {
 		return nil, err
@@ -39,8 +39,8 @@
 	if w.Host == "" || w.Tenure == 0 {
 		return nil, errors.New("host or tenure is missing")
 	}
-	r := &shard.Report{Machine: w.Host, Addr: w.Address, MachineType: w.Build, Zone: w.Yard, Spot: w.Loaners,
-		Session: w.Tenure, Sequence: w.Tally, Token: w.Warrant, Tasks: make([]shard.TaskStatus, 0, len(w.Pieces))}
+	r := &shard.Heartbeat{Machine: w.Host, Addr: w.Address, MachineType: w.Build, Zone: w.Yard, Spot: w.Loaners,
+		Incarnation: w.Tenure, Sequence: w.Tally, Token: w.Warrant, Tasks: make([]shard.TaskStatus, 0, len(w.Pieces))}
 	if w.RecallS != nil {
 		r.SpotNotice, r.ReclaimedIn = true, model.Seconds(*w.RecallS)
 	}
