--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -324,5 +324,5 @@
 	if e.Why != "" {
 		args = append(args, "why", e.Why)
 	}
-	slog.Info(e.Kind, args...)
+	slog.Info(string(e.Kind), args...)
 }
--- a/internal/core/shard/bench_test.go
+++ b/internal/core/shard/bench_test.go
@@ -14,7 +14,38 @@
 // newLargeFleet returns a shard of so many machines, nearly full, with more than ten
 // waiting tasks for each.
 func newLargeFleet(machines int) (s *State, workers []*worker) {
-	s = New(Params{
+	s = newLargeShard()
+	for i := range machines {
+		machineType := "box"
+		if i%2 == 0 {
+			machineType = "gpu"
+		}
+		w := newWorker(s, fmt.Sprintf("host-%06d", i), machineType, "a")
+		w.heartbeat.Spot = i%5 < 2
+		workers = append(workers, w)
+	}
+	addLargeFleetJobs(s, machines)
+	for range 2 {
+		for _, w := range workers {
+			w.sequence++
+			heartbeat := w.heartbeat
+			heartbeat.Sequence, heartbeat.Token = w.sequence, 5
+			s.ApplyHeartbeat(&heartbeat, sec)
+		}
+	}
+	for range 3 {
+		s.Place(sec, true)
+	}
+	commitAll(s, sec)
+	for _, w := range workers {
+		w.report(2 * sec)
+	}
+	return s, workers
+}
+
+// newLargeShard returns a shard with the teams and machine types of a large fleet.
+func newLargeShard() *State {
+	s := New(Params{
 		Teams: map[string]*model.Team{
 			"red":  {Name: "red", Guaranteed: model.Resources{Cores: 40_000_000, GPUs: 3_000_000}, Limit: model.Resources{Cores: 190_000_000, GPUs: 19_000_000}},
 			"blue": {Name: "blue", Guaranteed: model.Resources{Cores: 40_000_000}, Limit: model.Resources{Cores: 190_000_000}},
@@ -25,15 +56,11 @@
 	s.SetMachineTypes([]model.MachineType{
 		{Name: "box", Cores: 16, MemoryGB: 64, CacheGB: 60, FetchGBps: 0.2, Price: 0.86, SpotPrice: 0.2, BootS: 20, Zones: []string{"a"}},
 		{Name: "gpu", Cores: 96, GPUs: 8, MemoryGB: 384, CacheGB: 80, FetchGBps: 0.6, Price: 27, SpotPrice: 6.9, BootS: 25, Zones: []string{"a"}}})
-	for i := range machines {
-		machineType := "box"
-		if i%2 == 0 {
-			machineType = "gpu"
-		}
-		w := newWorker(s, fmt.Sprintf("host-%06d", i), machineType, "a")
-		w.heartbeat.Spot = i%5 < 2
-		workers = append(workers, w)
-	}
+	return s
+}
+
+// addLargeFleetJobs adds gangs and arrays for so many machines.
+func addLargeFleetJobs(s *State, machines int) {
 	jobCount := 0
 	add := func(tasks int, kind model.JobKind, need model.Resources, class, team string) {
 		jobCount++
@@ -50,22 +77,6 @@
 	for range 720 * machines / fleetSizes[0] {
 		add(40, model.Array, model.Resources{Cores: 10_000, GPUs: 1000, Mem: 36_000}, "array", "red")
 	}
-	for range 2 {
-		for _, w := range workers {
-			w.sequence++
-			heartbeat := w.heartbeat
-			heartbeat.Sequence, heartbeat.Token = w.sequence, 5
-			s.ApplyHeartbeat(&heartbeat, sec)
-		}
-	}
-	for range 3 {
-		s.Place(sec, true)
-	}
-	commitAll(s, sec)
-	for _, w := range workers {
-		w.report(2 * sec)
-	}
-	return s, workers
 }
 
 // report has the worker say that all that is bound runs.
--- a/internal/core/shard/bindings.go
+++ b/internal/core/shard/bindings.go
@@ -51,7 +51,7 @@
 	if job.Kind == model.Gang {
 		job.Attempt, job.AttemptFailed = attempt, false
 	}
-	s.Log(Event{Kind: "bind", Machine: m.ID, Task: b.ID.String(), Attempt: attempt})
+	s.Log(Event{Kind: EventBind, Machine: m.ID, Task: b.ID.String(), Attempt: attempt})
 }
 
 // unbind removes a binding. The caller has proof that the attempt is not on the machine
@@ -70,23 +70,14 @@
 	}
 	s.Used[binding.Job.Team] = s.Used[binding.Job.Team].Minus(binding.Job.Request)
 	job := s.Jobs[binding.ID.Job]
-	job.Bindings[binding.ID.Index] = slices.DeleteFunc(job.Bindings[binding.ID.Index], func(x *model.Binding) bool { return x == binding })
-	if len(job.Bindings[binding.ID.Index]) == 0 {
-		delete(job.Bindings, binding.ID.Index)
-		job.IdleSince = now
-		if job.Ended == "" && !job.Done.Has(binding.ID.Index) {
-			if i, ok := slices.BinarySearch(job.Waiting, binding.ID.Index); !ok {
-				job.Waiting = slices.Insert(job.Waiting, i, binding.ID.Index)
-			}
-		}
-	}
+	removeFromJob(job, binding, now)
 	if !job.Done.Has(binding.ID.Index) || job.Ended != "" {
 		// The task may be bound to another machine next. The removal has to be durable
 		// before that binding, and the queue keeps this order. A completed task is never
 		// bound again, so its removal can wait for the next write of the record.
 		s.markChanged(machine)
 	}
-	s.Log(Event{Kind: "unbind", Machine: machine.ID, Task: binding.ID.String(), Attempt: binding.Attempt, Why: proof})
+	s.Log(Event{Kind: EventUnbind, Machine: machine.ID, Task: binding.ID.String(), Attempt: binding.Attempt, Why: proof})
 	if job.Kind == model.Gang && job.Ended == "" && !job.EndPending && len(job.Bindings) > 0 && !job.AttemptFailed {
 		s.failGangAttempt(job, "mate "+binding.ID.String()+" gone", now)
 	}
@@ -94,6 +85,25 @@
 	s.removeIfEnded(job)
 }
 
+// removeFromJob removes a binding from its job. A task that is not bound any more waits
+// again unless it is done.
+func removeFromJob(job *model.JobState, binding *model.Binding, now model.Micros) {
+	index := binding.ID.Index
+	left := slices.DeleteFunc(job.Bindings[index], func(other *model.Binding) bool { return other == binding })
+	if len(left) > 0 {
+		job.Bindings[index] = left
+		return
+	}
+	delete(job.Bindings, index)
+	job.IdleSince = now
+	if job.Ended != "" || job.Done.Has(index) {
+		return
+	}
+	if i, ok := slices.BinarySearch(job.Waiting, index); !ok {
+		job.Waiting = slices.Insert(job.Waiting, i, index)
+	}
+}
+
 // stop decides that a bound task is to be stopped. A stop that was decided before is
 // only ever made shorter.
 func (s *State) stop(b *model.Binding, leeway model.Micros, why string, now model.Micros) {
@@ -102,7 +112,7 @@
 	}
 	if !b.Stopping {
 		b.StopDecidedAt = now
-		s.Log(Event{Kind: "stop", Machine: b.Machine.ID, Task: b.ID.String(), Attempt: b.Attempt, Why: why})
+		s.Log(Event{Kind: EventStop, Machine: b.Machine.ID, Task: b.ID.String(), Attempt: b.Attempt, Why: why})
 	}
 	b.Stopping, b.StopGrace, b.StopReason = true, leeway, why
 }
@@ -111,7 +121,7 @@
 // they would not finish in time. Tasks with checkpoints save their state, the others
 // start again on another machine.
 func (s *State) stopBeforeReclaim(machine *model.Machine, now model.Micros) {
-	s.Log(Event{Kind: "recall", Machine: machine.ID})
+	s.Log(Event{Kind: EventReclaim, Machine: machine.ID})
 	left := machine.ReclaimedAt - now
 	for _, binding := range machine.Bindings {
 		job := s.Jobs[binding.ID.Job]
@@ -174,7 +184,7 @@
 		}
 		if machine.Up && !machine.Lost {
 			machine.Lost = true
-			s.Log(Event{Kind: "lost", Machine: machine.ID})
+			s.Log(Event{Kind: EventLost, Machine: machine.ID})
 		}
 	}
 	for _, job := range s.Jobs {
--- a/internal/core/shard/bindings_test.go
+++ b/internal/core/shard/bindings_test.go
@@ -10,11 +10,11 @@
 	s := newTestState(5)
 	s.AddJob(newJob("j-1", 2, model.Array), model.Set{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	if _, commands := w.says(sec, 5); len(s.Machines["h1"].Bindings) != 2 || countCommands(commands, "start") != 0 {
+	if _, commands := w.says(sec, 5); len(s.Machines["h1"].Bindings) != 2 || countCommands(commands, StartTask) != 0 {
 		t.Fatalf("%d bound, commands %v: want 2 bound, none started", len(s.Machines["h1"].Bindings), commands)
 	}
 	commitAll(s, sec)
-	if _, commands := w.says(2*sec, 5); countCommands(commands, "start") != 2 {
+	if _, commands := w.says(2*sec, 5); countCommands(commands, StartTask) != 2 {
 		t.Fatalf("commands %v, want two starts", commands)
 	}
 }
@@ -27,7 +27,7 @@
 	s.Restore(job, 0, 77, machine) // bound by an earlier owner
 	id := model.TaskID{Job: "j-1"}
 	// A late copy may tell of an end of the same attempt before it ran again.
-	w.says(sec, 4, TaskStatus{ID: id, Attempt: 77, Status: model.Exited, Cause: "stopped"})
+	w.says(sec, 4, TaskStatus{ID: id, Attempt: 77, Status: model.Exited, Cause: CauseStopped})
 	if b := bound(s, "h1"); b == nil || b.Attempt != 77 {
 		t.Fatal("unbound by an end reported under an older token")
 	}
@@ -98,7 +98,7 @@
 	b := bound(s, "h1")
 	s.EndJob("j-1", "withdrawn", 2*sec)
 	_, commands := w.says(3*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running})
-	if countCommands(commands, "start") != 0 || countCommands(commands, "stop") != 1 || commands[0].Grace != 0 {
+	if countCommands(commands, StartTask) != 0 || countCommands(commands, StopTask) != 1 || commands[0].Grace != 0 {
 		t.Fatalf("commands %v, want one stop without grace", commands)
 	}
 }
@@ -115,7 +115,7 @@
 	binding := bound(s, "h1")
 	newWorker(s, "h2", "box", "a").says(2*sec, 5)
 	s.Machines["h1"].Draining = true
-	w1.says(3*sec, 5, TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Exited, Cause: "error"})
+	w1.says(3*sec, 5, TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Exited, Cause: CauseError})
 	if bound(s, "h2") == nil {
 		t.Fatal("not bound elsewhere")
 	}
@@ -137,7 +137,7 @@
 	s.StopSuperseded()
 	_, o1 := newWorker(s, "h1", "box", "a").says(sec, 5)
 	_, o2 := newWorker(s, "h2", "box", "a").says(sec, 5)
-	if countCommands(o1, "start") != 0 || countCommands(o2, "start") != 1 {
+	if countCommands(o1, StartTask) != 0 || countCommands(o2, StartTask) != 1 {
 		t.Fatalf("older attempt: %v, newest: %v", o1, o2)
 	}
 }
@@ -164,7 +164,7 @@
 	other := newWorker(s, "h2", "box", "a")
 	other.says(3*sec, 5)
 	s.Vacate(s.Machines["h1"], 4*sec)
-	if _, cs := w.says(5*sec, 5, running(s, "h1")...); len(cs) != 1 || cs[0].Op != "stop" {
+	if _, cs := w.says(5*sec, 5, running(s, "h1")...); len(cs) != 1 || cs[0].Op != StopTask {
 		t.Fatalf("commands %v, want a stop", cs)
 	}
 	other.says(5*sec, 5)
@@ -172,7 +172,7 @@
 		t.Fatal("bound elsewhere before it is gone")
 	}
 	b := s.Machines["h1"].Bindings[model.TaskID{Job: "j-1"}]
-	w.says(6*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Exited, Cause: "stopped"})
+	w.says(6*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Exited, Cause: CauseStopped})
 	if len(s.Machines["h1"].Bindings) != 0 || len(s.Machines["h2"].Bindings) != 1 {
 		t.Errorf("%d tasks on the vacated machine, %d on the other", len(s.Machines["h1"].Bindings), len(s.Machines["h2"].Bindings))
 	}
--- a/internal/core/shard/commands.go
+++ b/internal/core/shard/commands.go
@@ -8,12 +8,22 @@
 
 // Command tells a worker what to do with a task.
 type Command struct {
-	Op      string
+	Op      CommandOp
 	Task    model.TaskID
 	Attempt uint64
-	Grace   model.Micros
+	Grace   model.Micros // of a stop: the time that the task gets to save its state
 }
 
+// CommandOp is what a command tells a worker to do.
+type CommandOp uint8
+
+// The operations of commands.
+const (
+	StartTask CommandOp = iota + 1 // start an attempt
+	StopTask                       // stop an attempt
+	ClearTask                      // forget an attempt that has exited
+)
+
 // Commands returns the commands in the response to the last heartbeat that was accepted
 // from this machine. The caller sends them at once or not at all.
 func (s *State) Commands(heartbeat *Heartbeat, now model.Micros) []Command {
@@ -29,7 +39,7 @@
 	}
 	for _, b := range s.bindingsToStart(machine, heartbeat.Tasks) {
 		b.SentIncarnation, b.SentSequence = heartbeat.Incarnation, heartbeat.Sequence
-		commands = append(commands, Command{Op: "start", Task: b.ID, Attempt: b.Attempt})
+		commands = append(commands, Command{Op: StartTask, Task: b.ID, Attempt: b.Attempt})
 	}
 	return commands
 }
@@ -41,12 +51,12 @@
 	}
 	if task.Status != model.Exited {
 		// No durable record says that the task may be on this machine.
-		return Command{Op: "stop", Task: task.ID, Attempt: task.Attempt}, true
+		return Command{Op: StopTask, Task: task.ID, Attempt: task.Attempt}, true
 	}
-	if task.Cause == "done" && s.awaitsDurableCompletion(task.ID) {
+	if task.Cause == CauseDone && s.awaitsDurableCompletion(task.ID) {
 		return Command{}, false // the worker must not clear it yet
 	}
-	return Command{Op: "clear", Task: task.ID, Attempt: task.Attempt}, true
+	return Command{Op: ClearTask, Task: task.ID, Attempt: task.Attempt}, true
 }
 
 // stopCommand returns the command to stop a bound task if that was decided, and the
@@ -61,7 +71,7 @@
 	if task.Status == model.Saving && binding.StopGrace > 0 {
 		return Command{}, false
 	}
-	return Command{Op: "stop", Task: task.ID, Attempt: task.Attempt, Grace: binding.StopGrace}, true
+	return Command{Op: StopTask, Task: task.ID, Attempt: task.Attempt, Grace: binding.StopGrace}, true
 }
 
 // awaitsDurableCompletion tells whether a task is known to be done, but the record of
--- a/internal/core/shard/gangs_test.go
+++ b/internal/core/shard/gangs_test.go
@@ -27,7 +27,7 @@
 	}
 	_, o1 := w1.says(2*sec, 5)
 	_, o2 := w2.says(2*sec, 5)
-	if countCommands(o1, "start")+countCommands(o2, "start") != 0 {
+	if countCommands(o1, StartTask)+countCommands(o2, StartTask) != 0 {
 		t.Fatal("a task of a gang starts before all bindings are durable")
 	}
 	commitAll(s, 2*sec)
@@ -40,10 +40,10 @@
 	newWorker(s, "h4", "box", "a").says(4*sec, 5)
 	w1.says(5*sec, 5) // gone without a trace
 	_, o2 = w2.says(5*sec, 5, TaskStatus{ID: b2.ID, Attempt: b2.Attempt, Status: model.Running})
-	if len(job.Bindings) != 1 || countCommands(o2, "stop") != 1 {
+	if len(job.Bindings) != 1 || countCommands(o2, StopTask) != 1 {
 		t.Fatalf("%d bound, commands %v: want the rest of the attempt stopped, and no new one", len(job.Bindings), o2)
 	}
-	w2.says(6*sec, 5, TaskStatus{ID: b2.ID, Attempt: b2.Attempt, Status: model.Exited, Cause: "stopped"})
+	w2.says(6*sec, 5, TaskStatus{ID: b2.ID, Attempt: b2.Attempt, Status: model.Exited, Cause: CauseStopped})
 	if len(job.Bindings) != 2 || job.Bindings[0][0].Attempt == b1.Attempt {
 		t.Fatal("no new attempt after the old one is gone")
 	}
@@ -76,7 +76,7 @@
 			if b.Seen {
 				tasks = append(tasks, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: b.Status})
 			}
-			if _, o := w.says(now, 5, tasks...); countCommands(o, "start") > 0 {
+			if _, o := w.says(now, 5, tasks...); countCommands(o, StartTask) > 0 {
 				n = append(n, i)
 				b.Seen, b.Status = true, model.Fetching
 			}
@@ -177,14 +177,14 @@
 		w.says(60*sec, 5, running[i])
 	}
 	done := running[0]
-	done.Status, done.Cause = model.Exited, "done"
+	done.Status, done.Cause = model.Exited, CauseDone
 	workers[0].says(61*sec, 5, done)
 	s.Place(61*sec, true)
 	if b := bound(s, "h1"); b != nil {
 		t.Fatalf("%s took the machine that the large gang waits for", b.ID)
 	}
 	done = running[1]
-	done.Status, done.Cause = model.Exited, "done"
+	done.Status, done.Cause = model.Exited, CauseDone
 	workers[1].says(62*sec, 5, done)
 	s.Place(62*sec, true)
 	if len(big.Bindings) != 2 {
--- a/internal/core/shard/heartbeats.go
+++ b/internal/core/shard/heartbeats.go
@@ -11,10 +11,25 @@
 	ID      model.TaskID
 	Attempt uint64
 	Status  model.Status
-	Cause   string
-	Stored  bool
+	Cause   ExitCause // of an exited task
+	Stored  bool      // the task saved its state before it exited
 }
 
+// ExitCause is why an attempt has exited, as it is logged.
+type ExitCause string
+
+// The causes of exits.
+const (
+	CauseDone           ExitCause = "done"
+	CauseError          ExitCause = "error"
+	CauseStopped        ExitCause = "stopped"    // by a command
+	CauseGangMemberGone ExitCause = "mates_gone" // another task of the gang is gone
+	CauseGangIncomplete ExitCause = "alone"      // the gang was not complete in time
+	CauseJobUnknown     ExitCause = "unknown"    // refused: there is no such job or task
+	CauseNoCapacity     ExitCause = "full"       // refused: not enough free resources
+	CauseOtherAttempt   ExitCause = "in_use"     // refused: the machine has another attempt
+)
+
 // Heartbeat is a worker's message about its machine and the tasks on it.
 type Heartbeat struct {
 	Machine, Addr, MachineType, Zone string
@@ -55,7 +70,7 @@
 	}
 	if machine == nil {
 		machine = s.AddMachine(heartbeat.Machine, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot, now)
-		s.Log(Event{Kind: "appeared", Machine: heartbeat.Machine})
+		s.Log(Event{Kind: EventAppeared, Machine: heartbeat.Machine})
 	}
 	if machine.Deleting || isLateCopy(machine, heartbeat) {
 		return Stale
@@ -84,7 +99,7 @@
 	machine.HasNews = machine.HasNews && machine.ReceivesAnswers
 	if !machine.Up && heartbeat.Token == s.Token {
 		machine.Up, machine.HasNews, s.NeedsPlacement = true, true, true
-		s.Log(Event{Kind: "up", Machine: machine.ID})
+		s.Log(Event{Kind: EventUp, Machine: machine.ID})
 	}
 	machine.Lost = false
 	machine.Addr, machine.Token = heartbeat.Addr, heartbeat.Token
@@ -106,7 +121,7 @@
 		if b != nil && b.Attempt == task.Attempt {
 			reported[task.ID] = true
 			s.updateBinding(b, task, now)
-		} else if task.Status == model.Exited && task.Cause == "done" {
+		} else if task.Status == model.Exited && task.Cause == CauseDone {
 			s.recordCompletion(task.ID, nil, now)
 		}
 	}
@@ -175,37 +190,42 @@
 	if binding.Status != model.Running && task.Status == model.Running {
 		binding.RunningSince, s.Jobs[binding.ID.Job].HasRun = now, true
 		s.clearFailures(machine)
-		s.Log(Event{Kind: "runs", Machine: machine.ID, Task: binding.ID.String(), Attempt: binding.Attempt})
+		s.Log(Event{Kind: EventRunning, Machine: machine.ID, Task: binding.ID.String(), Attempt: binding.Attempt})
 	}
 	binding.Status = task.Status
-	if task.Status == model.Running || task.Status == model.WaitingForGang || task.Cause == "done" {
+	if task.Status == model.Running || task.Status == model.WaitingForGang || task.Cause == CauseDone {
 		delete(machine.ReadyAt, binding.Job.Image)
 	}
-	if task.Status != model.Exited {
-		return
+	if task.Status == model.Exited {
+		s.applyExit(binding, task, now)
 	}
+}
+
+// applyExit applies the exit of a bound task.
+func (s *State) applyExit(binding *model.Binding, task *TaskStatus, now model.Micros) {
+	machine := binding.Machine
 	if machine.Token != s.Token {
 		// The heartbeat may be an old copy, and the same attempt may have been started
 		// again since. A completion stays true all the same.
-		if task.Cause == "done" {
+		if task.Cause == CauseDone {
 			s.recordCompletion(task.ID, binding, now)
 		}
 		return
 	}
 	job := s.Jobs[binding.ID.Job]
 	switch task.Cause {
-	case "done":
+	case CauseDone:
 		s.recordCompletion(task.ID, binding, now)
 		s.clearFailures(machine)
 		s.unbind(binding, "ended: done", now)
 		return
-	case "error":
+	case CauseError:
 		s.recordFailure(job, machine, now)
-	case "full", "in_use", "unknown":
-		job.UnknownToWorkers = job.UnknownToWorkers || task.Cause == "unknown"
+	case CauseNoCapacity, CauseOtherAttempt, CauseJobUnknown:
+		job.UnknownToWorkers = job.UnknownToWorkers || task.Cause == CauseJobUnknown
 		job.NotBefore = max(job.NotBefore, now+model.Second)
 	}
-	s.unbind(binding, "ended: "+task.Cause, now)
+	s.unbind(binding, "ended: "+string(task.Cause), now)
 }
 
 // recordCompletion marks a task as done, and requests the end of its job if it was the
@@ -241,7 +261,7 @@
 // fails on several machines is retried with a backoff.
 func (s *State) recordFailure(job *model.JobState, m *model.Machine, now model.Micros) {
 	if job.NoteFailure(m.ID, now) && job.NeedsBackoff() {
-		s.Log(Event{Kind: "fails everywhere", Machine: m.ID, Task: job.ID, Why: "to be retried with one task, later and later"})
+		s.Log(Event{Kind: EventFailsEverywhere, Machine: m.ID, Task: job.ID, Why: "to be retried with one task, later and later"})
 	}
 	if !job.IsKnownToRun() && otherJobRuns(job, m) {
 		job.AtFault = true
@@ -315,7 +335,7 @@
 		}
 	}
 	machine.Quarantined, machine.Draining = true, true
-	s.Log(Event{Kind: "sick", Machine: machine.ID, Why: "tasks fail on it"})
+	s.Log(Event{Kind: EventQuarantined, Machine: machine.ID, Why: "tasks fail on it"})
 	for _, b := range machine.Bindings {
 		if b.Status != model.Running {
 			s.stop(b, 0, "machine is sick", now)
--- a/internal/core/shard/heartbeats_test.go
+++ b/internal/core/shard/heartbeats_test.go
@@ -38,17 +38,17 @@
 	w := newWorker(s, "h1", "box", "a")
 	w.starts()
 	binding := job.Bindings[0][0]
-	done := TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Exited, Cause: "done"}
+	done := TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Exited, Cause: CauseDone}
 	other := TaskStatus{ID: job.Bindings[1][0].ID, Attempt: job.Bindings[1][0].Attempt, Status: model.Running}
-	if _, commands := w.says(3*sec, 5, done, other); countCommands(commands, "clear") != 0 {
+	if _, commands := w.says(3*sec, 5, done, other); countCommands(commands, ClearTask) != 0 {
 		t.Fatal("cleared before the completion is durable")
 	}
 	commitAll(s, 3*sec)
-	if _, commands := w.says(4*sec, 5, done, other); countCommands(commands, "clear") != 1 {
+	if _, commands := w.says(4*sec, 5, done, other); countCommands(commands, ClearTask) != 1 {
 		t.Fatal("not cleared though the completion is durable")
 	}
-	other.Status, other.Cause = model.Exited, "done"
-	if _, commands := w.says(5*sec, 5, other); countCommands(commands, "clear") != 0 || job.Ended != "" {
+	other.Status, other.Cause = model.Exited, CauseDone
+	if _, commands := w.says(5*sec, 5, other); countCommands(commands, ClearTask) != 0 || job.Ended != "" {
 		t.Fatal("ended before the end is durable")
 	}
 	commitAll(s, 5*sec)
@@ -90,7 +90,7 @@
 // machine failed.
 func failures(s *State, machine string) (tasks []TaskStatus) {
 	for _, b := range s.Machines[machine].Bindings {
-		tasks = append(tasks, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Exited, Cause: "error"})
+		tasks = append(tasks, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Exited, Cause: CauseError})
 	}
 	return tasks
 }
--- a/internal/core/shard/jobs.go
+++ b/internal/core/shard/jobs.go
@@ -26,7 +26,7 @@
 	}
 	s.Jobs[spec.ID] = job
 	s.NeedsPlacement = true
-	s.Log(Event{Kind: "job", Task: spec.ID, Why: spec.Class + " of " + spec.Team})
+	s.Log(Event{Kind: EventJob, Task: spec.ID, Why: spec.Class + " of " + spec.Team})
 	return job
 }
 
--- a/internal/core/shard/learn.go
+++ b/internal/core/shard/learn.go
@@ -105,49 +105,66 @@
 		return job.ReadySince - placement.Late
 	}
 	run := s.Expected(job.Job)
+	age := now - job.ReadySince
+	end := age + run*9/10
+	if s.hasLastChance(job, age, end) {
+		return job.ReadySince - placement.Late
+	}
+	met, missed := s.countTargets(job, age, end)
 	left := run * model.Micros(len(job.Waiting))
-	age, end := now-job.ReadySince, now-job.ReadySince+run*9/10
-	met, lost := 0, 0
-	aim := func(in bool) {
-		if in {
+	switch {
+	case met == 0:
+		return placement.Late + job.ReadySince
+	case missed == 0 || len(s.Params.Waits[job.Class]) == 0 && job.Deadline == 0:
+		return left
+	}
+	return dueAfterMiss + left
+}
+
+// hasLastChance tells whether a job of that age and expected end is about to miss the
+// last target of its class for the start or the end, while all waiting tasks of the class
+// can start in time.
+func (s *State) hasLastChance(job *model.JobState, age, end model.Micros) bool {
+	waits := s.Params.Waits[job.Class]
+	if len(waits) == 0 {
+		return false
+	}
+	last := waits[len(waits)-1]
+	near := min(last*3/4, maxOvertaken)
+	if age >= near && age < last && s.classLoads[job.Class].timeToStart() < last*3/4 {
+		return true
+	}
+	finish := s.Params.Finish[job.Class]
+	if len(finish) == 0 {
+		return false
+	}
+	last = finish[len(finish)-1]
+	return end >= last*3/4 && end <= last && s.classLoads[job.Class].timeToStart() < last/4
+}
+
+// countTargets counts the targets that a job of that age and expected end can still
+// meet, and those that it misses.
+func (s *State) countTargets(job *model.JobState, age, end model.Micros) (met, missed int) {
+	count := func(meets bool) {
+		if meets {
 			met++
 		} else {
-			lost++
+			missed++
 		}
 	}
-	waits := s.Params.Waits[job.Class]
-	if n := len(waits); n > 0 {
-		last := waits[n-1]
-		if near := min(last*3/4, maxOvertaken); age >= near && age < last && s.classLoads[job.Class].timeToStart() < last*3/4 {
-			return job.ReadySince - placement.Late
-		}
-		for _, w := range waits {
-			aim(age < w)
-		}
+	for _, wait := range s.Params.Waits[job.Class] {
+		count(age < wait)
 	}
 	if job.Deadline > 0 {
-		aim(end <= job.Deadline)
+		count(end <= job.Deadline)
 		for _, times := range s.Params.Deadlines[job.Class] {
-			aim(end <= model.Micros(float64(job.Deadline)*times))
-		}
-	}
-	finish := s.Params.Finish[job.Class]
-	if n := len(finish); n > 0 && len(waits) > 0 {
-		last := finish[n-1]
-		if end >= last*3/4 && end <= last && s.classLoads[job.Class].timeToStart() < last/4 {
-			return job.ReadySince - placement.Late
+			count(end <= model.Micros(float64(job.Deadline)*times))
 		}
 	}
-	for _, f := range finish {
-		aim(end <= f)
-	}
-	switch {
-	case met == 0:
-		return placement.Late + job.ReadySince
-	case lost == 0 || len(waits) == 0 && job.Deadline == 0:
-		return left
+	for _, finish := range s.Params.Finish[job.Class] {
+		count(end <= finish)
 	}
-	return dueAfterMiss + left
+	return met, missed
 }
 
 // A machine counts as slow if two tasks on it run for three times their expected time: a
@@ -171,7 +188,7 @@
 		return
 	}
 	if now >= machine.SlowUntil {
-		s.Log(Event{Kind: "slow", Machine: machine.ID})
+		s.Log(Event{Kind: EventSlow, Machine: machine.ID})
 	}
 	machine.SlowUntil = now + slowDuration
 }
--- a/internal/core/shard/placement_test.go
+++ b/internal/core/shard/placement_test.go
@@ -53,7 +53,7 @@
 	s.AddJob(hot, model.Set{}, "", 2*sec, 0)
 	tasks := running(s, "h1")
 	_, commands := w.says(4*sec, 5, tasks...)
-	if n := countCommands(commands, "stop"); n != 2 {
+	if n := countCommands(commands, StopTask); n != 2 {
 		t.Fatalf("%d stopped to make room for two cores, commands %v", n, commands)
 	}
 	same := newJob("j-3", 1, model.Array)
@@ -85,7 +85,7 @@
 		due.Priority, due.Class, due.EstimatedRun, due.Deadline = model.HighPriority, "due", 10*sec, 50*sec
 		s.AddJob(due, model.Set{}, "", 0, 0)
 		_, commands := w.says(at, 5, running(s, "h1")...)
-		if n := countCommands(commands, "stop"); n != map[model.Micros]int{4 * sec: 0, 12 * sec: 1}[at] {
+		if n := countCommands(commands, StopTask); n != map[model.Micros]int{4 * sec: 0, 12 * sec: 1}[at] {
 			t.Errorf("%d stopped at %.0f s for a job that can spare 40 s", n, at.Seconds())
 		}
 	}
@@ -132,8 +132,8 @@
 		job := s.AddJob(low, model.Set{}, "", 2*sec, 0)
 		tasks := running(s, "h1")
 		w.says(wait, 5, tasks...)
-		tasks[0].Status, tasks[0].Cause = model.Exited, "done"
-		tasks[1].Status, tasks[1].Cause = model.Exited, "done"
+		tasks[0].Status, tasks[0].Cause = model.Exited, CauseDone
+		tasks[1].Status, tasks[1].Cause = model.Exited, CauseDone
 		w.says(wait+sec, 5, tasks...)
 		if n := job.BindingCount(); (n == 1) != (wait > 150*sec) || n > 1 || len(s.Machines["h1"].Bindings) != 4 {
 			t.Errorf("after %v s: %d tasks of the waiting job, %d bound in all", wait.Seconds(), n, len(s.Machines["h1"].Bindings))
@@ -258,7 +258,7 @@
 	same.AcceptedRevision = 1
 	s.AddJob(other, model.Set{}, "", 3*sec, 0)
 	job := s.AddJob(same, model.Set{}, "", 3*sec, 0)
-	tasks[0].Status, tasks[0].Cause = model.Exited, "done"
+	tasks[0].Status, tasks[0].Cause = model.Exited, CauseDone
 	w.says(4*sec, 5, tasks...)
 	if len(job.Bindings) != 1 {
 		t.Fatal("the room goes to a task that has to wait for its image")
@@ -281,7 +281,7 @@
 		s.AddJob(hot, model.Set{}, "", 2*sec, 0)
 		tasks := running(s, "h1")
 		_, commands := w.says(20*sec, 5, tasks...)
-		if n := countCommands(commands, "stop"); n != int(rank-model.NormalPriority) {
+		if n := countCommands(commands, StopTask); n != int(rank-model.NormalPriority) {
 			t.Errorf("rank %v: %d GPU tasks stopped for one without", rank, n)
 		}
 	}
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -31,12 +31,34 @@
 	Margin model.Micros
 }
 
-// Event is a decision worth a log line.
+// Event is a decision or an observation that is logged.
 type Event struct {
-	Kind, Machine, Task, Why string
-	Attempt                  uint64
+	Kind    EventKind
+	Machine string
+	Task    string // a task, or a job
+	Attempt uint64
+	Why     string
 }
 
+// EventKind is the kind of an event, as it is logged.
+type EventKind string
+
+// The kinds of events.
+const (
+	EventJob             EventKind = "job"              // a job was added
+	EventBind            EventKind = "bind"             // a task was bound to a machine
+	EventUnbind          EventKind = "unbind"           // a binding was removed
+	EventStop            EventKind = "stop"             // a task is to be stopped
+	EventRunning         EventKind = "runs"             // a task began to run
+	EventFailsEverywhere EventKind = "fails everywhere" // a job has failed on several machines
+	EventAppeared        EventKind = "appeared"         // an unknown machine sent a heartbeat
+	EventUp              EventKind = "up"               // a machine is up
+	EventLost            EventKind = "lost"             // the lease of a machine's worker expired
+	EventReclaim         EventKind = "recall"           // a spot machine will be reclaimed
+	EventSlow            EventKind = "slow"             // tasks on a machine run for too long
+	EventQuarantined     EventKind = "sick"             // a machine was quarantined
+)
+
 // State is the state of one shard, as its owner knows it. It must be used by a single
 // goroutine at a time.
 type State struct {
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -76,9 +76,9 @@
 	return keys
 }
 
-func countCommands(commands []Command, verb string) (n int) {
+func countCommands(commands []Command, op CommandOp) (n int) {
 	for _, o := range commands {
-		if o.Op == verb {
+		if o.Op == op {
 			n++
 		}
 	}
--- a/internal/core/shard/suspend.go
+++ b/internal/core/shard/suspend.go
@@ -51,7 +51,7 @@
 		}
 	}
 	s.Jobs[spec.ID] = job
-	s.Log(Event{Kind: "job", Task: spec.ID, Why: spec.Class + " of " + spec.Team + ", lent by " + home})
+	s.Log(Event{Kind: EventJob, Task: spec.ID, Why: spec.Class + " of " + spec.Team + ", lent by " + home})
 	return job
 }
 
--- a/internal/core/shard/writes.go
+++ b/internal/core/shard/writes.go
@@ -148,7 +148,7 @@
 		s.pendingEnds = s.pendingEnds[1:]
 		if job := s.Jobs[jobID]; job != nil && job.Ended == "" {
 			txn.bytesLeft -= maxEndBytes
-			txn.writes = append(txn.writes, &Write{Key: jobKeyPrefix + jobID, Slot: -1, Value: JobRecord{End: "done", Tasks: job.Tasks}})
+			txn.writes = append(txn.writes, &Write{Key: jobKeyPrefix + jobID, Slot: -1, Value: JobRecord{End: jobDone, Tasks: job.Tasks}})
 		}
 	}
 }
@@ -259,7 +259,7 @@
 	for i := range writes {
 		write := &writes[i]
 		if write.Slot < 0 {
-			s.EndJob(strings.TrimPrefix(write.Key, jobKeyPrefix), "done", now)
+			s.EndJob(strings.TrimPrefix(write.Key, jobKeyPrefix), jobDone, now)
 			continue
 		}
 		entries := make([]string, 0, len(write.versions))
--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -50,11 +50,38 @@
 		if !ok {
 			continue
 		}
-		r.Tasks = append(r.Tasks, shard.TaskStatus{ID: id, Attempt: p.Try, Status: model.StatusOf(p.Status), Cause: p.Cause, Stored: p.Stored})
+		r.Tasks = append(r.Tasks, shard.TaskStatus{ID: id, Attempt: p.Try, Status: model.StatusOf(p.Status), Cause: exitCauseOf(p.Cause), Stored: p.Stored})
 	}
 	return r, nil
 }
 
+// exitCauses are the words of the protocol for causes of exits.
+var exitCauses = map[string]shard.ExitCause{
+	"done":       shard.CauseDone,
+	"error":      shard.CauseError,
+	"stopped":    shard.CauseStopped,
+	"mates_gone": shard.CauseGangMemberGone,
+	"alone":      shard.CauseGangIncomplete,
+	"unknown":    shard.CauseJobUnknown,
+	"full":       shard.CauseNoCapacity,
+	"in_use":     shard.CauseOtherAttempt,
+}
+
+// exitCauseOf reads the wire form. A word that we do not know is kept for the log.
+func exitCauseOf(word string) shard.ExitCause {
+	if cause, ok := exitCauses[word]; ok {
+		return cause
+	}
+	return shard.ExitCause(word)
+}
+
+// verbs are the words of the protocol for operations.
+var verbs = map[shard.CommandOp]string{
+	shard.StartTask: "start",
+	shard.StopTask:  "stop",
+	shard.ClearTask: "clear",
+}
+
 type wireOrder struct {
 	Verb    string   `json:"verb"`
 	Piece   string   `json:"piece"`
@@ -69,8 +96,8 @@
 		Orders  []wireOrder `json:"orders"`
 	}{token, make([]wireOrder, 0, len(commands))}
 	for _, o := range commands {
-		w := wireOrder{Verb: o.Op, Piece: o.Task.String(), Try: o.Attempt}
-		if o.Op == "stop" {
+		w := wireOrder{Verb: verbs[o.Op], Piece: o.Task.String(), Try: o.Attempt}
+		if o.Op == shard.StopTask {
 			s := o.Grace.Seconds()
 			w.LeewayS = &s
 		}
--- a/internal/workerapi/workerapi_test.go
+++ b/internal/workerapi/workerapi_test.go
@@ -17,7 +17,7 @@
 	if r.Sequence != 88 || r.Token != 41 || !r.Spot || !r.SpotNotice || r.ReclaimedIn != 7_500_000 || len(r.Tasks) != 2 {
 		t.Errorf("%+v", r)
 	}
-	if p := r.Tasks[1]; p.ID != (model.TaskID{Job: "j-000398"}) || p.Status != model.Exited || p.Cause != "done" {
+	if p := r.Tasks[1]; p.ID != (model.TaskID{Job: "j-000398"}) || p.Status != model.Exited || p.Cause != shard.CauseDone {
 		t.Errorf("%+v", p)
 	}
 	if r, err = ParseHeartbeat([]byte(`{"host":"h","tenure":1,"recallS":null}`)); err != nil || r.SpotNotice {
@@ -30,10 +30,23 @@
 	}
 }
 
+// Every cause of the protocol is known, and any other word is kept as it is.
+func TestExitCauses(t *testing.T) {
+	want := map[string]shard.ExitCause{"done": shard.CauseDone, "error": shard.CauseError, "stopped": shard.CauseStopped,
+		"mates_gone": shard.CauseGangMemberGone, "alone": shard.CauseGangIncomplete, "unknown": shard.CauseJobUnknown,
+		"full": shard.CauseNoCapacity, "in_use": shard.CauseOtherAttempt, "": "", "new word": "new word"}
+	for word, cause := range want {
+		heartbeat, err := ParseHeartbeat([]byte(`{"host":"h","tenure":1,"pieces":[{"piece":"j-1/0","try":1,"status":"ended","cause":"` + word + `"}]}`))
+		if err != nil || len(heartbeat.Tasks) != 1 || heartbeat.Tasks[0].Cause != cause {
+			t.Errorf("%q: %+v, %v", word, heartbeat, err)
+		}
+	}
+}
+
 func TestAnswer(t *testing.T) {
 	id := model.TaskID{Job: "j-000377", Index: 1}
-	got := string(Answer(41, []shard.Command{{Op: "start", Task: id, Attempt: 2}, {Op: "stop", Task: id, Attempt: 1, Grace: 10 * model.Second},
-		{Op: "stop", Task: id, Attempt: 1}, {Op: "clear", Task: id, Attempt: 1}}))
+	got := string(Answer(41, []shard.Command{{Op: shard.StartTask, Task: id, Attempt: 2}, {Op: shard.StopTask, Task: id, Attempt: 1, Grace: 10 * model.Second},
+		{Op: shard.StopTask, Task: id, Attempt: 1}, {Op: shard.ClearTask, Task: id, Attempt: 1}}))
 	want := `{"warrant":41,"orders":[{"verb":"start","piece":"j-000377/1","try":2},{"verb":"stop","piece":"j-000377/1","try":1,"leewayS":10},` +
 		`{"verb":"stop","piece":"j-000377/1","try":1,"leewayS":0},{"verb":"clear","piece":"j-000377/1","try":1}]}`
 	if got != want {
