--- a/internal/core/shard/bindings.go
+++ b/internal/core/shard/bindings.go
@@ -29,17 +29,26 @@
 	}
 	machine.Used = machine.Used.Plus(job.Request)
 	s.Used[job.Team] = s.Used[job.Team].Plus(job.Request)
-	if machineType := s.MachineTypes[machine.MachineType]; machineType != nil {
-		if !machine.HasImage(job.Image) && machineType.FetchGBps > 0 {
-			if machine.ReadyAt == nil {
-				machine.ReadyAt = map[string]model.Micros{}
-			}
-			machine.ReadyAt[job.Image] = now + max(s.Params.Report/2, machine.FetchTimeLeft(now)) + model.Seconds(job.ImageGB/machineType.FetchGBps)
+	s.expectImage(binding, now)
+	return binding
+}
+
+// expectImage notes when the image of a new binding's task will be on the machine.
+func (s *State) expectImage(binding *model.Binding, now model.Micros) {
+	machine, job := binding.Machine, binding.Job
+	machineType := s.MachineTypes[machine.MachineType]
+	if machineType == nil {
+		return
+	}
+	if !machine.HasImage(job.Image) && machineType.FetchGBps > 0 {
+		if machine.ReadyAt == nil {
+			machine.ReadyAt = map[string]model.Micros{}
 		}
-		binding.ExpectedFetch = max(0, machine.ReadyAt[job.Image]-now)
-		machine.TouchImage(job.Image, job.ImageGB, machineType.CacheGB)
+		begin := now + max(s.Params.Report/2, machine.FetchTimeLeft(now))
+		machine.ReadyAt[job.Image] = begin + model.Seconds(job.ImageGB/machineType.FetchGBps)
 	}
-	return binding
+	binding.ExpectedFetch = max(0, machine.ReadyAt[job.Image]-now)
+	machine.TouchImage(job.Image, job.ImageGB, machineType.CacheGB)
 }
 
 // bind decides that a task goes to a machine. The start may be sent only once the
@@ -106,15 +115,15 @@
 
 // stop decides that a bound task is to be stopped. A stop that was decided before is
 // only ever made shorter.
-func (s *State) stop(b *model.Binding, leeway model.Micros, why string, now model.Micros) {
-	if b.Stopping && leeway >= b.StopGrace {
+func (s *State) stop(b *model.Binding, grace model.Micros, why string, now model.Micros) {
+	if b.Stopping && grace >= b.StopGrace {
 		return
 	}
 	if !b.Stopping {
 		b.StopDecidedAt = now
 		s.Log(Event{Kind: EventStop, Machine: b.Machine.ID, Task: b.ID.String(), Attempt: b.Attempt, Why: why})
 	}
-	b.Stopping, b.StopGrace, b.StopReason = true, leeway, why
+	b.Stopping, b.StopGrace, b.StopReason = true, grace, why
 }
 
 // stopBeforeReclaim stops tasks on a spot machine that is about to be reclaimed, if
--- /dev/null
+++ b/internal/core/shard/dense_sizes.go
@@ -0,0 +1,85 @@
+package shard
+
+import "strings"
+
+// Upper bounds of the bytes that parts of the dense encoding take.
+const (
+	denseBytesBundle   = 64 // version, smallest attempt, counts, and the quotes
+	denseBytesMachine  = 8  // lengths, kind, numbers of type and zone, number of jobs
+	denseBytesJob      = 4  // number and count
+	denseBytesFinished = 6
+)
+
+// base64Bytes returns the length of n bytes in base64.
+func base64Bytes(n int) int { return (n*4 + 2) / 3 }
+
+// uvarintBytes returns the length of a number as an unsigned varint.
+func uvarintBytes(v uint64) int {
+	n := 1
+	for ; v >= 0x80; v >>= 7 {
+		n++
+	}
+	return n
+}
+
+// denseTaskBytes returns the most that a bound task takes. Its attempt is relative to
+// the smallest one in the bundle, which is never below the smallest one that is bound.
+func (s *State) denseTaskBytes(index int, attempt uint64) int {
+	return uvarintBytes(uint64(index)) + uvarintBytes(attempt-min(s.oldestAttempt, attempt))
+}
+
+// denseNameBytes returns what a name takes in a table, 0 if it is there already.
+func denseNameBytes(name string, known map[string]bool) int {
+	if known[name] {
+		return 0
+	}
+	return uvarintBytes(uint64(len(name))) + len(name)
+}
+
+// denseEntryBytes returns the most that an entry takes in a bundle whose tables have
+// the known names.
+func (s *State) denseEntryBytes(entry string, known map[string]bool) int {
+	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
+		n := denseBytesMachine + len(machineID)
+		machine := s.Machines[machineID]
+		if machine == nil {
+			return base64Bytes(n)
+		}
+		n += denseNameBytes(machine.MachineType, known) + denseNameBytes(machine.Zone, known)
+		for job := range machine.TaskCounts {
+			n += denseBytesJob + denseNameBytes(job, known)
+		}
+		for id, b := range machine.Bindings {
+			n += s.denseTaskBytes(id.Index, b.Attempt)
+		}
+		return base64Bytes(n)
+	}
+	job, part := s.partOf(entry)
+	switch {
+	case job == nil:
+		return base64Bytes(denseBytesFinished)
+	case part >= 0:
+		return base64Bytes(denseBytesFinished + 4 + len(job.ID) + len(job.Done.Part(part)))
+	}
+	return base64Bytes(denseBytesFinished + len(job.ID) + len(job.Done.Bytes()))
+}
+
+// addNames adds the names that an entry puts into the tables to the known ones.
+func (s *State) addNames(entry string, known map[string]bool) {
+	if m := s.Machines[strings.TrimPrefix(entry, MachineEntry)]; m != nil {
+		known[m.MachineType], known[m.Zone] = true, true
+		for job := range m.TaskCounts {
+			known[job] = true
+		}
+	}
+}
+
+// refreshOldestAttempt finds the smallest attempt that is bound.
+func (s *State) refreshOldestAttempt() {
+	s.oldestAttempt = s.Token << attemptBits
+	for _, m := range s.Machines {
+		for _, b := range m.Bindings {
+			s.oldestAttempt = min(s.oldestAttempt, b.Attempt)
+		}
+	}
+}
--- a/internal/core/shard/learn.go
+++ b/internal/core/shard/due.go
@@ -5,48 +5,6 @@
 	"woadweir/internal/core/placement"
 )
 
-// runTimeStats are the statistics of the run times of a class.
-type runTimeStats struct {
-	n    int
-	mean float64 // moving average in microseconds
-}
-
-// recordRunTime adds the run time of a completed task to the statistics of its class.
-func (s *State) recordRunTime(class string, run model.Micros) {
-	stats := s.runTimes[class]
-	if stats == nil {
-		stats = &runTimeStats{}
-		s.runTimes[class] = stats
-	}
-	stats.n++
-	weight := max(1/float64(stats.n), 0.05)
-	stats.mean += (float64(run) - stats.mean) * weight
-}
-
-// Expected is the expected run time of a task of the job: the mean of the owner's
-// estimate and the average of the class.
-func (s *State) Expected(job *model.Job) model.Micros {
-	stats := s.runTimes[job.Class]
-	if stats == nil || stats.n < 3 {
-		return job.EstimatedRun
-	}
-	if job.EstimatedRun == 0 {
-		return model.Micros(stats.mean)
-	}
-	return (job.EstimatedRun + model.Micros(stats.mean)) / 2
-}
-
-// Remaining is the expected time until a bound task is done.
-func (s *State) Remaining(b *model.Binding, now model.Micros) model.Micros {
-	e := s.Expected(b.Job)
-	if b.RunningSince == 0 {
-		return e
-	}
-	ran := now - b.RunningSince
-	// The longer a task has exceeded its estimate, the longer it may still take.
-	return max(e-ran, ran/4)
-}
-
 // classLoad is the load that the tasks of a class make.
 type classLoad struct {
 	rate    float64 // tasks that are expected to end in a second
@@ -72,14 +30,14 @@
 func (s *State) updateClassLoads(jobs []*model.JobState, now model.Micros) {
 	s.classLoads = make(map[string]classLoad, len(s.runTimes)+1)
 	for _, job := range jobs {
-		l := s.classLoads[job.Class]
-		if n := len(job.Bindings); n > 0 {
-			l.rate += float64(n) / max(s.Expected(job.Job), model.Second).Seconds()
+		load := s.classLoads[job.Class]
+		if bound := len(job.Bindings); bound > 0 {
+			load.rate += float64(bound) / max(s.Expected(job.Job), model.Second).Seconds()
 		}
 		if now >= job.NotBefore {
-			l.waiting += len(job.Waiting)
+			load.waiting += len(job.Waiting)
 		}
-		s.classLoads[job.Class] = l
+		s.classLoads[job.Class] = load
 	}
 }
 
@@ -167,32 +125,6 @@
 	return met, missed
 }
 
-// A machine counts as slow if two tasks on it run for three times their expected time: a
-// single one may be due to a wrong estimate.
-const (
-	slowFactor   = 3
-	slowTasks    = 2
-	slowDuration = 60 * model.Second
-)
-
-// detectSlowMachine marks a slow machine. Its tasks are left to finish, but for a while
-// new tasks go to other machines first.
-func (s *State) detectSlowMachine(machine *model.Machine, now model.Micros) {
-	n := 0
-	for _, b := range machine.Bindings {
-		if e := s.Expected(b.Job); b.RunningSince != 0 && e > 0 && now-b.RunningSince > slowFactor*max(e, 5*model.Second) {
-			n++
-		}
-	}
-	if n < slowTasks {
-		return
-	}
-	if now >= machine.SlowUntil {
-		s.Log(Event{Kind: EventSlow, Machine: machine.ID})
-	}
-	machine.SlowUntil = now + slowDuration
-}
-
 // lossMakesLate tells whether a job is expected to meet its deadline, or a multiple of
 // it that is a target, but not if a task is lost after half of its run. Such jobs
 // should not run on spot machines.
--- a/internal/core/shard/heartbeats.go
+++ b/internal/core/shard/heartbeats.go
@@ -1,8 +1,6 @@
 package shard
 
 import (
-	"slices"
-
 	"woadweir/internal/core/model"
 )
 
@@ -149,40 +147,6 @@
 	}
 }
 
-// checkReceivesAnswers finds out from a heartbeat whether our response to the one
-// before reached the worker. In that case the heartbeat has our token, comes without
-// the delay of a retry, is of the same incarnation, and has the tasks that the response
-// started. A worker whose response was lost tries another controller first, after a
-// pause. A machine whose heartbeats arrive while no response reaches it kills its tasks
-// whenever its lease expires.
-func (s *State) checkReceivesAnswers(machine *model.Machine, heartbeat *Heartbeat, now model.Micros) {
-	was := machine.ReceivesAnswers
-	machine.ReceivesAnswers = heartbeat.Token == s.Token && heartbeat.Incarnation == machine.Incarnation && now-machine.LastHeartbeat <= s.Params.Report*3/2+model.Second
-	if machine.ReceivesAnswers {
-		for _, b := range machine.Bindings {
-			if b.SentIncarnation == machine.Incarnation && b.SentSequence == machine.Sequence && !slices.ContainsFunc(heartbeat.Tasks, func(task TaskStatus) bool { return task.ID == b.ID && task.Attempt == b.Attempt }) {
-				machine.ReceivesAnswers = false
-				break
-			}
-		}
-	}
-	switch {
-	case machine.ReceivesAnswers:
-		machine.UnansweredSince = 0
-	case machine.UnansweredSince == 0:
-		machine.UnansweredSince = now
-	}
-	if machine.ReceivesAnswers && !was {
-		machine.HasNews, s.NeedsPlacement = true, true
-	}
-}
-
-// Unreachable tells whether a machine still sends heartbeats, but has not received our
-// responses for longer than its tasks can live without them.
-func (s *State) Unreachable(m *model.Machine, now model.Micros) bool {
-	return m.UnansweredSince != 0 && now-m.UnansweredSince > s.LeaseExpiry()+2*s.Params.Report && now-m.LastHeartbeat < s.LeaseExpiry()
-}
-
 // updateBinding applies the reported state of a bound task.
 func (s *State) updateBinding(binding *model.Binding, task *TaskStatus, now model.Micros) {
 	machine := binding.Machine
@@ -253,92 +217,3 @@
 	}
 	s.enqueueFinished(job, id.Index)
 }
-
-// recordFailure counts a failed task against its machine, or against its job. Mostly
-// the machine is at fault. But a job that was submitted with a mistake fails on every
-// machine, and must not get healthy machines quarantined: each would be drained and
-// replaced. So failures are counted for both (see quarantineIfFaulty), and a job that
-// fails on several machines is retried with a backoff.
-func (s *State) recordFailure(job *model.JobState, m *model.Machine, now model.Micros) {
-	if job.NoteFailure(m.ID, now) && job.NeedsBackoff() {
-		s.Log(Event{Kind: EventFailsEverywhere, Machine: m.ID, Task: job.ID, Why: "to be retried with one task, later and later"})
-	}
-	if !job.IsKnownToRun() && otherJobRuns(job, m) {
-		job.AtFault = true
-	}
-	if !job.IsAtFault() {
-		m.NoteFailure(job.ID, now)
-	}
-}
-
-// otherJobRuns tells whether a task of another job runs on the machine.
-func otherJobRuns(job *model.JobState, m *model.Machine) bool {
-	for id, b := range m.Bindings {
-		if id.Job != job.ID && b.Status == model.Running {
-			return true
-		}
-	}
-	return false
-}
-
-// clearFailures forgets the failures on a machine on which a task runs or has
-// completed. The machine is not faulty, so jobs that failed on it and have not run
-// anywhere are at fault.
-func (s *State) clearFailures(m *model.Machine) {
-	for _, f := range m.FailuresInRow {
-		if job := s.Jobs[f.Job]; job != nil && !job.IsKnownToRun() {
-			job.AtFault = true
-		}
-	}
-	m.FailuresInRow = nil
-}
-
-// Limits of consecutive failures on a machine.
-const (
-	// faultyAfterProven is the number of failures of jobs that have run elsewhere after
-	// which a machine is quarantined.
-	faultyAfterProven = 2
-	// faultyAfterUnproven is the number of failures of jobs that have not run anywhere
-	// yet after which a machine is quarantined, as long as nothing else runs on it. Such
-	// a job may not fit on other machines, and would fail there for ever. It gets only
-	// one machine quarantined.
-	faultyAfterUnproven = 3
-)
-
-// quarantineIfFaulty quarantines a machine if the failures on it are its own fault.
-// Failures of jobs that are known to run count for more: the first tasks of new jobs
-// with a mistake often fail on the same machines at once, which proves nothing. This is
-// checked with every heartbeat, as the jobs may have run elsewhere since.
-func (s *State) quarantineIfFaulty(machine *model.Machine, now model.Micros) {
-	if machine.Quarantined || len(machine.FailuresInRow) < faultyAfterProven {
-		return
-	}
-	proven, unproven := 0, 0
-	for _, f := range machine.FailuresInRow {
-		job := s.Jobs[f.Job]
-		switch {
-		case job == nil || job.IsAtFault():
-		case job.IsKnownToRun():
-			proven++
-		default:
-			unproven++
-		}
-	}
-	if proven < faultyAfterProven && unproven < faultyAfterUnproven {
-		return
-	}
-	// The jobs that have not run anywhere have had their one machine quarantined. If they
-	// fail on the next as well, they are at fault.
-	for _, f := range machine.FailuresInRow {
-		if job := s.Jobs[f.Job]; job != nil && !job.IsKnownToRun() {
-			job.AtFault = true
-		}
-	}
-	machine.Quarantined, machine.Draining = true, true
-	s.Log(Event{Kind: EventQuarantined, Machine: machine.ID, Why: "tasks fail on it"})
-	for _, b := range machine.Bindings {
-		if b.Status != model.Running {
-			s.stop(b, 0, "machine is sick", now)
-		}
-	}
-}
--- a/internal/core/shard/jobs.go
+++ b/internal/core/shard/jobs.go
@@ -7,8 +7,15 @@
 	if job := s.Jobs[spec.ID]; job != nil {
 		return job
 	}
-	job := &model.JobState{Job: spec, Done: done, Ended: ended, Bindings: map[int][]*model.Binding{}, ReadySince: now - age, IdleSince: now - age}
-	job.DoneVersions = make([]model.Versions, 1)
+	job := &model.JobState{
+		Job:          spec,
+		Done:         done,
+		DoneVersions: make([]model.Versions, 1),
+		Ended:        ended,
+		Bindings:     map[int][]*model.Binding{},
+		ReadySince:   now - age,
+		IdleSince:    now - age,
+	}
 	if s.needsParts(spec) && ended == "" {
 		// The finished tasks may be stored as a whole that is too large to be written again.
 		s.storeInParts(job)
--- a/internal/core/shard/records.go
+++ b/internal/core/shard/records.go
@@ -80,9 +80,9 @@
 
 // machineRecord returns the present record of a machine.
 func machineRecord(m *model.Machine) *MachineRecord {
-	rec := &MachineRecord{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Tasks: make(map[string][][2]uint64, len(m.Bindings))}
+	tasks := make(map[string][][2]uint64, len(m.Bindings))
 	for id, b := range m.Bindings {
-		rec.Tasks[id.Job] = append(rec.Tasks[id.Job], [2]uint64{uint64(id.Index), b.Attempt})
+		tasks[id.Job] = append(tasks[id.Job], [2]uint64{uint64(id.Index), b.Attempt})
 	}
-	return rec
+	return &MachineRecord{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Tasks: tasks}
 }
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -126,8 +126,16 @@
 	if m := s.Machines[machineID]; m != nil {
 		return m
 	}
-	m := &model.Machine{ID: machineID, MachineType: machineType, Zone: zone, Spot: spot, Bindings: map[model.TaskID]*model.Binding{},
-		LastAnswer: now, RentedAt: now, EmptySince: now}
+	m := &model.Machine{
+		ID:          machineID,
+		MachineType: machineType,
+		Zone:        zone,
+		Spot:        spot,
+		Bindings:    map[model.TaskID]*model.Binding{},
+		LastAnswer:  now,
+		RentedAt:    now,
+		EmptySince:  now,
+	}
 	if known := s.MachineTypes[machineType]; known != nil {
 		m.Size = known.Size()
 	}
--- a/internal/core/shard/sizes.go
+++ b/internal/core/shard/sizes.go
@@ -62,14 +62,14 @@
 func addRecordBytes(binding *model.Binding, sign int) {
 	machine := binding.Machine
 	machine.RecordBytes += sign * taskBytes(binding.ID.Index, binding.Attempt)
-	was := machine.TaskCounts[binding.ID.Job]
-	if was == 0 || was == 1 && sign < 0 {
+	before := machine.TaskCounts[binding.ID.Job]
+	if before == 0 || before == 1 && sign < 0 {
 		machine.RecordBytes += sign * (bytesPerJob + len(binding.ID.Job))
 	}
 	if machine.TaskCounts == nil {
 		machine.TaskCounts = map[string]int{}
 	}
-	if machine.TaskCounts[binding.ID.Job] = was + sign; was+sign == 0 {
+	if machine.TaskCounts[binding.ID.Job] = before + sign; before+sign == 0 {
 		delete(machine.TaskCounts, binding.ID.Job)
 	}
 }
--- a/internal/core/shard/slots.go
+++ b/internal/core/shard/slots.go
@@ -30,8 +30,8 @@
 		if _, ok := old[entry]; !ok {
 			s.copies[entry]++
 		}
-		if was, ok := s.latestSlot[entry]; ok && was != slotIndex {
-			s.slots[was].liveBytes -= s.slots[was].sizes[entry]
+		if previous, ok := s.latestSlot[entry]; ok && previous != slotIndex {
+			s.slots[previous].liveBytes -= s.slots[previous].sizes[entry]
 		}
 		s.latestSlot[entry] = slotIndex
 	}
--- a/internal/core/shard/writes.go
+++ b/internal/core/shard/writes.go
@@ -10,7 +10,7 @@
 // Write is a change of one key that is to be made durable under our grant.
 type Write struct {
 	Key        string // key of a job's end, empty for a bundle
-	Slot       int    // slot of a bundle, -1 for a job's end
+	Slot       int    // slot of a bundle, noSlot for a job's end
 	Value      any
 	versions   map[string]uint64 // the entries of the bundle, with their versions
 	knownNames map[string]bool   // names in the tables of the dense encoding
@@ -20,6 +20,9 @@
 	unanswered bool
 }
 
+// noSlot is the slot of writes that are not bundles.
+const noSlot = -1
+
 // jobKeyPrefix is the prefix of the keys of jobs.
 const jobKeyPrefix = "job/"
 
@@ -42,38 +45,38 @@
 
 // include adds the present value of an entry to a bundle.
 func (s *State) include(write *Write, entry string) {
-	rec, _ := write.Value.(BundleRecord)
-	rec.Dense = s.Params.Dense
+	bundle, _ := write.Value.(BundleRecord)
+	bundle.Dense = s.Params.Dense
 	size := s.entryBytesIn(entry, write.knownNames)
 	included := false
 	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
-		included = s.includeMachine(write, &rec, machineID)
+		included = s.includeMachine(write, &bundle, machineID)
 	} else {
-		included = s.includeFinished(write, &rec, entry)
+		included = s.includeFinished(write, &bundle, entry)
 	}
 	if !included {
 		return
 	}
-	write.Value = rec
+	write.Value = bundle
 	write.size += size
 	s.addNames(entry, write.knownNames)
 }
 
 // includeMachine adds the record of a machine to a bundle, nil if the machine is gone.
 // It tells whether the record is needed.
-func (s *State) includeMachine(write *Write, rec *BundleRecord, machineID string) bool {
+func (s *State) includeMachine(write *Write, bundle *BundleRecord, machineID string) bool {
 	entry := MachineEntry + machineID
 	machine := s.Machines[machineID]
 	if machine == nil && s.copiesElsewhere(entry, write.Slot) == 0 {
 		return false // no other slot has a record that would bring the machine back
 	}
-	if rec.Machines == nil {
-		rec.Machines = map[string]*MachineRecord{}
+	if bundle.Machines == nil {
+		bundle.Machines = map[string]*MachineRecord{}
 	}
 	if machine == nil {
-		rec.Machines[machineID], write.versions[entry] = nil, 0
+		bundle.Machines[machineID], write.versions[entry] = nil, 0
 	} else {
-		rec.Machines[machineID], write.versions[entry] = machineRecord(machine), machine.Version
+		bundle.Machines[machineID], write.versions[entry] = machineRecord(machine), machine.Version
 	}
 	return true
 }
@@ -89,19 +92,19 @@
 
 // includeFinished adds the finished tasks of a job to a bundle. It tells whether they
 // are needed, as the job has not ended.
-func (s *State) includeFinished(write *Write, rec *BundleRecord, entry string) bool {
+func (s *State) includeFinished(write *Write, bundle *BundleRecord, entry string) bool {
 	job, part := s.partOf(entry)
 	if job == nil || job.Ended != "" {
 		return false
 	}
-	if rec.Done == nil {
-		rec.Done = map[string][]byte{}
+	if bundle.Done == nil {
+		bundle.Done = map[string][]byte{}
 	}
 	bits := job.Done.Bytes()
 	if part >= 0 {
 		bits = job.Done.Part(part)
 	}
-	rec.Done[strings.TrimPrefix(entry, DoneEntry)], write.versions[entry] = slices.Clone(bits), 0
+	bundle.Done[strings.TrimPrefix(entry, DoneEntry)], write.versions[entry] = slices.Clone(bits), 0
 	if v := finishedVersions(job, part); v != nil {
 		write.versions[entry] = v.Now
 	}
@@ -148,7 +151,8 @@
 		s.pendingEnds = s.pendingEnds[1:]
 		if job := s.Jobs[jobID]; job != nil && job.Ended == "" {
 			txn.bytesLeft -= maxEndBytes
-			txn.writes = append(txn.writes, &Write{Key: jobKeyPrefix + jobID, Slot: -1, Value: JobRecord{End: jobDone, Tasks: job.Tasks}})
+			record := JobRecord{End: jobDone, Tasks: job.Tasks}
+			txn.writes = append(txn.writes, &Write{Key: jobKeyPrefix + jobID, Slot: noSlot, Value: record})
 		}
 	}
 }
@@ -246,7 +250,7 @@
 func (txn *transaction) result() []Write {
 	writes := make([]Write, 0, len(txn.writes))
 	for _, write := range txn.writes {
-		if write.Value == nil && write.Slot >= 0 {
+		if write.Value == nil && write.Slot != noSlot {
 			write.Value = BundleRecord{}
 		}
 		writes = append(writes, *write)
@@ -258,7 +262,7 @@
 func (s *State) Committed(writes []Write, now model.Micros) {
 	for i := range writes {
 		write := &writes[i]
-		if write.Slot < 0 {
+		if write.Slot == noSlot {
 			s.EndJob(strings.TrimPrefix(write.Key, jobKeyPrefix), jobDone, now)
 			continue
 		}
@@ -309,7 +313,7 @@
 	var again []Write
 	for i := range writes {
 		write := writes[i]
-		if write.Slot < 0 {
+		if write.Slot == noSlot {
 			ends = append(ends, strings.TrimPrefix(write.Key, jobKeyPrefix))
 			continue
 		}
