--- /dev/null
+++ b/internal/core/shard/capacity.go
@@ -0,0 +1,81 @@
+package shard
+
+import (
+	"woadweir/internal/core/model"
+)
+
+// bootTimeFactor is the number of boot times for which a rented machine is expected to
+// come up.
+const bootTimeFactor = 2
+
+// isBooting tells whether a machine was rented recently and is expected to come up.
+func (s *State) isBooting(m *model.Machine, now model.Micros) bool {
+	machineType := s.MachineTypes[m.MachineType]
+	return !m.Up && !m.Failed && machineType != nil && now-m.RentedAt < bootTimeFactor*model.Seconds(machineType.BootS)
+}
+
+// RoomFor tells whether so many more tasks of a job fit now on the machines that are
+// up, with the given share of the capacity of these machines left free.
+func (s *State) RoomFor(job *model.Job, tasks int, headroom float64) bool {
+	return s.hasRoom(job, tasks, headroom, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers })
+}
+
+// RoomSoonFor is like RoomFor without headroom, on machines that are up or booting.
+func (s *State) RoomSoonFor(job *model.Job, tasks int, now model.Micros) bool {
+	return s.hasRoom(job, tasks, 0, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers || s.isBooting(m, now) })
+}
+
+// hasRoom tells whether so many more tasks of a job fit on the usable machines, with
+// the given share of the capacity of these machines left free.
+func (s *State) hasRoom(job *model.Job, tasks int, headroom float64, usable func(m *model.Machine) bool) bool {
+	var total, free model.Resources
+	byZone := map[string]int{}
+	for _, m := range s.Machines {
+		if !usable(m) || m.Lost || m.Deleting || m.Draining || m.Quarantined || m.SpotNotice {
+			continue
+		}
+		total = total.Plus(m.Size)
+		free = free.Plus(m.Free())
+		if job.Allows(m.MachineType, m.Zone, m.Spot) {
+			byZone[m.Zone] += job.Request.Count(m.Free(), tasks)
+		}
+	}
+	left := free.Minus(job.Request.Times(tasks))
+	if float64(left.Cores) < headroom*float64(total.Cores) {
+		return false
+	}
+	sum := 0
+	for _, n := range byZone {
+		n = min(n, job.MaxPerZone())
+		if job.SameZone && n >= tasks {
+			return true
+		}
+		sum += n
+	}
+	return !job.SameZone && sum >= tasks
+}
+
+// WithinLimit tells whether so many more tasks of a job are within the limit of its
+// team.
+func (s *State) WithinLimit(job *model.Job, tasks int) bool {
+	team := s.Params.Teams[job.Team]
+	return team != nil && team.Within(s.Used[job.Team].Plus(job.Request.Times(tasks)))
+}
+
+// OwnWorkWaits tells whether a job of this cell has waited for longer than the
+// patience, and only lacks machines to start.
+func (s *State) OwnWorkWaits(patience, now model.Micros) bool {
+	for _, job := range s.Jobs {
+		if job.HomeCell != "" || job.Suspended || job.Ended != "" || len(job.Waiting) == 0 || now < job.NotBefore {
+			continue
+		}
+		least := 1
+		if job.Kind == model.Gang {
+			least = len(job.Waiting)
+		}
+		if now-max(job.ReadySince, job.IdleSince) > patience && s.WithinLimit(job.Job, least) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/core/shard/commands.go
+++ b/internal/core/shard/commands.go
@@ -6,80 +6,124 @@
 	"woadweir/internal/core/model"
 )
 
-// Command is a command to a worker.
+// Command tells a worker what to do with a task.
 type Command struct {
-	Op      string
+	Op      CommandOp
 	Task    model.TaskID
 	Attempt uint64
-	Grace   model.Micros
+	Grace   model.Micros // of a stop: the time that the task gets to save its state
 }
 
-// Commands makes the commands of the response to the report that was taken last
+// CommandOp is what a command tells a worker to do.
+type CommandOp uint8
+
+// The operations of commands.
+const (
+	StartTask CommandOp = iota + 1 // start an attempt
+	StopTask                       // stop an attempt
+	ClearTask                      // forget an attempt that has exited
+)
+
+// Commands returns the commands in the response to the last heartbeat that was accepted
 // from this machine. The caller sends them at once or not at all.
-func (h *State) Commands(r *Report, now model.Micros) []Command {
-	m := h.Machines[r.Machine]
-	if m == nil {
+func (s *State) Commands(heartbeat *Heartbeat, now model.Micros) []Command {
+	machine := s.Machines[heartbeat.Machine]
+	if machine == nil {
 		return nil
 	}
 	var commands []Command
-	for i := range r.Tasks {
-		p := &r.Tasks[i]
-		if b := m.Bindings[p.ID]; b != nil && b.Attempt == p.Attempt {
-			if b.Stopping && p.Status != model.Exited {
-				if b.StopSentAt == 0 {
-					b.StopSentAt = now
-				}
-				if !(p.Status == model.Saving && b.StopGrace > 0) {
-					commands = append(commands, Command{Op: "stop", Task: p.ID, Attempt: p.Attempt, Grace: b.StopGrace})
-				}
-			}
-			continue
+	for i := range heartbeat.Tasks {
+		if command, ok := s.commandFor(machine, &heartbeat.Tasks[i], now); ok {
+			commands = append(commands, command)
 		}
-		if p.Status != model.Exited {
-			// Nothing durable says that it may be here.
-			commands = append(commands, Command{Op: "stop", Task: p.ID, Attempt: p.Attempt})
-			continue
-		}
-		if js := h.Jobs[p.ID.Job]; p.Cause == "done" && js != nil && js.Ended == "" &&
-			(js.EndPending || !isDurable(js, p.ID.Index)) {
-			continue // its completion is not durable yet: it must not be forgotten
-		}
-		commands = append(commands, Command{Op: "clear", Task: p.ID, Attempt: p.Attempt})
 	}
-	reported := make(map[model.TaskID]uint64, len(r.Tasks))
-	for i := range r.Tasks {
-		reported[r.Tasks[i].ID] = r.Tasks[i].Attempt
+	for _, b := range s.bindingsToStart(machine, heartbeat.Tasks) {
+		b.SentIncarnation, b.SentSequence = heartbeat.Incarnation, heartbeat.Sequence
+		commands = append(commands, Command{Op: StartTask, Task: b.ID, Attempt: b.Attempt})
+	}
+	return commands
+}
+
+// commandFor returns the command for a task in a heartbeat, if it needs one.
+func (s *State) commandFor(machine *model.Machine, task *TaskStatus, now model.Micros) (Command, bool) {
+	if b := machine.Bindings[task.ID]; b != nil && b.Attempt == task.Attempt {
+		return stopCommand(b, task, now)
+	}
+	if task.Status != model.Exited {
+		// No durable record says that the task may be on this machine.
+		return Command{Op: StopTask, Task: task.ID, Attempt: task.Attempt}, true
+	}
+	if task.Cause == CauseDone && s.awaitsDurableCompletion(task.ID) {
+		return Command{}, false // the worker must not clear it yet
+	}
+	return Command{Op: ClearTask, Task: task.ID, Attempt: task.Attempt}, true
+}
+
+// stopCommand returns the command to stop a bound task if that was decided, and the
+// task neither has exited nor saves its state already.
+func stopCommand(binding *model.Binding, task *TaskStatus, now model.Micros) (Command, bool) {
+	if !binding.Stopping || task.Status == model.Exited {
+		return Command{}, false
+	}
+	if binding.StopSentAt == 0 {
+		binding.StopSentAt = now
+	}
+	if task.Status == model.Saving && binding.StopGrace > 0 {
+		return Command{}, false
+	}
+	return Command{Op: StopTask, Task: task.ID, Attempt: task.Attempt, Grace: binding.StopGrace}, true
+}
+
+// awaitsDurableCompletion tells whether a task is known to be done, but the record of
+// it is not durable yet.
+func (s *State) awaitsDurableCompletion(id model.TaskID) bool {
+	job := s.Jobs[id.Job]
+	return job != nil && job.Ended == "" && (job.EndPending || !isCompletionDurable(job, id.Index))
+}
+
+// bindingsToStart returns the bindings of a machine whose tasks are to be started and
+// are not in its heartbeat, in the order of the starts.
+func (s *State) bindingsToStart(machine *model.Machine, tasks []TaskStatus) []*model.Binding {
+	reported := make(map[model.TaskID]uint64, len(tasks))
+	for i := range tasks {
+		reported[tasks[i].ID] = tasks[i].Attempt
 	}
 	var starts []*model.Binding
-	for id, b := range m.Bindings {
-		js := h.Jobs[id.Job]
-		if b.Version > m.DurableVersion || b.Stopping || b.Seen || js.Ended != "" || js.EndPending || js.Suspended || js.Done.Has(id.Index) || reported[id] == b.Attempt {
-			continue
-		}
-		if js.Kind == model.Gang && (js.AttemptFailed || !h.gangDurable(js) || h.startsLater(js, b)) {
-			continue
+	for id, b := range machine.Bindings {
+		if reported[id] != b.Attempt && s.mayStart(b) {
+			starts = append(starts, b)
 		}
-		starts = append(starts, b)
 	}
 	sort.Slice(starts, func(i, j int) bool {
 		a, b := starts[i], starts[j]
 		return a.Job.Priority > b.Job.Priority || a.Job.Priority == b.Job.Priority && a.Attempt < b.Attempt
 	})
-	for _, b := range starts {
-		b.SentIncarnation, b.SentSequence = r.Session, r.Sequence
-		commands = append(commands, Command{Op: "start", Task: b.ID, Attempt: b.Attempt})
+	return starts
+}
+
+// mayStart tells whether a binding is durable and its task may be started now.
+func (s *State) mayStart(binding *model.Binding) bool {
+	if binding.Version > binding.Machine.DurableVersion || binding.Stopping || binding.Seen {
+		return false
 	}
-	return commands
+	job := s.Jobs[binding.ID.Job]
+	if job.Ended != "" || job.EndPending || job.Suspended || job.Done.Has(binding.ID.Index) {
+		return false
+	}
+	if job.Kind != model.Gang {
+		return true
+	}
+	return !job.AttemptFailed && s.gangDurable(job) && !s.shouldStartLater(job, binding)
 }
 
-// gangDurable tells whether every binding of the attempt is durable: none
-// starts before all may.
-func (h *State) gangDurable(js *model.JobState) bool {
-	if len(js.Bindings) != js.Tasks {
+// gangDurable tells whether all bindings of a gang's attempt are durable. None of them
+// starts before.
+func (s *State) gangDurable(job *model.JobState) bool {
+	if len(job.Bindings) != job.Tasks {
 		return false
 	}
-	for _, bs := range js.Bindings {
-		for _, b := range bs {
+	for _, bindings := range job.Bindings {
+		for _, b := range bindings {
 			if b.Version > b.Machine.DurableVersion {
 				return false
 			}
@@ -88,14 +132,14 @@
 	return true
 }
 
-// startsLater tells that a gang's task had better start later: others of the gang have
-// an image to fetch that may take longer than a task waits for its gang. It
-// starts when theirs is there. The order among them is by the length of the
-// fetch, so that no two wait for each other.
-func (h *State) startsLater(js *model.JobState, b *model.Binding) bool {
-	for _, bs := range js.Bindings {
-		for _, o := range bs {
-			if o.ExpectedFetch-b.ExpectedFetch > h.Params.GangWait*2/3 && o.Status < model.WaitingForGang {
+// shouldStartLater tells whether a gang's task should start later because other members
+// of the gang may fetch their image for longer than a task waits for its gang. It
+// starts once their images are there. Members are ordered by the length of the fetch,
+// so no two wait for each other.
+func (s *State) shouldStartLater(job *model.JobState, b *model.Binding) bool {
+	for _, bindings := range job.Bindings {
+		for _, other := range bindings {
+			if other.ExpectedFetch-b.ExpectedFetch > s.Params.GangWait*2/3 && other.Status < model.WaitingForGang {
 				return true
 			}
 		}
@@ -104,7 +148,7 @@
 }
 
 // Pending tells whether the machine has a binding that is not durable yet.
-func (h *State) Pending(ref string) bool {
-	m := h.Machines[ref]
+func (s *State) Pending(machineID string) bool {
+	m := s.Machines[machineID]
 	return m != nil && m.Version > m.DurableVersion
 }
--- /dev/null
+++ b/internal/core/shard/due.go
@@ -0,0 +1,144 @@
+package shard
+
+import (
+	"woadweir/internal/core/model"
+	"woadweir/internal/core/placement"
+)
+
+// classLoad is the load that the tasks of a class make.
+type classLoad struct {
+	rate    float64 // tasks that are expected to end in a second
+	waiting int     // tasks that may be started
+}
+
+// timeToStart is the time until all waiting tasks of the class have started.
+func (l classLoad) timeToStart() model.Micros {
+	if l.waiting == 0 {
+		return 0
+	}
+	if l.rate <= 0 {
+		return forever
+	}
+	return model.Seconds(min(float64(l.waiting)/l.rate, forever.Seconds()))
+}
+
+// forever is longer than any time that matters.
+const forever = model.Micros(1) << 50
+
+// updateClassLoads computes the load of every class from the bindings, so a new owner
+// knows it at once.
+func (s *State) updateClassLoads(jobs []*model.JobState, now model.Micros) {
+	s.classLoads = make(map[string]classLoad, len(s.runTimes)+1)
+	for _, job := range jobs {
+		load := s.classLoads[job.Class]
+		if bound := len(job.Bindings); bound > 0 {
+			load.rate += float64(bound) / max(s.Expected(job.Job), model.Second).Seconds()
+		}
+		if now >= job.NotBefore {
+			load.waiting += len(job.Waiting)
+		}
+		s.classLoads[job.Class] = load
+	}
+}
+
+// dueAfterMiss is the first due time of jobs that have missed a target, but can still
+// meet another.
+const dueAfterMiss = placement.Late / 2
+
+// maxOvertaken bounds the time for which a job may be overtaken by jobs with less work
+// left. It is well within the four minutes in which all jobs are to start, as the
+// largest ones need most time to get their machines.
+const maxOvertaken = 90 * model.Second
+
+// due orders jobs of the same priority. Jobs that can still meet all targets of their
+// class go first, those with the least work left before the others: when not all jobs
+// can be in time, this order gets the most of them done in time. Then come jobs that
+// have missed a target and can meet another, and finally, by age, jobs that cannot meet
+// any. A job that is about to miss the last target for its start or its end goes before
+// all these, as long as all waiting tasks can be in time; otherwise this would only
+// make all of them late.
+func (s *State) due(job *model.JobState, now model.Micros) model.Micros {
+	if job.Kind == model.Gang && job.HasRun {
+		// It lost its machines after it had started: it need not wait in the queue again.
+		return job.ReadySince - placement.Late
+	}
+	run := s.Expected(job.Job)
+	age := now - job.ReadySince
+	end := age + run*9/10
+	if s.hasLastChance(job, age, end) {
+		return job.ReadySince - placement.Late
+	}
+	met, missed := s.countTargets(job, age, end)
+	left := run * model.Micros(len(job.Waiting))
+	switch {
+	case met == 0:
+		return placement.Late + job.ReadySince
+	case missed == 0 || len(s.Params.Waits[job.Class]) == 0 && job.Deadline == 0:
+		return left
+	}
+	return dueAfterMiss + left
+}
+
+// hasLastChance tells whether a job of that age and expected end is about to miss the
+// last target of its class for the start or the end, while all waiting tasks of the class
+// can start in time.
+func (s *State) hasLastChance(job *model.JobState, age, end model.Micros) bool {
+	waits := s.Params.Waits[job.Class]
+	if len(waits) == 0 {
+		return false
+	}
+	last := waits[len(waits)-1]
+	near := min(last*3/4, maxOvertaken)
+	if age >= near && age < last && s.classLoads[job.Class].timeToStart() < last*3/4 {
+		return true
+	}
+	finish := s.Params.Finish[job.Class]
+	if len(finish) == 0 {
+		return false
+	}
+	last = finish[len(finish)-1]
+	return end >= last*3/4 && end <= last && s.classLoads[job.Class].timeToStart() < last/4
+}
+
+// countTargets counts the targets that a job of that age and expected end can still
+// meet, and those that it misses.
+func (s *State) countTargets(job *model.JobState, age, end model.Micros) (met, missed int) {
+	count := func(meets bool) {
+		if meets {
+			met++
+		} else {
+			missed++
+		}
+	}
+	for _, wait := range s.Params.Waits[job.Class] {
+		count(age < wait)
+	}
+	if job.Deadline > 0 {
+		count(end <= job.Deadline)
+		for _, times := range s.Params.Deadlines[job.Class] {
+			count(end <= model.Micros(float64(job.Deadline)*times))
+		}
+	}
+	for _, finish := range s.Params.Finish[job.Class] {
+		count(end <= finish)
+	}
+	return met, missed
+}
+
+// lossMakesLate tells whether a job is expected to meet its deadline, or a multiple of
+// it that is a target, but not if a task is lost after half of its run. Such jobs
+// should not run on spot machines.
+func (s *State) lossMakesLate(job *model.JobState, now model.Micros) bool {
+	if job.Deadline <= 0 {
+		return false
+	}
+	run := s.Expected(job.Job)
+	age := now - job.ReadySince
+	for _, times := range append([]float64{1}, s.Params.Deadlines[job.Class]...) {
+		aim := model.Micros(float64(job.Deadline) * times)
+		if age+run*9/10 <= aim {
+			return age+run*3/2+2*s.Params.Report > aim
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/core/shard/finished.go
@@ -0,0 +1,56 @@
+package shard
+
+import (
+	"slices"
+
+	"woadweir/internal/core/model"
+)
+
+// enqueueFinished queues the finished tasks of a job to be written, or the part of them
+// with the given index if they are stored in parts.
+func (s *State) enqueueFinished(job *model.JobState, index int) {
+	if job.HomeCell != "" {
+		return // its home cell stores them
+	}
+	if len(job.DoneVersions) == 1 {
+		job.DoneVersions[0].Now++
+		s.enqueue(DoneEntry + job.ID)
+		return
+	}
+	part := index / model.TasksPerPart
+	job.DoneVersions[part].Now++
+	s.enqueue(PartEntry(job.ID, part))
+}
+
+// finishedVersions returns the versions of a part of a job's finished tasks, or of the
+// whole (-1). It is nil if the job is stored in the other form: such an entry was
+// written by an owner with other limits, and is only copied along.
+func finishedVersions(job *model.JobState, part int) *model.Versions {
+	if (part < 0) != (len(job.DoneVersions) == 1) {
+		return nil
+	}
+	return &job.DoneVersions[max(part, 0)]
+}
+
+// storeInParts stores a job's finished tasks in parts from now on.
+func (s *State) storeInParts(job *model.JobState) {
+	job.DoneVersions = make([]model.Versions, model.Parts(job.Tasks))
+	for part := range job.DoneVersions {
+		if slices.ContainsFunc(job.Done.Part(part), func(b byte) bool { return b != 0 }) {
+			s.enqueueFinished(job, part*model.TasksPerPart)
+		}
+	}
+}
+
+// isCompletionDurable tells whether the completion of a task is durable, or will be
+// with the end of the job.
+func isCompletionDurable(job *model.JobState, index int) bool {
+	if job.HomeCell != "" {
+		return job.Confirmed.Has(index)
+	}
+	v := job.DoneVersions[0]
+	if len(job.DoneVersions) > 1 {
+		v = job.DoneVersions[index/model.TasksPerPart]
+	}
+	return v.Stored >= v.Now
+}
--- a/internal/core/shard/world.go
+++ b/internal/core/shard/world.go
@@ -33,39 +33,39 @@
 )
 
 // World returns what a placement round works on.
-func (h *State) World(now model.Micros) *placement.World {
-	adapter := placementAdapter{state: h, now: now}
+func (s *State) World(now model.Micros) *placement.World {
+	adapter := placementAdapter{state: s, now: now}
 	w := &placement.World{
 		Now:              now,
-		HeartbeatTimeout: missedHeartbeats * h.Params.Report,
-		StopTime:         h.Params.Report * stopTimePercent / 100,
-		Guarantee:        h.Params.Guarantee,
-		Machines:         make([]*model.Machine, 0, len(h.Machines)),
-		MachineTypes:     h.MachineTypes,
-		Jobs:             h.placeableJobs(now),
-		Teams:            h.Params.Teams,
-		Used:             h.Used,
+		HeartbeatTimeout: missedHeartbeats * s.Params.Report,
+		StopTime:         s.Params.Report * stopTimePercent / 100,
+		Guarantee:        s.Params.Guarantee,
+		Machines:         make([]*model.Machine, 0, len(s.Machines)),
+		MachineTypes:     s.MachineTypes,
+		Jobs:             s.placeableJobs(now),
+		Teams:            s.Params.Teams,
+		Used:             s.Used,
 		Estimates:        adapter,
 		Executor:         adapter,
 	}
-	for _, machine := range h.Machines {
+	for _, machine := range s.Machines {
 		w.Machines = append(w.Machines, machine)
 	}
-	demand := h.gpuDemand(w.Jobs)
+	demand := s.gpuDemand(w.Jobs)
 	w.RequestPerGPU = demand.requestPerGPU()
-	w.WantedGPUs = h.wantedGPUs(demand)
-	h.updateClassLoads(w.Jobs, now)
+	w.WantedGPUs = s.wantedGPUs(demand)
+	s.updateClassLoads(w.Jobs, now)
 	return w
 }
 
 // placeableJobs are the jobs whose tasks may be placed here, brought up to date.
-func (h *State) placeableJobs(now model.Micros) []*model.JobState {
-	jobs := make([]*model.JobState, 0, len(h.Jobs))
-	for _, job := range h.Jobs {
+func (s *State) placeableJobs(now model.Micros) []*model.JobState {
+	jobs := make([]*model.JobState, 0, len(s.Jobs))
+	for _, job := range s.Jobs {
 		if job.Ended != "" || job.Suspended {
 			continue
 		}
-		job.LossMakesLate = job.AllowsSpot && h.lossMakesLate(job, now)
+		job.LossMakesLate = job.AllowsSpot && s.lossMakesLate(job, now)
 		jobs = append(jobs, job)
 	}
 	return jobs
@@ -80,7 +80,7 @@
 }
 
 // gpuDemand sums up what jobs with GPUs ask for.
-func (h *State) gpuDemand(jobs []*model.JobState) gpuDemand {
+func (s *State) gpuDemand(jobs []*model.JobState) gpuDemand {
 	demand := gpuDemand{waiting: map[string]model.Milli{}}
 	for _, job := range jobs {
 		if job.Request.GPUs <= 0 {
@@ -88,10 +88,10 @@
 		}
 		tasks := len(job.Waiting) + job.BindingCount()
 		demand.requested = demand.requested.Plus(job.Request.Times(tasks))
-		if team := h.Params.Teams[job.Team]; team != nil {
+		if team := s.Params.Teams[job.Team]; team != nil {
 			request := job.Request
 			request.Mem = 0 // memory is not limited
-			allowed := request.Count(team.Limit.Minus(h.Used[job.Team]), len(job.Waiting))
+			allowed := request.Count(team.Limit.Minus(s.Used[job.Team]), len(job.Waiting))
 			demand.waiting[job.Team] += job.Request.GPUs * model.Milli(allowed)
 		}
 	}
@@ -112,18 +112,18 @@
 
 // wantedGPUs are the GPUs that are wanted beyond those in use. Besides those of waiting
 // tasks, some more may soon be wanted: half of what is in use.
-func (h *State) wantedGPUs(demand gpuDemand) (wanted model.Milli) {
+func (s *State) wantedGPUs(demand gpuDemand) (wanted model.Milli) {
 	for name, waiting := range demand.waiting {
-		used := h.Used[name].GPUs
-		allowed := h.Params.Teams[name].Limit.GPUs - used
+		used := s.Used[name].GPUs
+		allowed := s.Params.Teams[name].Limit.GPUs - used
 		wanted += max(0, min(allowed, waiting+used/gpuGrowthDivisor))
 	}
 	return wanted
 }
 
 // maxWait is how long a job waits until others are preempted for it.
-func (h *State) maxWait(job *model.JobState) model.Micros {
-	if waits := h.Params.Waits[job.Class]; len(waits) > 0 {
+func (s *State) maxWait(job *model.JobState) model.Micros {
+	if waits := s.Params.Waits[job.Class]; len(waits) > 0 {
 		first := waits[0]
 		if first < promptStart {
 			return first / promptMaxWaitDivisor
@@ -132,7 +132,7 @@
 	}
 	if job.Deadline > 0 && job.Priority >= model.HighPriority {
 		// The deadline is its only aim: it can wait for a part of what its run leaves.
-		left := max(0, job.Deadline-h.Expected(job.Job))
+		left := max(0, job.Deadline-s.Expected(job.Job))
 		return min(defaultMaxWait, left/deadlineMaxWaitDivisor)
 	}
 	return defaultMaxWait
@@ -140,10 +140,10 @@
 
 // Place runs a placement round. One that preempts also looks for work to be
 // stopped, which takes longer.
-func (h *State) Place(now model.Micros, preempting bool) {
-	h.NeedsPlacement = false
-	w := h.World(now)
-	w.Reservations, w.Preempting = h.reservations, preempting
+func (s *State) Place(now model.Micros, preempting bool) {
+	s.NeedsPlacement = false
+	w := s.World(now)
+	w.Reservations, w.Preempting = s.reservations, preempting
 	w.Round()
 }
 
