--- a/internal/controller/hosting.go
+++ b/internal/controller/hosting.go
@@ -267,7 +267,7 @@
 	}
 	s.applyRights()
 	s.stepHostings()
-	c.leading.provisionSoon = true
+	c.leading.schedule.runSoon()
 }
 
 // takeOffer answers another cell that asks whether a job is taken, or lends it.
@@ -376,7 +376,7 @@
 	if s.l.block.RoomFor(spec, s.roomWanted(js), float64(c.op.ExtraCapacityRate)) {
 		return true
 	}
-	return s.l.cloudOK() && s.mayRentFor(spec)
+	return s.l.cloudHealth.healthy() && s.mayRentFor(spec)
 }
 
 // mayRentFor tells whether the cloud may have a machine for a job: it has not refused all
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"fmt"
 	"log/slog"
 	"slices"
 
@@ -63,9 +62,9 @@
 			continue
 		}
 		d.rental.Count += count
-		pending := l.pendingRentals[d.rental.Request]
+		pending := l.inventory.pendingRentals[d.rental.Request]
 		pending.Count = d.rental.Count
-		l.pendingRentals[d.rental.Request] = pending
+		l.inventory.pendingRentals[d.rental.Request] = pending
 		return true
 	}
 	return false
@@ -210,14 +209,14 @@
 			h := l.block.Machines[machine]
 			switch {
 			case r.State != duty.Open:
-				l.machineGone(machine)
+				l.machineDeleted(machine)
 			case h != nil:
 				h.Deleting = true
-				l.pendingDeletions[machine] = deletionSent
+				l.inventory.pendingDeletions[machine] = deletionSent
 			default:
 				// Nothing is bound to it, and nothing may be: its reports are not answered.
-				l.deletedMachines[machine] = now
-				l.pendingDeletions[machine] = deletionSent
+				l.inventory.deletedAt[machine] = now
+				l.inventory.pendingDeletions[machine] = deletionSent
 			}
 		}
 		if r.State == duty.Open {
@@ -228,7 +227,7 @@
 		switch r.State {
 		case duty.Open:
 			l.intents.rentals[r.Request] = key
-			l.pendingRentals[r.Request] = requestOf(r)
+			l.inventory.pendingRentals[r.Request] = requestOf(r)
 		case duty.Filled:
 			l.adopt(r)
 		}
@@ -240,11 +239,7 @@
 
 // adopt takes the machines of a filled rental intent into the fleet.
 func (l *leader) adopt(r *duty.Rental) {
-	for _, machine := range r.Machines {
-		if l.deletedMachines[machine] == 0 {
-			l.block.AddMachine(machine, r.MachineType, r.Zone, r.Spot, l.c.now)
-		}
-	}
+	l.addRentedMachines(r.Machines, autoscaler.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot})
 }
 
 // takeOutcomes takes note of the outcomes that the view shows.
@@ -256,14 +251,13 @@
 			continue
 		}
 		delete(l.intents.rentals, request)
-		delete(l.pendingRentals, request)
+		delete(l.inventory.pendingRentals, request)
 		l.intents.finishedAt[key] = l.c.now
-		l.provisionSoon = true
+		l.schedule.runSoon()
 		slog.Info("rented", "request", request, "state", r.State, "type", r.MachineType, "zone", r.Zone, "spot", r.Spot, "machines", r.Machines)
 		if r.State == duty.Refused || len(r.Machines) < r.Count {
 			offer := autoscaler.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot}
-			l.spill.refused[offer] = l.c.now
-			l.provisioner.Refuse(offer, l.c.now)
+			l.refuseOffer(offer)
 		}
 		l.adopt(r)
 	}
@@ -274,15 +268,8 @@
 		}
 		delete(l.intents.returns, key)
 		for _, machine := range machines {
-			l.machineGone(machine)
+			l.machineDeleted(machine)
 		}
-		l.provisionSoon = true
+		l.schedule.runSoon()
 	}
 }
-
-// rentalName makes the name of a request. The token is this leader's alone, so no other
-// process ever makes the same name.
-func (l *leader) rentalName() string {
-	l.rentalCount++
-	return fmt.Sprintf("w%d-%d", l.token, l.rentalCount)
-}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -4,7 +4,6 @@
 	"errors"
 	"log/slog"
 
-	"woadweir/internal/cloud"
 	"woadweir/internal/core/autoscaler"
 	"woadweir/internal/core/model"
 	"woadweir/internal/core/shard"
@@ -31,12 +30,6 @@
 	return model.Micros(float64(took) / (part * cores))
 }
 
-// taskSize is what a task takes, and whether it may use spot machines.
-type taskSize struct {
-	request    model.Resources
-	allowsSpot bool
-}
-
 // leader is what a controller has only while it leads. It is part of the
 // controller actor.
 type leader struct {
@@ -47,34 +40,24 @@
 	block            *shard.State
 	pendingResponses []pendingResponse
 
-	provisioner      *autoscaler.Provisioner
-	nextProvisioning model.Micros
-	provisionSoon    bool
-	lastProvisioning model.Micros
-	rentalCount      int
-	pendingRentals   map[string]cloud.Rental
-	cloudBad         model.Micros // when the cloud last failed
-	cloudGood        model.Micros
-	recentSizes      map[taskSize]model.Micros
-	deletedMachines  map[string]model.Micros // machines that were deleted
-	missingFromLists map[string]int
+	provisioner *autoscaler.Provisioner
+	schedule    provisioningSchedule
+	recentSizes recentTaskSizes
+	inventory   machineInventory
+	polling     cloudPolling
+	cloudHealth cloudHealth
 
-	machineTypesAt, listAt, sweepAt, placeAt model.Micros
-	placeGap                                 model.Micros // until the next placement round
-	preemptAt, preemptGap                    model.Micros // the same for those that may preempt
-	machineTypesBusy, listBusy               bool
-	machineTypesKnown                        bool
-	pendingDeletions                         map[string]model.Micros // when it is to be sent, see deletionSent
-	seenLists                                int
-	intents                                  intentLog
-	spill                                    *spiller
+	sweepAt, placeAt      model.Micros
+	placeGap              model.Micros // until the next placement round
+	preemptAt, preemptGap model.Micros // the same for those that may preempt
+	intents               intentLog
+	spill                 *spiller
 }
 
 func newLeader(c *controller, token uint64) *leader {
 	p := autoscaler.Defaults()
 	p.ExtraCapacityRate, p.Granularity, p.RefusedPause = float64(c.op.ExtraCapacityRate), int(c.op.Granularity), model.Seconds(float64(c.op.RefusedPauseS))
-	l := &leader{c: c, token: token, provisioner: autoscaler.New(p), pendingRentals: map[string]cloud.Rental{}, recentSizes: map[taskSize]model.Micros{},
-		deletedMachines: map[string]model.Micros{}, missingFromLists: map[string]int{}, pendingDeletions: map[string]model.Micros{}, intents: newIntentLog()}
+	l := &leader{c: c, token: token, provisioner: autoscaler.New(p), recentSizes: recentTaskSizes{}, inventory: newMachineInventory(), intents: newIntentLog()}
 	l.spill = newSpiller(l, c.op.Spill)
 	return l
 }
@@ -149,7 +132,7 @@
 	age := model.Micros(max(0, l.c.wall()-j.ReadyMs())) * model.Millisecond
 	l.block.AddJob(j.Job(), l.c.view.Done(ref), j.End, l.c.now, age)
 	l.spill.jobAdded(ref)
-	l.provisionSoon = true
+	l.schedule.runSoon()
 }
 
 // due tells that something is to be done again, and notes that it is done now.
@@ -179,15 +162,8 @@
 	l.writeIntents()
 	l.writeBindings()
 	l.answerPending(false)
-	if !l.machineTypesBusy && (l.machineTypesAt == 0 || c.now-l.machineTypesAt > machineTypesGap || !l.machineTypesKnown && c.now-l.machineTypesAt > model.Second) {
-		l.machineTypesAt, l.machineTypesBusy = c.now, true
-		c.io.flavors()
-	}
-	if !l.listBusy && l.due(&l.listAt, listGap) {
-		l.listBusy = true
-		c.io.list()
-	}
-	if c.now >= l.nextProvisioning || l.provisionSoon && c.now-l.lastProvisioning >= provisionGap {
+	l.pollCloud()
+	if l.schedule.due(c.now) {
 		l.provision()
 	}
 }
@@ -283,5 +259,5 @@
 	} else {
 		l.placeGap = min(max(placeLeast, l.pace(took, placeShare)), placeMost)
 	}
-	l.provisionSoon = true
+	l.schedule.runSoon()
 }
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -78,7 +78,7 @@
 	s.release(job)
 	if js := l.block.Jobs[job]; js != nil && js.HomeCell == "" {
 		l.block.Resume(js)
-		l.provisionSoon = true
+		l.schedule.runSoon()
 	}
 }
 
--- /dev/null
+++ b/internal/controller/machine_list.go
@@ -0,0 +1,70 @@
+package controller
+
+import (
+	"log/slog"
+
+	"woadweir/internal/cloud"
+	"woadweir/internal/core/model"
+)
+
+// machineFailedStatus is the status of a listed machine that has failed for good.
+const machineFailedStatus = "failed"
+
+// How many lists in a row may lack a machine before it counts as gone. A machine that
+// has been listed stays listed until it is gone, but a list may be older than the one
+// before it, so a young machine may be missing from one.
+const (
+	missesUntilGone      = 1
+	missesUntilYoungGone = 2
+	youngForListLags     = 5 // a machine is young for this many times the list's lag
+)
+
+// listed takes the cloud's answer to a request for the machine list.
+func (c *controller) listed(m msgListed) {
+	c.duties.cloudAnswered(m.err)
+	l := c.leading
+	if l == nil || !l.ready {
+		return
+	}
+	l.polling.machineListInFlight = false
+	if m.err != nil {
+		l.cloudHealth.failed(c.now)
+		return
+	}
+	l.cloudHealth.succeeded(c.now)
+	l.inventory.listsSeen++
+	listed := make(map[string]bool, len(m.machines))
+	for i := range m.machines {
+		entry := &m.machines[i]
+		listed[entry.ID] = true
+		if !l.inventory.isDeleted(entry.ID) {
+			l.noteListed(entry, m.sent)
+		}
+	}
+	l.inventory.countMisses(l.block.Machines, listed)
+}
+
+// noteListed takes one machine of a list that was requested at that time. It adds one to
+// the fleet whose rental got no answer.
+func (l *leader) noteListed(entry *cloud.Machine, requested model.Micros) {
+	machine := l.block.Machines[entry.ID]
+	if machine == nil {
+		machine = l.block.AddMachine(entry.ID, entry.MachineType, entry.Zone, entry.Spot, l.c.now)
+		machine.RentedAt = requested - model.Seconds(entry.HeldS)
+		slog.Info("listed", "machine", entry.ID, "type", entry.MachineType, "status", entry.Status)
+	}
+	machine.Listed = true
+	if entry.Status == machineFailedStatus && !machine.Failed {
+		machine.Failed = true
+		slog.Info("failed", "machine", entry.ID)
+	}
+}
+
+// goneFromLists reports whether so many lists lacked a machine that it counts as gone.
+func (l *leader) goneFromLists(machine *model.Machine) bool {
+	enough := missesUntilYoungGone
+	if l.c.now-machine.RentedAt > youngForListLags*model.Seconds(l.c.set.Params.Cloud.ListLagS) {
+		enough = missesUntilGone
+	}
+	return l.inventory.listMisses[machine.ID] >= enough
+}
--- /dev/null
+++ b/internal/controller/machine_types.go
@@ -0,0 +1,67 @@
+package controller
+
+import (
+	"log/slog"
+
+	"woadweir/internal/core/model"
+	"woadweir/internal/state"
+)
+
+// gotMachineTypes takes the cloud's answer to a request for its machine types.
+func (c *controller) gotMachineTypes(m msgMachineTypes) {
+	c.duties.cloudAnswered(m.err)
+	if c.leading != nil {
+		c.leading.gotMachineTypes(m)
+	}
+}
+
+func (l *leader) gotMachineTypes(m msgMachineTypes) {
+	c := l.c
+	l.polling.machineTypesInFlight = false
+	if m.err != nil || len(m.builds) == 0 {
+		slog.Debug("machine types", "err", m.err)
+		l.cloudHealth.failed(c.now)
+		return
+	}
+	l.polling.machineTypesKnown = true
+	l.cloudHealth.succeeded(c.now)
+	if !sameMachineTypes(m.builds, c.view.MachineTypes) && !c.busy[laneMisc] {
+		l.writeMachineTypes(m.builds)
+	}
+	if l.ready {
+		l.block.SetMachineTypes(m.builds)
+		l.schedule.runSoon()
+	}
+}
+
+// sameMachineTypes reports whether two lists have the same names and sizes.
+func sameMachineTypes(a, b []model.MachineType) bool {
+	if len(a) != len(b) {
+		return false
+	}
+	for i := range a {
+		if a[i].Name != b[i].Name || a[i].Size() != b[i].Size() {
+			return false
+		}
+	}
+	return true
+}
+
+// writeMachineTypes stores the machine types for every controller, as many as a value
+// can hold: after an outage of the cloud a controller that knows some of them can still
+// tell of most submissions that they can run.
+func (l *leader) writeMachineTypes(machineTypes []model.MachineType) {
+	c := l.c
+	record := state.MachineTypesRecord{MachineTypes: machineTypes}
+	for len(record.MachineTypes) > 0 && !c.fits(record) {
+		record.MachineTypes = record.MachineTypes[:len(record.MachineTypes)-1]
+	}
+	txn := &state.Txn{
+		Conditions: []state.Condition{
+			{Path: "leader", Revision: c.view.Revisions["leader"]},
+			{Path: "flavors", Revision: c.view.Revisions["flavors"]},
+		},
+		Then: []state.Op{{Set: "flavors", Value: record}},
+	}
+	c.send(laneMisc, msgCommitted{txn: txn, token: l.token})
+}
--- a/internal/controller/responses.go
+++ b/internal/controller/responses.go
@@ -10,7 +10,7 @@
 // report made possible.
 func (l *leader) report(m msgHeartbeat) {
 	c := l.c
-	if l.deletedMachines[m.report.Machine] != 0 {
+	if l.inventory.isDeleted(m.report.Machine) {
 		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
 		return
 	}
--- /dev/null
+++ b/internal/controller/scale_in.go
@@ -0,0 +1,127 @@
+package controller
+
+import (
+	"log/slog"
+
+	"woadweir/internal/core/model"
+)
+
+// Limits of the sweeps that release unusable machines.
+const (
+	sweepGap         = 500 * model.Millisecond
+	silenceMargin    = 5 * model.Second  // beyond a lease's expiry, before a lost machine is released
+	minBootPatience  = 60 * model.Second // even a machine that boots fast gets this long
+	unreachableShare = 4                 // one part of the fleet in so many may be unreachable
+)
+
+// releaseUnusableMachines releases machines that are of no use, and sends deletions.
+func (l *leader) releaseUnusableMachines() {
+	fewUnreachable := l.fewUnreachable()
+	for _, machine := range l.block.Machines {
+		if reason := l.unusableReason(machine, fewUnreachable); reason != "" {
+			l.releaseMachine(machine, reason)
+		}
+	}
+	l.inventory.forgetDeleted(l.c.now)
+	l.sendDeletions()
+}
+
+// unusableReason is why a machine is to be released, "" if it is not. Unreachable
+// machines are released only if there are few of them.
+func (l *leader) unusableReason(machine *model.Machine, fewUnreachable bool) string {
+	now := l.c.now
+	silence := now - max(machine.LastHeartbeat, machine.RentedAt)
+	switch {
+	case machine.Deleting:
+		return ""
+	case machine.Failed:
+		return "failed"
+	case l.goneFromLists(machine) && silence > l.block.ReportOverdue():
+		return "not listed any more"
+	case machine.Up && machine.Lost && silence > l.block.LeaseExpiry()+silenceMargin:
+		return "silent"
+	case fewUnreachable && l.block.Unreachable(machine, now):
+		return "does not hear"
+	case machine.Draining && len(machine.Bindings) == 0:
+		return "not wanted"
+	case l.neverBooted(machine, silence):
+		return "never came up"
+	}
+	return ""
+}
+
+// neverBooted reports whether a machine has been silent since it was rented for far
+// longer than machines of its type take to boot.
+func (l *leader) neverBooted(machine *model.Machine, silence model.Micros) bool {
+	machineType := l.block.MachineTypes[machine.MachineType]
+	if machine.Up || machineType == nil || len(machine.Bindings) > 0 {
+		return false
+	}
+	bootPatience := model.Seconds(machineType.BootS * l.provisioner.Params.FailedAfterBoots)
+	return silence > max(bootPatience, minBootPatience)
+}
+
+// fewUnreachable reports whether few machines do not receive our answers. When many
+// don't, the fault may be ours, as when this controller falls behind, and releasing them
+// all would be worse than any of it.
+func (l *leader) fewUnreachable() bool {
+	unreachable := 0
+	for _, machine := range l.block.Machines {
+		if machine.UnansweredSince != 0 {
+			unreachable++
+		}
+	}
+	return unreachable <= max(1, len(l.block.Machines)/unreachableShare)
+}
+
+// releaseMachine decides that a machine is deleted. There is no way back: a deletion
+// that got no answer may still be carried out.
+func (l *leader) releaseMachine(machine *model.Machine, why string) {
+	if machine.Deleting {
+		return
+	}
+	machine.Deleting = true
+	l.inventory.pendingDeletions[machine.ID] = deletionDue
+	slog.Info("give back", "machine", machine.ID, "type", machine.MachineType, "why", why)
+}
+
+// sendDeletions requests the deletions that are due, or writes intents for them.
+func (l *leader) sendDeletions() {
+	machineIDs := l.inventory.takeDueDeletions(l.c.now)
+	switch {
+	case len(machineIDs) == 0:
+	case l.c.actsThroughIntents():
+		l.decideReturn(machineIDs)
+	default:
+		l.c.io.remove(msgDeleted{refs: machineIDs, term: l.token})
+	}
+}
+
+// deleted takes the cloud's answer to a deletion.
+func (c *controller) deleted(m msgDeleted) {
+	if m.intent != "" {
+		c.duties.deleted(m)
+		return
+	}
+	l := c.leading
+	if l == nil || l.token != m.term {
+		return
+	}
+	if m.err != nil {
+		l.cloudHealth.failed(c.now)
+		l.inventory.retryDeletions(m.refs, c.now)
+		return
+	}
+	l.cloudHealth.succeeded(c.now)
+	for _, machineID := range m.refs {
+		l.machineDeleted(machineID)
+	}
+	l.schedule.runSoon()
+}
+
+// machineDeleted takes a confirmed deletion.
+func (l *leader) machineDeleted(machineID string) {
+	l.inventory.confirmDeletion(machineID, l.c.now)
+	l.block.MachineDeleted(machineID, "deleted", l.c.now)
+	slog.Info("deleted", "machine", machineID)
+}
--- /dev/null
+++ b/internal/controller/scale_out.go
@@ -0,0 +1,88 @@
+package controller
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+
+	"woadweir/internal/cloud"
+	"woadweir/internal/core/autoscaler"
+	"woadweir/internal/duty"
+)
+
+// rent requests machines from the cloud, or writes intents for them. Unplaced is the
+// number of waiting tasks without a place, for the log.
+func (l *leader) rent(rental autoscaler.Rental, unplaced int) {
+	throughIntents := l.c.actsThroughIntents()
+	batch := rental.Count
+	if throughIntents {
+		batch = duty.RentAtMost(l.c.maxValue())
+	}
+	for left := rental.Count; left > 0; left -= batch {
+		count := min(left, batch)
+		if throughIntents && l.extendRental(rental, count) {
+			continue
+		}
+		request := cloud.Rental{RequestID: l.nextRequestID(), MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot, Count: count}
+		l.inventory.pendingRentals[request.RequestID] = request
+		slog.Info("rent", "request", request.RequestID, "type", rental.MachineType, "zone", rental.Zone, "spot", rental.Spot, "count", count, "unplaced", unplaced)
+		if throughIntents {
+			l.decideRental(request)
+			continue
+		}
+		offer := autoscaler.Offer{MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot}
+		l.c.io.rent(msgRented{rental: request, offer: offer, term: l.token})
+	}
+}
+
+// nextRequestID names a rental request. The token is this leader's alone, so no other
+// process ever makes the same ID.
+func (l *leader) nextRequestID() string {
+	l.inventory.requestCount++
+	return fmt.Sprintf("w%d-%d", l.token, l.inventory.requestCount)
+}
+
+// rented takes the cloud's answer to a rental request.
+func (c *controller) rented(m msgRented) {
+	if m.intent != "" {
+		c.duties.rented(m)
+		return
+	}
+	l := c.leading
+	if l == nil || l.token != m.term {
+		return
+	}
+	delete(l.inventory.pendingRentals, m.rental.RequestID)
+	l.schedule.runSoon()
+	if m.err != nil {
+		if !errors.Is(m.err, cloud.ErrNoCapacity) {
+			l.cloudHealth.failed(c.now)
+		}
+		slog.Info("rent refused", "type", m.rental.MachineType, "zone", m.rental.Zone, "spot", m.rental.Spot, "err", m.err)
+		l.refuseOffer(m.offer)
+		return
+	}
+	l.cloudHealth.succeeded(c.now)
+	if len(m.machines) < m.rental.Count {
+		l.refuseOffer(m.offer)
+	}
+	slog.Info("rented", "type", m.rental.MachineType, "zone", m.rental.Zone, "spot", m.rental.Spot, "machines", m.machines)
+	l.addRentedMachines(m.machines, m.offer)
+}
+
+// refuseOffer records that the cloud had too little capacity of an offer, so that it is
+// not requested again at once.
+func (l *leader) refuseOffer(offer autoscaler.Offer) {
+	l.spill.refused[offer] = l.c.now
+	l.provisioner.Refuse(offer, l.c.now)
+}
+
+// addRentedMachines adds the machines of a rental to the fleet. One that has been
+// deleted since then stays deleted.
+func (l *leader) addRentedMachines(machineIDs []string, offer autoscaler.Offer) {
+	for _, machineID := range machineIDs {
+		if !l.inventory.isDeleted(machineID) {
+			l.block.AddMachine(machineID, offer.MachineType, offer.Zone, offer.Spot, l.c.now)
+		}
+	}
+}
