--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -31,7 +31,7 @@
 	for _, machine := range out.ScaleIn {
 		l.releaseMachine(machine, "idle")
 	}
-	for _, machine := range out.Vacate {
+	for _, machine := range out.Drain {
 		l.block.Vacate(machine, c.now)
 	}
 	if out.Unplaced > 0 {
--- a/internal/core/autoscaler/autoscaler_test.go
+++ b/internal/core/autoscaler/autoscaler_test.go
@@ -13,8 +13,8 @@
 	"gpu": {Name: "gpu", Cores: 20, GPUs: 4, MemoryGB: 80, Price: 12, SpotPrice: 3, BootS: 20, Zones: []string{"a", "b"}},
 }
 
-func machine(ref, machineType string, used model.Resources) *model.Machine {
-	h := &model.Machine{ID: ref, MachineType: machineType, Zone: "a", Size: machineTypes[machineType].Size(), Used: used, Up: true, Bindings: map[model.TaskID]*model.Binding{}}
+func machine(machineID, machineType string, used model.Resources) *model.Machine {
+	h := &model.Machine{ID: machineID, MachineType: machineType, Zone: "a", Size: machineTypes[machineType].Size(), Used: used, Up: true, Bindings: map[model.TaskID]*model.Binding{}}
 	if !used.IsZero() {
 		h.Bindings[model.TaskID{Job: "j-0"}] = &model.Binding{Job: &model.Job{}}
 	}
@@ -29,13 +29,13 @@
 	return &Input{Now: now, Machines: machines, MachineTypes: machineTypes, CloudOK: true}
 }
 
-func (l *Provisioner) where(big bool) (refs []string) {
+func (l *Provisioner) where(big bool) (machineIDs []string) {
 	for _, p := range l.placeholders {
 		if p.largest == big {
-			refs = append(refs, p.machine)
+			machineIDs = append(machineIDs, p.machine)
 		}
 	}
-	return refs
+	return machineIDs
 }
 
 // Version 2 of the proposal, more complete idea: the largest task, each amount
@@ -43,8 +43,8 @@
 func TestPlaceholderSizes(t *testing.T) {
 	l := New(Defaults())
 	var machines []*model.Machine
-	for _, ref := range []string{"h1", "h2", "h3", "h4"} {
-		machines = append(machines, machine(ref, "box", model.Resources{}))
+	for _, machineID := range []string{"h1", "h2", "h3", "h4"} {
+		machines = append(machines, machine(machineID, "box", model.Resources{}))
 	}
 	in := input(0, machines...)
 	in.Sizes = []model.Resources{{Cores: 2000, Mem: 1000}, {Cores: 1000, Mem: 3000}}
@@ -326,16 +326,16 @@
 	}
 }
 
-// A machine that is mostly unused is vacated if its replicas have room, with their images,
+// A machine that is mostly unused is drained if its replicas have room, with their images,
 // on fuller ones of its zone beside the placeholders.
-func TestVacate(t *testing.T) {
+func TestDrain(t *testing.T) {
 	need := model.Resources{Cores: 2000}
-	replicas := func(ref string, n int) *model.Machine {
-		h := machine(ref, "box", model.Resources{})
+	replicas := func(machineID string, n int) *model.Machine {
+		h := machine(machineID, "box", model.Resources{})
 		h.Cache = []string{"i"}
 		for i := range n {
 			h.Used = h.Used.Plus(need)
-			h.Bindings[model.TaskID{Job: "j-" + ref, Index: i}] = &model.Binding{RunningSince: sec,
+			h.Bindings[model.TaskID{Job: "j-" + machineID, Index: i}] = &model.Binding{RunningSince: sec,
 				Job: &model.Job{Kind: model.Service, Priority: model.ProductionPriority, Request: need, Image: "i"}}
 		}
 		return h
@@ -346,10 +346,10 @@
 		in.OrdinarySizes = []model.Resources{{Cores: 1000}}
 		in.Now = 100 * sec
 		change(in, little, fuller)
-		return New(Defaults()).Round(in).Vacate
+		return New(Defaults()).Round(in).Drain
 	}
 	if got := round(func(*Input, *model.Machine, *model.Machine) {}); len(got) != 1 || got[0].ID != "h1" {
-		t.Errorf("vacates %v, want h1", got)
+		t.Errorf("drains %v, want h1", got)
 	}
 	for why, change := range map[string]func(in *Input, little, fuller *model.Machine){
 		"the image is not there":    func(_ *Input, _, fuller *model.Machine) { fuller.Cache = nil },
@@ -362,7 +362,7 @@
 		"tasks wait for a machine":  func(in *Input, _, _ *model.Machine) { in.Waiting = []Demand{production(9, need)} },
 	} {
 		if got := round(change); len(got) != 0 {
-			t.Errorf("vacates %v though %s", got[0].ID, why)
+			t.Errorf("drains %v though %s", got[0].ID, why)
 		}
 	}
 }
--- a/internal/core/autoscaler/bench_test.go
+++ b/internal/core/autoscaler/bench_test.go
@@ -7,7 +7,7 @@
 	"woadweir/internal/core/model"
 )
 
-// A renting round over many machines, most of them full, with 20,000 waiting
+// A round over many machines, most of them full, with 20,000 waiting
 // tasks of many sizes, and no capacity left to be rented.
 func BenchmarkRound(b *testing.B) {
 	for _, machines := range []int{1900, 4000} {
--- /dev/null
+++ b/internal/core/autoscaler/drain.go
@@ -0,0 +1,96 @@
+package autoscaler
+
+import (
+	"cmp"
+	"slices"
+
+	"woadweir/internal/core/model"
+)
+
+// When services end, those that go on are left on many machines that are partly full, and
+// none of them becomes empty for as long as a service lasts. A replica that moves to a
+// machine which has its image is down for about a report period. That is worth it where
+// it empties a machine that is mostly unused, and not more often than this.
+const (
+	drainGap   = 5 * model.Second  // between two machines that are drained
+	settledFor = 60 * model.Second // a replica that began later is not moved
+	drainShare = 2                 // no more than one part in so many of the machine is used
+)
+
+// drain chooses a machine that is mostly unused and whose replicas all have room on
+// other machines that have their images, beside the placeholders.
+func (l *Provisioner) drain(in *Input, candidates []*candidateMachine) []*model.Machine {
+	if in.Now-l.lastDrain < drainGap {
+		return nil
+	}
+	var drainable []*candidateMachine
+	for _, candidate := range candidates {
+		if l.drainable(in, candidate) {
+			drainable = append(drainable, candidate)
+		}
+	}
+	slices.SortFunc(drainable, func(a, b *candidateMachine) int {
+		return cmp.Or(len(a.machine.Bindings)-len(b.machine.Bindings), cmp.Compare(a.machine.ID, b.machine.ID))
+	})
+	for _, candidate := range drainable {
+		if l.fitsElsewhere(candidate, candidates) {
+			l.lastDrain = in.Now
+			return []*model.Machine{candidate.machine}
+		}
+	}
+	return nil
+}
+
+// drainable reports whether a machine is mostly unused and has only settled replicas.
+func (l *Provisioner) drainable(in *Input, candidate *candidateMachine) bool {
+	machine := candidate.machine
+	if !machine.Up || machine.Spot || candidate.used || len(machine.Bindings) == 0 || in.Now-machine.RentedAt < l.Params.MinHeld {
+		return false
+	}
+	used := machine.Used.Times(drainShare)
+	if used.Cores > machine.Size.Cores || used.GPUs > machine.Size.GPUs || used.Mem > machine.Size.Mem {
+		return false
+	}
+	for _, binding := range machine.Bindings {
+		if !settled(binding, in.Now) {
+			return false
+		}
+	}
+	return true
+}
+
+// settled reports whether a binding is a replica that has run for long enough to be moved.
+func settled(binding *model.Binding, now model.Micros) bool {
+	return binding.Job.Kind == model.Service && !binding.Stopping && binding.RunningSince != 0 && now-binding.RunningSince >= settledFor
+}
+
+// fitsElsewhere tells whether all that is on a machine has room on others of its zone that
+// have the images, and its placeholders on any. If so, the room is taken.
+func (l *Provisioner) fitsElsewhere(drained *candidateMachine, candidates []*candidateMachine) bool {
+	others := slices.DeleteFunc(slices.Clone(candidates), func(other *candidateMachine) bool {
+		return other == drained || other.surplus || other.offer.Spot || !other.machine.Up || len(other.machine.Bindings) <= len(drained.machine.Bindings)
+	})
+	spare := saveSpare(others)
+	if !takeRoomForReplicas(drained, others) || len(l.placePlaceholders(drained.placeholders, others)) > 0 {
+		restoreSpare(others, spare)
+		return false
+	}
+	return true
+}
+
+// takeRoomForReplicas takes room for each replica of a machine on another one of its zone
+// that has the replica's image. It stops and returns false if one finds none.
+func takeRoomForReplicas(drained *candidateMachine, others []*candidateMachine) bool {
+	for _, binding := range drained.machine.Bindings {
+		job := binding.Job
+		i := slices.IndexFunc(others, func(other *candidateMachine) bool {
+			return other.offer.Zone == drained.offer.Zone && job.Allows(other.offer.MachineType, other.offer.Zone, false) &&
+				job.Request.Fits(other.spare) && job.Request.Fits(other.free) && other.machine.HasImage(job.Image)
+		})
+		if i < 0 {
+			return false
+		}
+		others[i].spare = others[i].spare.Minus(job.Request)
+	}
+	return true
+}
--- a/internal/core/autoscaler/offers.go
+++ b/internal/core/autoscaler/offers.go
@@ -1,12 +1,18 @@
 package autoscaler
 
 import (
+	"maps"
 	"math"
 	"slices"
 
 	"woadweir/internal/core/model"
 )
 
+const (
+	maxPerCall     = 50      // how many machines the cloud rents in one call
+	unlimitedTasks = 1 << 20 // stands for as many tasks as a machine holds
+)
+
 // Rental is a request to be made.
 type Rental struct {
 	MachineType, Zone string
@@ -20,83 +26,122 @@
 	Spot              bool
 }
 
-// cheapest chooses the offer that holds n such tasks at the lowest price per
-// task. A type already chosen in this round is only asked for in the same zone: one
-// call per type, kind and round. Ordinary and spot machines are separate stocks, and
-// were there one call for both, work that may use spot machines would be given
-// ordinary ones whenever other work rents these in the same round.
-func (l *Provisioner) cheapest(in *Input, fresh []*slot, need model.Resources, n int, anyPrice bool, allows func(machineType, zone string, spot bool) bool) *slot {
-	var best *slot
-	bestCost := 0.0
-	floor := math.Inf(1) // the lowest price per task, had everything capacity
-	var labels []string
-	for label := range in.MachineTypes {
-		labels = append(labels, label)
-	}
-	slices.Sort(labels)
-	for _, label := range labels {
-		f := in.MachineTypes[label]
-		size := f.Size()
-		k := need.Count(size, n)
-		if k == 0 {
+// rentalNeed is what a machine is rented for.
+type rentalNeed struct {
+	request  model.Resources // of one task
+	count    int             // of such tasks
+	anyPrice bool            // a machine is rented also if waiting would be far cheaper
+	allows   func(machineType, zone string, spot bool) bool
+}
+
+// cheapest chooses the offer that holds the tasks at the lowest price per task. A type
+// already chosen in this round is only requested in the same zone: one call per type,
+// kind and round. Ordinary and spot machines are separate stocks, and were there one call
+// for both, work that may use spot machines would be given ordinary ones whenever other
+// work rents these in the same round.
+func (l *Provisioner) cheapest(in *Input, toRent []*candidateMachine, need rentalNeed) *candidateMachine {
+	search := offerSearch{provisioner: l, now: in.Now, need: need, lowestPrice: math.Inf(1)}
+	for _, name := range slices.Sorted(maps.Keys(in.MachineTypes)) {
+		machineType := in.MachineTypes[name]
+		if need.request.Count(machineType.Size(), need.count) == 0 {
 			continue
 		}
-		called := calledOffers(fresh, label)
-		for _, y := range f.Zones {
+		called := calledOffers(toRent, name)
+		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{true, false} {
-				o := Offer{label, y, spot}
-				if !allows(label, y, spot) {
-					continue
-				}
-				call := called[spot]
-				cost := f.PriceOf(spot) / float64(need.Count(size, 1<<20))
-				floor = min(floor, cost)
-				if in.Now < l.refused[o] || call.machines > 0 && call.offer != o || call.machines >= maxPerCall {
-					continue
-				}
-				cost = f.PriceOf(spot) / float64(k)
-				if best == nil || cost < bestCost || cost == bestCost && !spot && l.zoneMachines[y] < l.zoneMachines[best.offer.Zone] {
-					best, bestCost = &slot{offer: o, size: size, free: size, open: size, spare: size}, cost
+				if need.allows(name, zone, spot) {
+					search.consider(Offer{name, zone, spot}, machineType, called[spot])
 				}
 			}
 		}
 	}
-	if best != nil && !anyPrice && bestCost*float64(need.Count(best.size, n)) > l.Params.MaxPriceRatio*floor*float64(need.Count(best.size, 1<<20)) {
+	if search.tooExpensive() {
 		return nil
 	}
-	return best
+	return search.best
+}
+
+// offerSearch is a search for the cheapest offer.
+type offerSearch struct {
+	provisioner *Provisioner
+	now         model.Micros
+	need        rentalNeed
+	best        *candidateMachine // nil: none yet
+	bestPrice   float64           // per task
+	lowestPrice float64           // per task, had everything capacity
 }
 
-// maxPerCall is how many machines the cloud rents in one call.
-const maxPerCall = 50
+// consider makes an offer the best if it can be had and is cheaper than the best so far.
+// Called is what the round requests of its type and kind already.
+func (s *offerSearch) consider(offer Offer, machineType *model.MachineType, called call) {
+	size, price := machineType.Size(), machineType.PriceOf(offer.Spot)
+	s.lowestPrice = min(s.lowestPrice, price/float64(s.need.request.Count(size, unlimitedTasks)))
+	if s.now < s.provisioner.refused[offer] || called.machines > 0 && called.offer != offer || called.machines >= maxPerCall {
+		return
+	}
+	perTask := price / float64(s.need.request.Count(size, s.need.count))
+	if s.best == nil || perTask < s.bestPrice || perTask == s.bestPrice && s.evensZones(offer) {
+		s.best = &candidateMachine{offer: offer, size: size, free: size, open: size, spare: size}
+		s.bestPrice = perTask
+	}
+}
+
+// evensZones reports whether an ordinary machine of an offer makes the zones more even
+// than one of the best offer.
+func (s *offerSearch) evensZones(offer Offer) bool {
+	machines := s.provisioner.zoneMachines
+	return !offer.Spot && machines[offer.Zone] < machines[s.best.offer.Zone]
+}
+
+// tooExpensive reports whether waiting for a cheaper machine is better than the best offer.
+func (s *offerSearch) tooExpensive() bool {
+	if s.best == nil || s.need.anyPrice {
+		return false
+	}
+	request, size := s.need.request, s.best.size
+	price := s.bestPrice * float64(request.Count(size, s.need.count))
+	return price > s.provisioner.Params.MaxPriceRatio*s.lowestPrice*float64(request.Count(size, unlimitedTasks))
+}
+
+// available reports whether an ordinary machine may be had in a zone now.
+func (l *Provisioner) available(in *Input, zone string) bool {
+	for name, machineType := range in.MachineTypes {
+		if machineType.In(zone) && in.Now >= l.refused[Offer{name, zone, false}] {
+			return true
+		}
+	}
+	return false
+}
 
-// call is what a round asks for of one type and kind.
+// call is what a round requests of one type and kind.
 type call struct {
 	offer    Offer
 	machines int
 }
 
-// calledOffers are the calls for a type among the machines to be rented, by kind.
-func calledOffers(fresh []*slot, machineType string) map[bool]call {
+// calledOffers are the calls for a type among the machines to be rented, by kind: true
+// for spot machines.
+func calledOffers(toRent []*candidateMachine, machineType string) map[bool]call {
 	called := map[bool]call{}
-	for _, s := range fresh {
-		if s.offer.MachineType == machineType {
-			called[s.offer.Spot] = call{s.offer, called[s.offer.Spot].machines + 1}
+	for _, candidate := range toRent {
+		if candidate.offer.MachineType == machineType {
+			called[candidate.offer.Spot] = call{candidate.offer, called[candidate.offer.Spot].machines + 1}
 		}
 	}
 	return called
 }
 
-// calls groups the machines to be rented.
-func calls(fresh []*slot) []Rental {
-	var rs []Rental
-	for _, s := range fresh {
-		i := slices.IndexFunc(rs, func(r Rental) bool { return r.MachineType == s.offer.MachineType && r.Spot == s.offer.Spot })
+// groupRentals makes one request of the machines of each type and kind.
+func groupRentals(toRent []*candidateMachine) []Rental {
+	var rentals []Rental
+	for _, candidate := range toRent {
+		offer := candidate.offer
+		i := slices.IndexFunc(rentals, func(r Rental) bool { return r.MachineType == offer.MachineType && r.Spot == offer.Spot })
 		if i < 0 {
-			rs = append(rs, Rental{s.offer.MachineType, s.offer.Zone, s.offer.Spot, 1})
+			rentals = append(rentals, Rental{offer.MachineType, offer.Zone, offer.Spot, 1})
 		} else {
-			rs[i].Count++
+			rentals[i].Count++
 		}
 	}
-	return rs
+	return rentals
 }
--- a/internal/core/autoscaler/placeholders.go
+++ b/internal/core/autoscaler/placeholders.go
@@ -1,18 +1,22 @@
 package autoscaler
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 
 	"woadweir/internal/core/model"
 )
 
-// standsFor tells which work a placeholder holds room for.
-type standsFor uint8
+// minHoldShare is the least part of the cheapest machine's IdleHold for which a machine
+// has to be kept to be worth renting for placeholders: one that is more expensive would
+// soon be released unused.
+const minHoldShare = 3
+
+// workClass tells which work a placeholder holds room for.
+type workClass uint8
 
 const (
-	anyWork      standsFor = iota // no work needs ordinary machines: all is alike
+	anyWork      workClass = iota // no work needs ordinary machines: all is alike
 	ordinaryWork                  // work that needs ordinary machines
 	flexibleWork                  // work that may use spot machines
 )
@@ -20,20 +24,21 @@
 // placeholder is a virtual task.
 type placeholder struct {
 	size    model.Resources
-	machine string // "": homeless
+	machine string // its machine's ID, "": unplaced
 	gpu     bool   // true: GPU group
 	largest bool   // the group's largest
-	work    standsFor
+	work    workClass
 	zone    string // the only zone, "": any
 }
 
 // suits tells whether a placeholder may hold room on a machine: on a spot machine that
 // is none for work which needs ordinary ones, and on an ordinary one it would cost
 // several times as much as work that may use spot machines has to pay.
-func (p *placeholder) suits(s *slot) bool {
-	return (s.size.GPUs > 0) == p.gpu && p.allows(s.offer.Zone, s.offer.Spot)
+func (p *placeholder) suits(candidate *candidateMachine) bool {
+	return (candidate.size.GPUs > 0) == p.gpu && p.allows(candidate.offer.Zone, candidate.offer.Spot)
 }
 
+// allows reports whether a placeholder's work and zone permit such a machine.
 func (p *placeholder) allows(zone string, spot bool) bool {
 	switch {
 	case p.work == ordinaryWork && spot, p.work == flexibleWork && !spot:
@@ -43,30 +48,23 @@
 }
 
 // like tells that two placeholders may use the same machines.
-func (p *placeholder) like(o *placeholder) bool {
-	return p.gpu == o.gpu && p.work == o.work && p.zone == o.zone
+func (p *placeholder) like(other *placeholder) bool {
+	return p.gpu == other.gpu && p.work == other.work && p.zone == other.zone
 }
 
-// placePlaceholders puts placeholders into rooms and returns those that found none.
-func (l *Provisioner) placePlaceholders(ps []*placeholder, slots []*slot) (rest []*placeholder) {
+// placePlaceholders puts each placeholder on the fullest machine that has room for it,
+// and returns those that found none.
+func (l *Provisioner) placePlaceholders(placeholders []*placeholder, candidates []*candidateMachine) (unplaced []*placeholder) {
 	var failed *placeholder // the last that found none: its like need not look
-	for _, p := range ps {
+	for _, p := range placeholders {
 		if failed != nil && failed.like(p) && failed.size.Fits(p.size) {
-			rest = append(rest, p)
+			unplaced = append(unplaced, p)
 			continue
 		}
-		var best *slot
-		for _, s := range slots {
-			if !p.suits(s) || !p.size.Fits(s.spare) {
-				continue
-			}
-			if best == nil || s.spare.Cores < best.spare.Cores {
-				best = s
-			}
-		}
+		best := p.fullest(candidates)
 		if best == nil {
 			failed = p
-			rest = append(rest, p)
+			unplaced = append(unplaced, p)
 			continue
 		}
 		best.spare = best.spare.Minus(p.size)
@@ -75,97 +73,59 @@
 			p.machine = best.machine.ID
 		}
 	}
-	return rest
+	return unplaced
 }
 
-// flexibleShare is how many times the extra share of ordinary machines is held on spot
-// machines. A spot machine that is idle costs a fraction of an ordinary one, and those
-// that are taken without notice take their tasks with them, which then need room at once.
-const flexibleShare = 2
-
-// resize brings number and sizes of the placeholders to what the fleet and the
-// tasks ask for, keeping those that exist on their machines. Where some work needs
-// ordinary machines, each kind of machine has its own, and those on ordinary ones are a
-// share of the whole fleet.
-func (l *Provisioner) resize(in *Input, slots []*slot) {
-	if len(in.OrdinarySizes) == 0 {
-		l.resizeKind(in, slots, anyWork, in.Sizes)
-	} else {
-		l.resizeKind(in, slots, ordinaryWork, in.OrdinarySizes)
-		l.resizeKind(in, slots, flexibleWork, in.FlexibleSizes)
+// fullest is the machine with the fewest spare cores that has room for a placeholder.
+func (p *placeholder) fullest(candidates []*candidateMachine) *candidateMachine {
+	var best *candidateMachine
+	for _, candidate := range candidates {
+		if !p.suits(candidate) || !p.size.Fits(candidate.spare) {
+			continue
+		}
+		if best == nil || candidate.spare.Cores < best.spare.Cores {
+			best = candidate
+		}
 	}
-	// The largest first: they are the hardest to place.
-	slices.SortStableFunc(l.placeholders, func(a, b *placeholder) int { return cmp.Compare(b.size.Cores, a.size.Cores) })
+	return best
 }
 
-func (l *Provisioner) resizeKind(in *Input, slots []*slot, work standsFor, sizes []model.Resources) {
-	for _, gpu := range []bool{false, true} {
-		var capacity, biggest, largest model.Resources
-		machines := 0
-		for _, s := range slots {
-			if (s.size.GPUs > 0) == gpu && !(work == flexibleWork && !s.offer.Spot) {
-				capacity = capacity.Plus(s.size)
-				machines++
-			}
+// keepPlaceholders leaves the placeholders on their machines as far as they fit there,
+// and returns the others. Those for flexible work come after that work has been placed.
+func (l *Provisioner) keepPlaceholders(candidates []*candidateMachine, flexible bool) (unplaced []*placeholder) {
+	byID := make(map[string]*candidateMachine, len(candidates))
+	for _, candidate := range candidates {
+		if !flexible || candidate.offer.Spot {
+			candidate.resetSpare(flexible)
 		}
-		for _, f := range in.MachineTypes {
-			if z := f.Size(); (z.GPUs > 0) == gpu && z.Cores >= biggest.Cores {
-				biggest = z
-			}
-		}
-		for _, z := range sizes {
-			if (z.GPUs > 0) == gpu {
-				largest = model.Resources{Cores: max(largest.Cores, z.Cores), GPUs: max(largest.GPUs, z.GPUs), Mem: max(largest.Mem, z.Mem)}
-			}
-		}
-		largest = model.Resources{Cores: min(largest.Cores, biggest.Cores), GPUs: min(largest.GPUs, biggest.GPUs), Mem: min(largest.Mem, biggest.Mem)}
-		rate := l.Params.ExtraCapacityRate
-		if work == flexibleWork {
-			rate *= flexibleShare
-		}
-		extra := model.Resources{Cores: share(capacity.Cores, rate), GPUs: share(capacity.GPUs, rate), Mem: share(capacity.Mem, rate)}
-		count := machines * l.Params.Granularity
-		var each model.Resources
-		if rest := extra.Minus(largest); count > 0 {
-			each = model.Resources{Cores: max(0, rest.Cores) / model.Milli(count), GPUs: max(0, rest.GPUs) / model.Milli(count), Mem: max(0, rest.Mem) / model.Milli(count)}
+		byID[candidate.machine.ID] = candidate
+	}
+	for _, p := range l.placeholders {
+		if (p.work == flexibleWork) != flexible {
+			continue
 		}
-		if each.IsZero() {
-			count = 0
+		candidate := byID[p.machine]
+		if candidate != nil && p.suits(candidate) && p.size.Fits(candidate.spare) {
+			candidate.spare = candidate.spare.Minus(p.size)
+			candidate.placeholders = append(candidate.placeholders, p)
+			continue
 		}
-		l.keepGroup(placeholder{gpu: gpu, work: work}, largest, each, count)
+		p.machine = ""
+		unplaced = append(unplaced, p)
 	}
+	return unplaced
 }
 
-// keepGroup has a group of placeholders be one of the largest size and count others.
-func (l *Provisioner) keepGroup(group placeholder, largest, each model.Resources, count int) {
-	var kept []*placeholder
-	small, big := 0, false
-	for _, p := range l.placeholders {
-		switch {
-		case p.gpu != group.gpu || p.work != group.work && p.work != anyWork && group.work != anyWork:
-			kept = append(kept, p)
-		case p.largest && !largest.IsZero() && !big:
-			big = true
-			p.size, p.work = largest, group.work
-			kept = append(kept, p)
-		case !p.largest && small < count:
-			small++
-			p.size, p.work = each, group.work
-			kept = append(kept, p)
-		}
-	}
-	if !big && !largest.IsZero() {
-		kept = append(kept, &placeholder{size: largest, gpu: group.gpu, work: group.work, largest: true})
+// resetSpare has placeholders find all that tasks leave of a machine. Once flexible work
+// is placed, that is on spot machines what this work leaves, too.
+func (m *candidateMachine) resetSpare(flexiblePlaced bool) {
+	m.spare = m.open
+	if flexiblePlaced && m.offer.Spot {
+		m.spare = m.free
 	}
-	for ; small < count; small++ {
-		kept = append(kept, &placeholder{size: each, gpu: group.gpu, work: group.work})
-	}
-	l.placeholders = kept
 }
 
-func share(m model.Milli, rate float64) model.Milli { return model.Milli(float64(m) * rate) }
-
-// assignZones spreads the placeholders evenly over the zones, if they are to be even.
+// assignZones spreads the placeholders evenly over the zones where jobs have to be spread.
 func (l *Provisioner) assignZones() {
 	zones := slices.Sorted(maps.Keys(l.zoneMachines))
 	next := 0
@@ -178,12 +138,71 @@
 	}
 }
 
-// available tells whether an ordinary machine may be had in a zone now.
-func (l *Provisioner) available(in *Input, zone string) bool {
-	for name, f := range in.MachineTypes {
-		if f.In(zone) && in.Now >= l.refused[Offer{name, zone, false}] {
-			return true
+// detachFromUnknown has the placeholders of machines that are to be rented, which have no
+// ID yet, be placed again in the next round.
+func (l *Provisioner) detachFromUnknown(candidates []*candidateMachine) {
+	known := make(map[string]bool, len(candidates))
+	for _, candidate := range candidates {
+		known[candidate.machine.ID] = true
+	}
+	for _, p := range l.placeholders {
+		if !known[p.machine] {
+			p.machine = ""
 		}
 	}
-	return false
+}
+
+// rentForPlaceholders adds the machines that unplaced placeholders need to those to be
+// rented.
+func (l *Provisioner) rentForPlaceholders(in *Input, candidates, toRent []*candidateMachine, unplaced []*placeholder) []*candidateMachine {
+	for _, candidate := range toRent {
+		candidate.resetSpare(true)
+	}
+	unplaced = l.placePlaceholders(unplaced, toRent)
+	unplaced = l.moveToOtherZones(in, candidates, unplaced)
+	var failed *placeholder // none can be rented for it, nor for its like
+	for _, p := range unplaced {
+		if failed != nil && failed.like(p) && failed.size.Fits(p.size) {
+			continue
+		}
+		if len(l.placePlaceholders([]*placeholder{p}, toRent)) == 0 {
+			continue
+		}
+		candidate := l.cheapestForPlaceholder(in, toRent, p)
+		if candidate == nil {
+			failed = p
+			continue
+		}
+		candidate.resetSpare(true)
+		toRent = append(toRent, candidate)
+		l.placePlaceholders([]*placeholder{p}, toRent)
+	}
+	return toRent
+}
+
+// moveToOtherZones places placeholders elsewhere if no machine can be had in their zone at
+// present: room in another zone is better than none. It returns those without a place.
+func (l *Provisioner) moveToOtherZones(in *Input, candidates []*candidateMachine, unplaced []*placeholder) []*placeholder {
+	var moved []*placeholder
+	for _, p := range unplaced {
+		if p.zone != "" && !l.available(in, p.zone) {
+			p.zone = ""
+			moved = append(moved, p)
+		}
+	}
+	if len(moved) == 0 {
+		return unplaced
+	}
+	l.placePlaceholders(moved, candidates)
+	return slices.DeleteFunc(unplaced, func(p *placeholder) bool { return p.machine != "" })
+}
+
+// cheapestForPlaceholder chooses the machine to be rented for a placeholder, nil if there
+// is none. Placeholders for any task to come need an ordinary machine.
+func (l *Provisioner) cheapestForPlaceholder(in *Input, toRent []*candidateMachine, p *placeholder) *candidateMachine {
+	allows := func(machineType, zone string, spot bool) bool {
+		return p.allows(zone, spot) && (p.work == flexibleWork || !spot) &&
+			l.idleHold(in, in.MachineTypes[machineType], spot) >= l.Params.IdleHold/minHoldShare
+	}
+	return l.cheapest(in, toRent, rentalNeed{request: p.size, count: 1, allows: allows})
 }
--- /dev/null
+++ b/internal/core/autoscaler/waiting.go
@@ -0,0 +1,157 @@
+package autoscaler
+
+import (
+	"slices"
+
+	"woadweir/internal/core/model"
+)
+
+// unplacedTasks is a number of a job's tasks without a place.
+type unplacedTasks struct {
+	demand Demand
+	count  int
+	zones  *zoneLimits
+}
+
+// countTasks sums up the tasks without a place.
+func countTasks(unplaced []unplacedTasks) (count int) {
+	for _, tasks := range unplaced {
+		count += tasks.count
+	}
+	return count
+}
+
+// unplaceable remembers what found no room: room only gets less, so nothing that may
+// use the same machines and needs as much, for no more tasks, has to look again.
+type unplaceable []unplacedTasks
+
+// covers reports whether so many tasks of a job can't find room, as others like them
+// have found none.
+func (u unplaceable) covers(job *model.JobState, count int) bool {
+	for i := range u {
+		failed := u[i].demand.Job
+		if u[i].count >= count && failed.Request.Fits(job.Request) && sameMachines(failed, job) {
+			return true
+		}
+	}
+	return false
+}
+
+// sameMachines reports whether two jobs may use the same machines.
+func sameMachines(a, b *model.JobState) bool {
+	return a.AllowsSpot == b.AllowsSpot && a.Zone == b.Zone && a.Priority == b.Priority &&
+		(a.Request.GPUs > 0) == (b.Request.GPUs > 0) && slices.Equal(a.MachineTypes, b.MachineTypes)
+}
+
+// split parts the waiting tasks into those that are served first and those that may
+// use spot machines, which take what the first and the placeholders leave of the
+// ordinary ones. Where no work needs ordinary machines all are alike.
+func (in *Input) split() (first, flexible []Demand) {
+	if len(in.OrdinarySizes) == 0 {
+		return in.Waiting, nil
+	}
+	for _, demand := range in.Waiting {
+		if demand.Job.AllowsSpot {
+			flexible = append(flexible, demand)
+		} else {
+			first = append(first, demand)
+		}
+	}
+	return first, flexible
+}
+
+// placeWaiting puts waiting tasks on machines and returns those that found no room.
+func placeWaiting(candidates []*candidateMachine, waiting []Demand, flexible bool) (unplaced []unplacedTasks) {
+	var failed unplaceable
+	for _, demand := range waiting {
+		zones := newZoneLimits(demand.Job, flexible)
+		if failed.covers(demand.Job, 1) {
+			if demand.Count > 0 {
+				unplaced = append(unplaced, unplacedTasks{demand, demand.Count, zones})
+			}
+			continue
+		}
+		if demand.Job.SameZone {
+			zones.choose(candidates, demand)
+		}
+		left := placeTasks(candidates, zones, demand.Count)
+		if left == 0 {
+			continue
+		}
+		tasks := unplacedTasks{demand, left, zones}
+		if !zones.bound() {
+			failed = append(failed, tasks)
+		}
+		unplaced = append(unplaced, tasks)
+	}
+	return unplaced
+}
+
+// placeTasks puts up to count tasks on machines and returns how many found no room.
+func placeTasks(candidates []*candidateMachine, zones *zoneLimits, count int) (left int) {
+	left = count
+	for _, candidate := range candidates {
+		if left == 0 {
+			break
+		}
+		if fits := zones.count(candidate, left); fits > 0 {
+			zones.take(candidate, fits)
+			candidate.used = true
+			candidate.needed = candidate.needed || !zones.flexible
+			left -= fits
+		}
+	}
+	return left
+}
+
+// rentForTasks adds the machines that unplaced tasks need to those to be rented.
+func (l *Provisioner) rentForTasks(in *Input, toRent []*candidateMachine, unplaced []unplacedTasks) []*candidateMachine {
+	var failed unplaceable
+	for _, tasks := range unplaced {
+		if failed.covers(tasks.demand.Job, tasks.count) {
+			continue
+		}
+		var complete bool
+		toRent, complete = l.rentForJob(in, toRent, tasks)
+		if !complete && !tasks.zones.bound() {
+			failed = append(failed, tasks)
+		}
+	}
+	return toRent
+}
+
+// rentForJob adds the machines that one job's unplaced tasks need. It reports whether all
+// of them have a place on these.
+func (l *Provisioner) rentForJob(in *Input, toRent []*candidateMachine, tasks unplacedTasks) (_ []*candidateMachine, complete bool) {
+	job, zones := tasks.demand.Job, tasks.zones
+	left := tasks.count
+	for left > 0 {
+		for _, candidate := range toRent {
+			if left == 0 {
+				break
+			}
+			if fits := zones.count(candidate, left); fits > 0 {
+				zones.take(candidate, fits)
+				left -= fits
+			}
+		}
+		if left == 0 {
+			break
+		}
+		need := rentalNeed{request: job.Request, count: left, anyPrice: job.Priority >= model.HighPriority, allows: zones.allows}
+		candidate := l.cheapest(in, toRent, need)
+		if candidate == nil && l.zoneExhausted(in, zones) {
+			zones.elsewhere()
+			left = tasks.demand.Count
+			continue
+		}
+		if candidate == nil {
+			return toRent, false
+		}
+		if job.SameZone && len(job.Bindings) == 0 {
+			zones.only = candidate.offer.Zone
+		}
+		toRent = append(toRent, candidate)
+	}
+	return toRent, true
+}
