--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -196,7 +196,7 @@
 	c.now = c.clock()
 	switch m := m.(type) {
 	case msgTick:
-		c.duties.ticked()
+		c.duties.lag.ticked(c.now)
 	case msgStatusRequest:
 		c.statusQuery(m)
 	case msgSubmit:
--- /dev/null
+++ b/internal/controller/duty_cleanup.go
@@ -0,0 +1,51 @@
+package controller
+
+import (
+	"log/slog"
+
+	"woadweir/internal/core/model"
+	"woadweir/internal/duty"
+	"woadweir/internal/state"
+)
+
+// cleanupPeriod is how often the holder of the cleanup duty looks for unneeded keys.
+const cleanupPeriod = 5 * model.Second
+
+// clean removes keys that nobody needs, if this controller holds that duty.
+func (d *dutyHolder) clean(s *duty.Situation) {
+	c := d.c
+	token, mine := s.Holds(duty.Cleanup)
+	if !mine || c.now-d.cleanAt < cleanupPeriod {
+		return
+	}
+	d.cleanAt = c.now
+	removals := d.cleaner.Plan(c.now, d.unneeded(), min(c.limits.TxnOps, c.budget.Left(c.now)))
+	if len(removals) == 0 {
+		return
+	}
+	txn := &state.Txn{Conditions: []state.Condition{{Path: duty.Cleanup.Key(), Revision: token}}}
+	for _, removal := range removals {
+		txn.Conditions = append(txn.Conditions, state.Condition{Path: removal.Key, Revision: removal.Revision})
+		txn.Then = append(txn.Then, state.Op{Drop: removal.Key})
+	}
+	slog.Info("clean up", "token", token, "keys", len(removals))
+	c.send(laneDuty, msgCommitted{txn: txn, token: token})
+}
+
+// unneeded lists what could be removed were it to stay as it is.
+func (d *dutyHolder) unneeded() []duty.Unneeded {
+	v := d.c.view
+	var list []duty.Unneeded
+	for key, intent := range v.Rentals {
+		if intent.State != duty.Open {
+			list = append(list, duty.UnneededIntent(key, v.Revisions[key]))
+		}
+	}
+	for key, intent := range v.Returns {
+		if intent.State != duty.Open {
+			list = append(list, duty.UnneededIntent(key, v.Revisions[key]))
+		}
+	}
+	v.UnusedBundles(func(path string, stamp uint64) { list = append(list, duty.UnneededBundle(path, stamp)) })
+	return list
+}
--- /dev/null
+++ b/internal/controller/duty_cloud.go
@@ -0,0 +1,38 @@
+package controller
+
+import (
+	"errors"
+
+	"woadweir/internal/cloud"
+	"woadweir/internal/core/model"
+	"woadweir/internal/duty"
+)
+
+// cloudProbePeriod is how often a holder asks the cloud for something, so that it learns
+// of a cloud that it can't reach before a rental or a deletion has to wait for that.
+const cloudProbePeriod = 4 * model.Second
+
+// probeCloud asks the cloud for something if a duty is held that needs it.
+func (d *dutyHolder) probeCloud(s *duty.Situation) {
+	_, rents := d.held[duty.Renting]
+	_, returns := d.held[duty.Returning]
+	switch {
+	case !rents && !returns:
+		d.cloudFailingSince = 0
+	case d.c.leading == nil && s.Now-d.cloudAskedAt >= cloudProbePeriod: // a leader reads the machine list anyway
+		d.cloudAskedAt = s.Now
+		d.c.io.flavors()
+	}
+}
+
+// cloudAnswered takes note of whether the cloud has answered a call. That it is asked too
+// often, or has no capacity, is an answer.
+func (d *dutyHolder) cloudAnswered(err error) {
+	d.cloudAskedAt = d.c.now
+	switch {
+	case err == nil, errors.Is(err, cloud.ErrBusy), errors.Is(err, cloud.ErrNoCapacity):
+		d.cloudFailingSince = 0
+	case d.cloudFailingSince == 0:
+		d.cloudFailingSince = d.c.now
+	}
+}
--- /dev/null
+++ b/internal/controller/duty_vacancies.go
@@ -0,0 +1,49 @@
+package controller
+
+import (
+	"log/slog"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"woadweir/internal/core/model"
+	"woadweir/internal/duty"
+)
+
+// The histogram of the times for which duties were vacant, in milliseconds.
+const (
+	maxVacancyMs  = 600_000
+	vacancyDigits = 2
+	medianPercent = 50
+)
+
+// vacancyLog measures for how long duties are vacant before this controller holds them.
+type vacancyLog struct {
+	since     map[duty.Name]model.Micros
+	histogram *hdrhistogram.Histogram // of duties that this controller acquired
+}
+
+func newVacancyLog() vacancyLog {
+	return vacancyLog{since: map[duty.Name]model.Micros{}, histogram: hdrhistogram.New(1, maxVacancyMs, vacancyDigits)}
+}
+
+// observe records whether a duty is vacant now.
+func (v *vacancyLog) observe(name duty.Name, vacant bool, now model.Micros) {
+	if !vacant {
+		delete(v.since, name)
+	} else if _, known := v.since[name]; !known {
+		v.since[name] = now
+	}
+}
+
+// ended records that this controller holds a duty from now on.
+func (v *vacancyLog) ended(name duty.Name, now model.Micros) {
+	since, known := v.since[name]
+	if !known {
+		return
+	}
+	ms := int64((now - since) / model.Millisecond)
+	if err := v.histogram.RecordValue(min(max(1, ms), maxVacancyMs)); err != nil {
+		slog.Debug("vacancy", "err", err)
+	}
+	slog.Info("duty was vacant", "duty", name, "ms", ms, "median_ms", v.histogram.ValueAtQuantile(medianPercent), "most_ms", v.histogram.Max())
+}
--- a/internal/controller/carryout.go
+++ b/internal/controller/intent_calls.go
@@ -11,21 +11,13 @@
 	"woadweir/internal/cloud"
 	"woadweir/internal/core/model"
 	"woadweir/internal/duty"
-	"woadweir/internal/state"
 	"woadweir/internal/tracing"
 )
 
 // Limits of the calls by which intents are carried out.
 const (
-	callsAtOnce = 8            // of a duty
-	callRetry   = model.Second // after a call that failed
-)
-
-// Intents and outcomes may be written this often, so many of a second's changes each
-// time, whatever else is to be written.
-const (
-	intentGap   = model.Second / 4
-	intentShare = 0.1
+	maxCallsInFlight = 8            // of a duty
+	callRetryDelay   = model.Second // after a call that failed
 )
 
 // intentCall is an open intent that this controller carries out.
@@ -55,15 +47,15 @@
 	}
 	if _, mine := s.Holds(duty.Renting); mine {
 		for _, key := range slices.Sorted(maps.Keys(v.Rentals)) {
-			if r := v.Rentals[key]; r.State == duty.Open && d.mayCall(key, duty.Renting) {
-				d.callRent(key, r)
+			if rental := v.Rentals[key]; rental.State == duty.Open && d.mayCall(key, duty.Renting) {
+				d.callRent(key, rental)
 			}
 		}
 	}
 	if _, mine := s.Holds(duty.Returning); mine {
 		for _, key := range slices.Sorted(maps.Keys(v.Returns)) {
-			if r := v.Returns[key]; r.State == duty.Open && d.mayCall(key, duty.Returning) {
-				d.callDelete(key, r)
+			if ret := v.Returns[key]; ret.State == duty.Open && d.mayCall(key, duty.Returning) {
+				d.callDelete(key, ret)
 			}
 		}
 	}
@@ -80,10 +72,10 @@
 			busy++
 		}
 	}
-	return busy < callsAtOnce
+	return busy < maxCallsInFlight
 }
 
-// begin notes that the request of an intent is sent, and gives what it rests on.
+// begin records that the request of an intent is sent, and returns what it depends on.
 func (d *dutyHolder) begin(key string, name duty.Name, trace string) carryOut {
 	call := d.calls[key]
 	if call == nil {
@@ -95,17 +87,17 @@
 	return carryOut{intent: key, stamp: call.stamp, until: d.c.auth.Ends()}
 }
 
-func (d *dutyHolder) callRent(key string, r *duty.Rental) {
-	d.c.io.rent(msgRented{rental: requestOf(r), carryOut: d.begin(key, duty.Renting, r.Trace)})
+func (d *dutyHolder) callRent(key string, rental *duty.Rental) {
+	d.c.io.rent(msgRented{rental: requestOf(rental), carryOut: d.begin(key, duty.Renting, rental.Trace)})
 }
 
-// requestOf is the request by which a rental intent is carried out.
-func requestOf(r *duty.Rental) cloud.Rental {
-	return cloud.Rental{RequestID: r.Request, MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
+func (d *dutyHolder) callDelete(key string, ret *duty.Return) {
+	d.c.io.remove(msgDeleted{refs: ret.Machines, carryOut: d.begin(key, duty.Returning, ret.Trace)})
 }
 
-func (d *dutyHolder) callDelete(key string, r *duty.Return) {
-	d.c.io.remove(msgDeleted{refs: r.Machines, carryOut: d.begin(key, duty.Returning, r.Trace)})
+// requestOf is the request by which a rental intent is carried out.
+func requestOf(rental *duty.Rental) cloud.Rental {
+	return cloud.Rental{RequestID: rental.Request, MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot, Count: rental.Count}
 }
 
 // answered takes the end of a request. It returns the intent's call if an outcome is
@@ -124,19 +116,20 @@
 		call.retryAt = d.c.now
 	default:
 		slog.Debug("intent", "key", m.intent, "err", err)
-		call.retryAt = d.c.now + callRetry
+		call.retryAt = d.c.now + callRetryDelay
 		d.cloudAnswered(err)
 	}
 	return nil
 }
 
+// rented takes the cloud's answer to the request of a rental intent.
 func (d *dutyHolder) rented(m msgRented) {
 	call := d.answered(m.carryOut, m.err)
-	r := d.c.view.Rentals[m.intent]
-	if call == nil || r == nil || r.Request != m.rental.RequestID {
+	rental := d.c.view.Rentals[m.intent]
+	if call == nil || rental == nil || rental.Request != m.rental.RequestID {
 		return
 	}
-	outcome := *r
+	outcome := *rental
 	outcome.State, outcome.Machines = duty.Filled, m.machines
 	if m.err != nil {
 		outcome.State, outcome.Machines = duty.Refused, nil
@@ -144,70 +137,14 @@
 	call.outcome = outcome
 }
 
+// deleted takes the cloud's answer to the request of a return intent.
 func (d *dutyHolder) deleted(m msgDeleted) {
 	call := d.answered(m.carryOut, m.err)
-	r := d.c.view.Returns[m.intent]
-	if call == nil || r == nil {
+	ret := d.c.view.Returns[m.intent]
+	if call == nil || ret == nil {
 		return
 	}
-	outcome := *r
+	outcome := *ret
 	outcome.State = duty.Gone
 	call.outcome = outcome
 }
-
-// writeOutcomes makes the outcomes of a duty's intents durable, some at a time, under the
-// duty's token. It tells whether it sent a write.
-func (d *dutyHolder) writeOutcomes(s *duty.Situation, name duty.Name) bool {
-	c := d.c
-	token, mine := s.Holds(name)
-	if !mine {
-		return false
-	}
-	txn := &state.Txn{Conditions: []state.Condition{{Path: name.Key(), Revision: token}}}
-	most, machines := min(c.limits.TxnOps, d.intentsAtMost(d.outcomesAt)), 0
-	for _, key := range slices.Sorted(maps.Keys(d.calls)) {
-		call := d.calls[key]
-		if call.name != name || call.outcome == nil || c.view.Revisions[key] != call.stamp {
-			continue
-		}
-		if !call.reported && c.now-call.answeredAt > outcomePatience {
-			call.reported = true
-			slog.Info("an outcome waits to be written", "duty", name, "intent", key, "s", (c.now - call.answeredAt).Seconds())
-		}
-		if len(txn.Then) >= most || machines > maxTxnMachines {
-			continue
-		}
-		outcome := call.outcome
-		switch r := outcome.(type) {
-		case duty.Rental:
-			r.Token = token
-			machines += len(r.Machines)
-			outcome = r
-		case duty.Return:
-			r.Token = token
-			machines += len(r.Machines)
-			outcome = r
-		}
-		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: call.stamp})
-		txn.Then = append(txn.Then, state.Op{Set: key, Value: outcome})
-	}
-	if len(txn.Then) == 0 {
-		return false
-	}
-	d.outcomesAt = c.now
-	c.send(laneDuty, msgCommitted{txn: txn, token: token})
-	return true
-}
-
-// intentsAtMost is how many intents, or outcomes of them, may be written now, where the
-// last were written at that time. A few are written also if bindings and users' changes
-// take the whole budget, which then waits for them: there are few, and what waits for
-// machines waits for both.
-func (d *dutyHolder) intentsAtMost(last model.Micros) int {
-	c := d.c
-	most := c.budget.Left(c.now)
-	if c.now-last >= intentGap {
-		most = max(most, 1, int(c.budget.Rate()*intentShare))
-	}
-	return most
-}
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"log/slog"
 	"slices"
 
 	"go.opentelemetry.io/otel/attribute"
@@ -10,7 +9,6 @@
 	"woadweir/internal/core/autoscaler"
 	"woadweir/internal/core/model"
 	"woadweir/internal/duty"
-	"woadweir/internal/state"
 	"woadweir/internal/tracing"
 )
 
@@ -25,8 +23,8 @@
 // intentLog is the leader's side of intents: what it has decided, and which outcomes it
 // waits for.
 type intentLog struct {
-	queue      []*intentDraft
-	inFlight   []*intentDraft
+	queue      []*intentDraft          // not written yet, or not known to be
+	inFlight   []*intentDraft          // of the write in flight
 	rentals    map[string]string       // open rental intents: request -> key
 	returns    map[string][]string     // open return intents: key -> machines
 	finishedAt map[string]model.Micros // when a rental intent was seen finished, by key
@@ -48,228 +46,79 @@
 // count as under way.
 func (l *leader) decideRental(rental cloud.Rental) {
 	span := tracing.Start("", "intent", attribute.String("request", rental.RequestID), attribute.Int("count", rental.Count))
-	l.intents.queue = append(l.intents.queue, &intentDraft{span: span, rental: &duty.Rental{Request: rental.RequestID, MachineType: rental.MachineType,
-		Zone: rental.Zone, Spot: rental.Spot, Count: rental.Count, Grant: l.token, State: duty.Open, Trace: span.Context()}})
+	l.intents.queue = append(l.intents.queue, &intentDraft{span: span, rental: &duty.Rental{
+		Request:     rental.RequestID,
+		MachineType: rental.MachineType,
+		Zone:        rental.Zone,
+		Spot:        rental.Spot,
+		Count:       rental.Count,
+		Grant:       l.token,
+		State:       duty.Open,
+		Trace:       span.Context(),
+	}})
 }
 
 // extendRental adds machines to a rental that is decided, but was not written yet, if
 // there is one of the same kind. Else the requests would pile up, one each round, where
 // the state service bears few changes.
-func (l *leader) extendRental(r autoscaler.Rental, count int) bool {
-	for _, d := range l.intents.queue {
-		if d.rental == nil || d.key != "" || d.rental.MachineType != r.MachineType || d.rental.Zone != r.Zone || d.rental.Spot != r.Spot ||
-			d.rental.Count+count > duty.RentAtMost(l.c.maxValue()) {
+func (l *leader) extendRental(rental autoscaler.Rental, count int) bool {
+	for _, draft := range l.intents.queue {
+		if draft.rental == nil || draft.key != "" || !sameOffer(draft.rental, rental) || draft.rental.Count+count > duty.RentAtMost(l.c.maxValue()) {
 			continue
 		}
-		d.rental.Count += count
-		pending := l.inventory.pendingRentals[d.rental.Request]
-		pending.Count = d.rental.Count
-		l.inventory.pendingRentals[d.rental.Request] = pending
+		draft.rental.Count += count
+		pending := l.inventory.pendingRentals[draft.rental.Request]
+		pending.Count = draft.rental.Count
+		l.inventory.pendingRentals[draft.rental.Request] = pending
 		return true
 	}
 	return false
 }
 
+// sameOffer reports whether an intent rents machines of the same kind.
+func sameOffer(intent *duty.Rental, rental autoscaler.Rental) bool {
+	return intent.MachineType == rental.MachineType && intent.Zone == rental.Zone && intent.Spot == rental.Spot
+}
+
 // decideReturn has machines returned through intents, if possible with those that were
 // decided before and not written yet.
-func (l *leader) decideReturn(machines []string) {
-	for _, d := range l.intents.queue {
-		if d.ret != nil && d.key == "" {
-			fit := min(len(machines), duty.ReturnAtMost(l.c.maxValue())-len(d.ret.Machines))
-			d.ret.Machines = append(d.ret.Machines, machines[:max(0, fit)]...)
-			machines = machines[max(0, fit):]
+func (l *leader) decideReturn(machineIDs []string) {
+	limit := duty.ReturnAtMost(l.c.maxValue())
+	for _, draft := range l.intents.queue {
+		if draft.ret != nil && draft.key == "" {
+			fit := max(0, min(len(machineIDs), limit-len(draft.ret.Machines)))
+			draft.ret.Machines = append(draft.ret.Machines, machineIDs[:fit]...)
+			machineIDs = machineIDs[fit:]
 		}
 	}
-	slices.Sort(machines)
-	for names := range slices.Chunk(machines, duty.ReturnAtMost(l.c.maxValue())) {
-		span := tracing.Start("", "intent", attribute.Int("machines", len(names)))
-		l.intents.queue = append(l.intents.queue, &intentDraft{span: span,
-			ret: &duty.Return{Machines: names, Grant: l.token, State: duty.Open, Trace: span.Context()}})
+	slices.Sort(machineIDs)
+	for chunk := range slices.Chunk(machineIDs, limit) {
+		span := tracing.Start("", "intent", attribute.Int("machines", len(chunk)))
+		ret := &duty.Return{Machines: chunk, Grant: l.token, State: duty.Open, Trace: span.Context()}
+		l.intents.queue = append(l.intents.queue, &intentDraft{span: span, ret: ret})
 	}
 }
 
 // recorded tells that the view shows a draft as carried out.
-func (l *leader) recorded(d *intentDraft) bool {
-	if d.key == "" {
+func (l *leader) recorded(draft *intentDraft) bool {
+	if draft.key == "" {
 		return false
 	}
-	if d.rental != nil {
-		r := l.c.view.Rentals[d.key]
-		return r != nil && r.Request == d.rental.Request
+	if draft.rental != nil {
+		rental := l.c.view.Rentals[draft.key]
+		return rental != nil && rental.Request == draft.rental.Request
 	}
-	r := l.c.view.Returns[d.key]
-	return r != nil && r.Grant == l.token && slices.Equal(r.Machines, d.ret.Machines)
+	ret := l.c.view.Returns[draft.key]
+	return ret != nil && ret.Grant == l.token && slices.Equal(ret.Machines, draft.ret.Machines)
 }
 
 // open notes that a draft is durable: its outcome is waited for.
-func (l *leader) open(d *intentDraft) {
-	d.span.End("")
-	if d.rental != nil {
-		l.intents.rentals[d.rental.Request] = d.key
-		delete(l.intents.finishedAt, d.key)
+func (l *leader) open(draft *intentDraft) {
+	draft.span.End("")
+	if draft.rental != nil {
+		l.intents.rentals[draft.rental.Request] = draft.key
+		delete(l.intents.finishedAt, draft.key)
 		return
 	}
-	l.intents.returns[d.key] = d.ret.Machines
-}
-
-// freeSlot finds a key for a draft: one whose intent is finished, or a new one.
-func (l *leader) freeSlot(d *intentDraft, taken map[string]bool) string {
-	for k := 0; ; k++ {
-		key := duty.ReturnKey(k)
-		if d.rental != nil {
-			key = duty.RentalKey(k)
-		}
-		if !taken[key] && l.slotFree(key) {
-			return key
-		}
-	}
-}
-
-func (l *leader) slotFree(key string) bool {
-	if r := l.c.view.Rentals[key]; r != nil {
-		at, seen := l.intents.finishedAt[key]
-		return r.State == duty.Refused || r.State == duty.Filled && seen && l.c.now-at >= duty.RetainRental
-	}
-	r := l.c.view.Returns[key]
-	return r == nil || r.State != duty.Open && l.intents.returns[key] == nil
-}
-
-// writeIntents makes the leader's decisions durable, some at a time.
-func (l *leader) writeIntents() {
-	c := l.c
-	if c.busy[laneIntent] || l.resync || c.now < c.pauses[laneIntent] || len(l.intents.queue) == 0 {
-		return
-	}
-	most := min(c.limits.TxnOps, c.duties.intentsAtMost(l.intents.sentAt))
-	if most < 1 {
-		return
-	}
-	txn := &state.Txn{Conditions: []state.Condition{{Path: "grant/" + blockName, Revision: l.token}}}
-	taken := map[string]bool{}
-	names := 0
-	for len(l.intents.queue) > 0 && len(txn.Then) < most && names <= maxTxnMachines {
-		d := l.intents.queue[0]
-		l.intents.queue = l.intents.queue[1:]
-		if l.recorded(d) {
-			l.open(d)
-			continue
-		}
-		if d.key == "" || taken[d.key] || !l.slotFree(d.key) {
-			d.key = l.freeSlot(d, taken)
-		}
-		taken[d.key] = true
-		op := state.Op{Set: d.key}
-		if d.rental != nil {
-			op.Value = *d.rental
-		} else {
-			op.Value = *d.ret
-			names += len(d.ret.Machines)
-		}
-		txn.Conditions = append(txn.Conditions, state.Condition{Path: d.key, Revision: c.view.Revisions[d.key]})
-		txn.Then = append(txn.Then, op)
-		l.intents.inFlight = append(l.intents.inFlight, d)
-	}
-	if len(txn.Then) > 0 {
-		l.intents.sentAt = c.now
-		c.send(laneIntent, msgCommitted{txn: txn, token: l.token})
-	}
-}
-
-// maxTxnMachines keeps a transaction of return intents within the state service's limit.
-const maxTxnMachines = 1000
-
-func (l *leader) intentsCommitted(m msgCommitted) {
-	c := l.c
-	drafts := l.intents.inFlight
-	l.intents.inFlight = nil
-	if m.err == nil && m.res.OK {
-		c.view.Apply(m.txn, m.res.Revision)
-		for _, d := range drafts {
-			l.open(d)
-		}
-		return
-	}
-	// Whether it was carried out is told by the next catch-up.
-	l.intents.queue = append(drafts, l.intents.queue...)
-	switch {
-	case m.lostGrant():
-		slog.Info("fenced write refused", "duty", duty.Reclaiming, "token", l.token, "keys", m.res.Failed)
-		c.stepDown("the grant is not ours any more")
-	case c.writeFailed(m):
-		l.needSync()
-	}
-}
-
-// takeOverIntents takes up what former leaders have decided: nothing more can be written
-// under their grants.
-func (l *leader) takeOverIntents() {
-	view, now := l.c.view, l.c.now
-	for key, r := range view.Returns {
-		for _, machine := range r.Machines {
-			h := l.block.Machines[machine]
-			switch {
-			case r.State != duty.Open:
-				l.machineDeleted(machine)
-			case h != nil:
-				h.Deleting = true
-				l.inventory.pendingDeletions[machine] = deletionSent
-			default:
-				// Nothing is bound to it, and nothing may be: its reports are not answered.
-				l.inventory.deletedAt[machine] = now
-				l.inventory.pendingDeletions[machine] = deletionSent
-			}
-		}
-		if r.State == duty.Open {
-			l.intents.returns[key] = r.Machines
-		}
-	}
-	for key, r := range view.Rentals {
-		switch r.State {
-		case duty.Open:
-			l.intents.rentals[r.Request] = key
-			l.inventory.pendingRentals[r.Request] = requestOf(r)
-		case duty.Filled:
-			l.adopt(r)
-		}
-		if r.State != duty.Open {
-			l.intents.finishedAt[key] = now
-		}
-	}
-}
-
-// adopt takes the machines of a filled rental intent into the fleet.
-func (l *leader) adopt(r *duty.Rental) {
-	l.addRentedMachines(r.Machines, autoscaler.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot})
-}
-
-// takeOutcomes takes note of the outcomes that the view shows.
-func (l *leader) takeOutcomes() {
-	view := l.c.view
-	for request, key := range l.intents.rentals {
-		r := view.Rentals[key]
-		if r == nil || r.Request != request || r.State == duty.Open {
-			continue
-		}
-		delete(l.intents.rentals, request)
-		delete(l.inventory.pendingRentals, request)
-		l.intents.finishedAt[key] = l.c.now
-		l.schedule.runSoon()
-		slog.Info("rented", "request", request, "state", r.State, "type", r.MachineType, "zone", r.Zone, "spot", r.Spot, "machines", r.Machines)
-		if r.State == duty.Refused || len(r.Machines) < r.Count {
-			offer := autoscaler.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot}
-			l.refuseOffer(offer)
-		}
-		l.adopt(r)
-	}
-	for key, machines := range l.intents.returns {
-		r := view.Returns[key]
-		if r == nil || r.State == duty.Open || !slices.Equal(r.Machines, machines) {
-			continue
-		}
-		delete(l.intents.returns, key)
-		for _, machine := range machines {
-			l.machineDeleted(machine)
-		}
-		l.schedule.runSoon()
-	}
+	l.intents.returns[draft.key] = draft.ret.Machines
 }
