--- a/internal/cellrpc/cellrpc.go
+++ b/internal/cellrpc/cellrpc.go
@@ -1,4 +1,4 @@
-// Package cellrpc carries the calls between cells: gRPC, with every message checked
+// Package cellrpc is the transport of calls between cells: gRPC, with every message checked
 // against the rules in cell.proto.
 package cellrpc
 
@@ -41,6 +41,7 @@
 	return v.Validate(m)
 }
 
+// server checks calls and passes them to a handler.
 type server struct {
 	UnimplementedCellServer
 	handler Handler
@@ -62,11 +63,17 @@
 	if !model.IsSetOf(r.GetDone(), spec.Tasks) {
 		return nil, status.Error(codes.InvalidArgument, "done: a task that the job does not have")
 	}
-	a, err := s.handler.Offer(&spill.Offer{Home: r.GetHome(), Token: r.GetToken(), Spec: spec, Done: r.GetDone(), Trace: r.GetTrace()})
+	answer, err := s.handler.Offer(&spill.Offer{Home: r.GetHome(), Token: r.GetToken(), Spec: spec, Done: r.GetDone(), Trace: r.GetTrace()})
 	if err != nil {
 		return nil, asStatus(err)
 	}
-	return &OfferReply{Cell: a.Cell, Refusal: string(a.Refusal), Detail: a.Detail, RetryAfterUs: int64(a.RetryAfter), WorkerLeaseUs: int64(a.WorkerLease)}, nil
+	return &OfferReply{
+		Cell:          answer.Cell,
+		Refusal:       string(answer.Refusal),
+		Detail:        answer.Detail,
+		RetryAfterUs:  int64(answer.RetryAfter),
+		WorkerLeaseUs: int64(answer.WorkerLease),
+	}, nil
 }
 
 func (s *server) Renew(_ context.Context, r *RenewRequest) (*RenewReply, error) {
@@ -74,17 +81,30 @@
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	renewal := &spill.Renewal{Guest: r.GetGuest(), WorkerLease: model.Micros(r.GetWorkerLeaseUs())}
-	for _, j := range r.GetJobs() {
-		renewal.Jobs = append(renewal.Jobs, spill.JobReport{Job: j.GetJob(), Token: j.GetToken(), Returned: j.GetReturned(), Complete: j.GetComplete(),
-			Running: int(j.GetRunning()), Done: j.GetDone()})
-	}
-	a, err := s.handler.Renew(renewal)
+	for _, report := range r.GetJobs() {
+		renewal.Jobs = append(renewal.Jobs, spill.JobReport{
+			Job:      report.GetJob(),
+			Token:    report.GetToken(),
+			Returned: report.GetReturned(),
+			Complete: report.GetComplete(),
+			Running:  int(report.GetRunning()),
+			Done:     report.GetDone(),
+		})
+	}
+	answer, err := s.handler.Renew(renewal)
 	if err != nil {
 		return nil, asStatus(err)
 	}
-	reply := &RenewReply{Home: a.Home, AgeUs: int64(a.Age)}
-	for _, v := range a.Jobs {
-		reply.Jobs = append(reply.Jobs, &Verdict{Job: v.Job, Token: v.Token, Kind: Verdict_Kind(v.Kind), End: v.End, Confirmed: v.Confirmed, LeaseUs: int64(v.Lease)})
+	reply := &RenewReply{Home: answer.Home, AgeUs: int64(answer.Age)}
+	for _, verdict := range answer.Jobs {
+		reply.Jobs = append(reply.Jobs, &Verdict{
+			Job:       verdict.Job,
+			Token:     verdict.Token,
+			Kind:      Verdict_Kind(verdict.Kind),
+			End:       verdict.End,
+			Confirmed: verdict.Confirmed,
+			LeaseUs:   int64(verdict.Lease),
+		})
 	}
 	return reply, nil
 }
@@ -118,8 +138,8 @@
 	return c, nil
 }
 
-// controllerPatience is how long one controller may take.
-const controllerPatience = 800 * time.Millisecond
+// controllerTimeout is how long one controller may take.
+const controllerTimeout = 800 * time.Millisecond
 
 // call asks the controllers in turn, beginning with the one that answered last.
 func (c *Client) call(ctx context.Context, ask func(context.Context, CellClient) error) error {
@@ -129,7 +149,7 @@
 	err := spill.ErrUnreachable
 	for i := range c.controllers {
 		k := (first + i) % len(c.controllers)
-		once, cancel := context.WithTimeout(ctx, controllerPatience)
+		once, cancel := context.WithTimeout(ctx, controllerTimeout)
 		err = ask(once, c.controllers[k])
 		cancel()
 		if err == nil {
@@ -169,15 +189,27 @@
 	if err := c.checkCell(reply, reply.GetCell()); err != nil {
 		return nil, err
 	}
-	return &spill.OfferAnswer{Cell: reply.GetCell(), Refusal: spill.Refusal(reply.GetRefusal()), Detail: reply.GetDetail(),
-		RetryAfter: model.Micros(reply.GetRetryAfterUs()), WorkerLease: model.Micros(reply.GetWorkerLeaseUs())}, nil
+	return &spill.OfferAnswer{
+		Cell:        reply.GetCell(),
+		Refusal:     spill.Refusal(reply.GetRefusal()),
+		Detail:      reply.GetDetail(),
+		RetryAfter:  model.Micros(reply.GetRetryAfterUs()),
+		WorkerLease: model.Micros(reply.GetWorkerLeaseUs()),
+	}, nil
 }
 
 // Renew asks the cell for the right to run what it has lent.
 func (c *Client) Renew(ctx context.Context, r *spill.Renewal) (*spill.RenewalAnswer, error) {
 	request := &RenewRequest{Guest: r.Guest, WorkerLeaseUs: int64(r.WorkerLease)}
-	for _, j := range r.Jobs {
-		request.Jobs = append(request.Jobs, &JobReport{Job: j.Job, Token: j.Token, Returned: j.Returned, Complete: j.Complete, Running: uint32(j.Running), Done: j.Done})
+	for _, report := range r.Jobs {
+		request.Jobs = append(request.Jobs, &JobReport{
+			Job:      report.Job,
+			Token:    report.Token,
+			Returned: report.Returned,
+			Complete: report.Complete,
+			Running:  uint32(report.Running),
+			Done:     report.Done,
+		})
 	}
 	var reply *RenewReply
 	err := c.call(ctx, func(ctx context.Context, rpc CellClient) (err error) {
@@ -191,9 +223,15 @@
 		return nil, err
 	}
 	answer := &spill.RenewalAnswer{Home: reply.GetHome(), Age: model.Micros(reply.GetAgeUs())}
-	for _, v := range reply.GetJobs() {
-		answer.Jobs = append(answer.Jobs, spill.Verdict{Job: v.GetJob(), Token: v.GetToken(), Kind: spill.VerdictKind(v.GetKind()), End: v.GetEnd(),
-			Confirmed: v.GetConfirmed(), Lease: model.Micros(v.GetLeaseUs())})
+	for _, verdict := range reply.GetJobs() {
+		answer.Jobs = append(answer.Jobs, spill.Verdict{
+			Job:       verdict.GetJob(),
+			Token:     verdict.GetToken(),
+			Kind:      spill.VerdictKind(verdict.GetKind()),
+			End:       verdict.GetEnd(),
+			Confirmed: verdict.GetConfirmed(),
+			Lease:     model.Micros(verdict.GetLeaseUs()),
+		})
 	}
 	return answer, nil
 }
--- a/internal/controller/cells.go
+++ b/internal/controller/cells.go
@@ -17,7 +17,7 @@
 	renew(m msgRenewed)
 }
 
-// The messages of spilling.
+// The messages of offloading jobs between cells.
 type (
 	// msgOffered is the end of an offer to another cell.
 	msgOffered struct {
@@ -61,7 +61,7 @@
 // cellPatience is how long a call to another cell may take.
 const cellPatience = 2 * time.Second
 
-// cellIO carries the calls out, each in a goroutine of its own.
+// cellIO sends the calls to other cells, each in a goroutine of its own.
 type cellIO struct {
 	io      *inputOutput
 	clients map[string]*cellrpc.Client
@@ -70,12 +70,12 @@
 func newCellIO(io *inputOutput, policy *spill.Policy) (*cellIO, error) {
 	cells := &cellIO{io: io, clients: map[string]*cellrpc.Client{}}
 	for i := range policy.Neighbours {
-		n := &policy.Neighbours[i]
-		client, err := cellrpc.Dial(n.Cell, n.Controllers)
+		neighbour := &policy.Neighbours[i]
+		client, err := cellrpc.Dial(neighbour.Cell, neighbour.Controllers)
 		if err != nil {
 			return nil, err
 		}
-		cells.clients[n.Cell] = client
+		cells.clients[neighbour.Cell] = client
 	}
 	return cells, nil
 }
@@ -107,30 +107,30 @@
 	}()
 }
 
-// patienceCell is how long another cell's call may wait for the controller actor.
-const patienceCell = 700 * time.Millisecond
+// cellAnswerTimeout is how long another cell's call may wait for the controller actor.
+const cellAnswerTimeout = 700 * time.Millisecond
 
 // Offer answers another cell's offer.
-func (f *front) Offer(o *spill.Offer) (*spill.OfferAnswer, error) {
+func (f *front) Offer(offer *spill.Offer) (*spill.OfferAnswer, error) {
 	reply := make(chan offerReply, 1)
-	r, got := ask(f.mail, msgOffer{o, reply}, reply, patienceCell)
+	answered, got := ask(f.mail, msgOffer{offer, reply}, reply, cellAnswerTimeout)
 	if !got {
 		return nil, spill.ErrUnreachable
 	}
-	return r.answer, r.err
+	return answered.answer, answered.err
 }
 
 // Renew answers another cell's question for the right to run.
 func (f *front) Renew(renewal *spill.Renewal) (*spill.RenewalAnswer, error) {
 	reply := make(chan renewalReply, 1)
-	r, got := ask(f.mail, msgRenewal{renewal, reply}, reply, patienceCell)
+	answered, got := ask(f.mail, msgRenewal{renewal, reply}, reply, cellAnswerTimeout)
 	if !got {
 		return nil, spill.ErrUnreachable
 	}
-	return r.answer, r.err
+	return answered.answer, answered.err
 }
 
-// takeCellMessage takes a message of spilling. Only a holder with authority answers other
+// takeCellMessage takes a message from or about another cell. Only a holder with authority answers other
 // cells.
 func (c *controller) takeCellMessage(m any) {
 	l := c.leading
--- a/internal/controller/spill.go
+++ b/internal/controller/spill.go
@@ -14,58 +14,50 @@
 	"woadweir/internal/tracing"
 )
 
-// Rhythm of spilling.
-const (
-	spillGap       = 100 * model.Millisecond // between two looks at what is lent
-	candidateGap   = 500 * model.Millisecond // between two searches for a job to lend
-	mostUnheard    = 8                       // jobs that were lent and not yet asked for
-	mostUnbegun    = 4                       // jobs taken in the hope of machines, not yet begun
-	refusalQuiet   = 60 * model.Second       // a cloud that refused so long ago may have machines again
-	ownPatience    = 5 * model.Second        // own work that waits for so long keeps others' out
-	refusedPause   = 10 * model.Second       // after which a refused cell may ask again
-	unknownPause   = 600 * model.Second      // a job that the workers did not know is not taken again before
-	recallGap      = model.Second            // between two looks at what home has room for again
-	withholdShare  = 3                       // of a workers' lease, for which answers are withheld
-	renewShare     = 6                       // questions for the right in its lease
-	mostRenewGap   = 1500 * model.Millisecond
-	jobsPerRenewal = 64
-)
-
-// spillChange is a change of a record of spilling that is to be made durable. It is
-// repeated as it is until the view shows it, or it is pointless: a copy of it that got no
-// answer may still be carried out.
-type spillChange struct {
-	value any    // nil: the record is removed
-	job   string // a job of this cell that must not have changed, "": none
-}
+// spillStepPeriod is how often a leader looks at what is lent.
+const spillStepPeriod = 100 * model.Millisecond
 
-// spiller is a leader's part in spilling: what it has lent to other cells and what others
-// have lent to it. It is part of the controller actor.
+// spiller is a leader's part in offloading jobs between cells ("spill"): what it has lent
+// to other cells and what others have lent to it. It is part of the controller actor.
 type spiller struct {
-	l        *leader
-	policy   *spill.Policy // nil: nothing new is lent or taken, what is there drains
-	lendings map[string]*spill.Lending
-	hostings map[string]*spill.Hosting // by key of the record
-	changes  map[string]spillChange    // by key
-	resync   bool                      // a write failed: no further one before a catch-up
-
-	contacts    map[string]*spill.Contact
-	probing     map[string]bool // neighbours that are asked whether they take a job
-	renewals    map[string]*renewalState
-	nextCell    int                     // the neighbour that is asked next
-	reserved    map[string]reservation  // by job
-	unknown     map[string]model.Micros // when workers last did not know a job, by key
-	recallAt    model.Micros
-	refused     map[autoscaler.Offer]model.Micros // when the cloud last had no capacity of it
-	stepAt      model.Micros
-	candidateAt model.Micros
-	complained  map[string]bool // neighbours whose settings do not fit, as logged
+	l       *leader
+	policy  *spill.Policy          // nil: nothing new is lent or taken, what is there drains
+	changes map[string]spillChange // by key of the record
+	resync  bool                   // a write failed: no further one before a catch-up
+	stepAt  model.Micros
+
+	// As a home cell.
+	lendings    map[string]*spill.Lending // by job
+	reserved    map[string]reservation    // by job
+	contacts    map[string]*spill.Contact // by cell
+	probing     map[string]bool           // neighbours that are asked whether they take a job
+	nextCell    int                       // the neighbour that is asked next
+	candidateAt model.Micros              // when a job to be lent was last looked for
+	recallAt    model.Micros              // when a job to be recalled was last looked for
+	misfits     map[string]bool           // neighbours whose workers' lease does not fit, as logged
+
+	// As a guest cell.
+	hostings map[string]*spill.Hosting         // by key of the record
+	renewals map[string]*renewalState          // by home cell
+	unknown  map[string]model.Micros           // when workers last did not know a job, by key of the record
+	refused  map[autoscaler.Offer]model.Micros // when the cloud last had no capacity of it
 }
 
 func newSpiller(l *leader, policy *spill.Policy) *spiller {
-	return &spiller{l: l, policy: policy, lendings: map[string]*spill.Lending{}, hostings: map[string]*spill.Hosting{}, changes: map[string]spillChange{},
-		contacts: map[string]*spill.Contact{}, probing: map[string]bool{}, renewals: map[string]*renewalState{}, complained: map[string]bool{},
-		reserved: map[string]reservation{}, unknown: map[string]model.Micros{}, refused: map[autoscaler.Offer]model.Micros{}}
+	return &spiller{
+		l:        l,
+		policy:   policy,
+		changes:  map[string]spillChange{},
+		lendings: map[string]*spill.Lending{},
+		reserved: map[string]reservation{},
+		contacts: map[string]*spill.Contact{},
+		probing:  map[string]bool{},
+		misfits:  map[string]bool{},
+		hostings: map[string]*spill.Hosting{},
+		renewals: map[string]*renewalState{},
+		unknown:  map[string]model.Micros{},
+		refused:  map[autoscaler.Offer]model.Micros{},
+	}
 }
 
 // enabled tells whether jobs may be lent and taken: the operators want it, every
@@ -107,7 +99,7 @@
 // step does what is due.
 func (s *spiller) step() {
 	c := s.l.c
-	if s.policy == nil && len(s.lendings)+len(s.hostings)+len(c.view.LentOut) == 0 || c.now-s.stepAt < spillGap {
+	if s.policy == nil && len(s.lendings)+len(s.hostings)+len(c.view.LentOut) == 0 || c.now-s.stepAt < spillStepPeriod {
 		return
 	}
 	s.stepAt = c.now
@@ -120,88 +112,6 @@
 	s.write()
 }
 
-// want has a change made durable, in the place of an earlier one of the same record.
-func (s *spiller) want(key string, change spillChange) { s.changes[key] = change }
-
-// write sends the changes that are due, one transaction at a time. Each is guarded by the
-// grant and by the record's own revision, and a lending by that of the job: a job that
-// has ended is never lent.
-func (s *spiller) write() {
-	c := s.l.c
-	if c.busy[laneSpill] || s.resync || c.now < c.pauses[laneSpill] || len(s.changes) == 0 {
-		return
-	}
-	n := min(c.limits.TxnOps, c.budget.Left(c.now))
-	txn := &state.Txn{Conditions: []state.Condition{{Path: "grant/" + blockName, Revision: s.l.token}}}
-	for _, key := range sortedKeys(s.changes) {
-		change := s.changes[key]
-		if s.settled(key, change) {
-			delete(s.changes, key)
-			s.recordNews(key)
-			continue
-		}
-		if len(txn.Then) >= n {
-			break
-		}
-		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: c.view.Revisions[key]})
-		if change.job != "" {
-			txn.Conditions = append(txn.Conditions, state.Condition{Path: jobPrefix + change.job, Revision: c.view.Revisions[jobPrefix+change.job]})
-		}
-		if change.value == nil {
-			txn.Then = append(txn.Then, state.Op{Drop: key})
-		} else {
-			txn.Then = append(txn.Then, state.Op{Set: key, Value: change.value})
-		}
-	}
-	if len(txn.Then) > 0 {
-		c.send(laneSpill, msgCommitted{txn: txn, token: s.l.token})
-	}
-}
-
-// settled tells that a change stands in the view, or that it is pointless.
-func (s *spiller) settled(key string, change spillChange) bool {
-	view := s.l.c.view
-	if change.job != "" {
-		if _, ended := view.Final(change.job); ended {
-			return true
-		}
-	}
-	switch value := change.value.(type) {
-	case spill.OutRecord:
-		record := view.LentOut[strings.TrimPrefix(key, spill.OutPrefix)]
-		return record != nil && *record == value
-	case spill.InRecord:
-		record := view.LentIn[key]
-		return record != nil && record.Token == value.Token && record.State == value.State
-	default:
-		_, exists := view.Revisions[key]
-		return !exists
-	}
-}
-
-// committed takes the end of a transaction.
-func (s *spiller) committed(m msgCommitted) {
-	c := s.l.c
-	if m.err == nil && m.res.OK {
-		c.view.Apply(m.txn, m.res.Revision)
-		for _, op := range m.txn.Then {
-			key := op.Set + op.Drop // one of them is empty
-			if change, pending := s.changes[key]; pending && s.settled(key, change) {
-				delete(s.changes, key)
-			}
-			s.recordNews(key)
-		}
-		return
-	}
-	if m.lostGrant() {
-		c.stepDown("the grant is not ours any more")
-		return
-	}
-	if c.writeFailed(m) {
-		c.needSync(&s.resync)
-	}
-}
-
 // recordNews takes what the view says of a record of spilling.
 func (s *spiller) recordNews(key string) {
 	if job, out := strings.CutPrefix(key, spill.OutPrefix); out {
--- /dev/null
+++ b/internal/controller/spill_changes.go
@@ -0,0 +1,98 @@
+package controller
+
+import (
+	"strings"
+
+	"woadweir/internal/spill"
+	"woadweir/internal/state"
+)
+
+// spillChange is a change of a record of spilling that is to be made durable. It is
+// repeated as it is until the view shows it, or it is pointless: a copy of it that got no
+// answer may still be carried out.
+type spillChange struct {
+	value any    // nil: the record is removed
+	job   string // a job of this cell that must not have changed, "": none
+}
+
+// want has a change made durable, in the place of an earlier one of the same record.
+func (s *spiller) want(key string, change spillChange) { s.changes[key] = change }
+
+// write sends the changes that are due, one transaction at a time. Each is guarded by the
+// grant and by the record's own revision, and a lending by that of the job: a job that
+// has ended is never lent.
+func (s *spiller) write() {
+	c := s.l.c
+	if c.busy[laneSpill] || s.resync || c.now < c.pauses[laneSpill] || len(s.changes) == 0 {
+		return
+	}
+	limit := min(c.limits.TxnOps, c.budget.Left(c.now))
+	txn := &state.Txn{Conditions: []state.Condition{{Path: "grant/" + blockName, Revision: s.l.token}}}
+	for _, key := range sortedKeys(s.changes) {
+		change := s.changes[key]
+		if s.settled(key, change) {
+			delete(s.changes, key)
+			s.recordNews(key)
+			continue
+		}
+		if len(txn.Then) >= limit {
+			break
+		}
+		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: c.view.Revisions[key]})
+		if change.job != "" {
+			txn.Conditions = append(txn.Conditions, state.Condition{Path: jobPrefix + change.job, Revision: c.view.Revisions[jobPrefix+change.job]})
+		}
+		if change.value == nil {
+			txn.Then = append(txn.Then, state.Op{Drop: key})
+		} else {
+			txn.Then = append(txn.Then, state.Op{Set: key, Value: change.value})
+		}
+	}
+	if len(txn.Then) > 0 {
+		c.send(laneSpill, msgCommitted{txn: txn, token: s.l.token})
+	}
+}
+
+// settled tells that a change stands in the view, or that it is pointless.
+func (s *spiller) settled(key string, change spillChange) bool {
+	view := s.l.c.view
+	if change.job != "" {
+		if _, ended := view.Final(change.job); ended {
+			return true
+		}
+	}
+	switch value := change.value.(type) {
+	case spill.OutRecord:
+		record := view.LentOut[strings.TrimPrefix(key, spill.OutPrefix)]
+		return record != nil && *record == value
+	case spill.InRecord:
+		record := view.LentIn[key]
+		return record != nil && record.Token == value.Token && record.State == value.State
+	default:
+		_, exists := view.Revisions[key]
+		return !exists
+	}
+}
+
+// committed takes the end of a transaction of spill records.
+func (s *spiller) committed(m msgCommitted) {
+	c := s.l.c
+	if m.err == nil && m.res.OK {
+		c.view.Apply(m.txn, m.res.Revision)
+		for _, op := range m.txn.Then {
+			key := op.Set + op.Drop // one of them is empty
+			if change, pending := s.changes[key]; pending && s.settled(key, change) {
+				delete(s.changes, key)
+			}
+			s.recordNews(key)
+		}
+		return
+	}
+	if m.lostGrant() {
+		c.stepDown("the grant is not ours any more")
+		return
+	}
+	if c.writeFailed(m) {
+		c.needSync(&s.resync)
+	}
+}
--- a/internal/duty/cleaner.go
+++ b/internal/duty/cleaner.go
@@ -29,45 +29,46 @@
 }
 
 // UnneededIntent makes the slot of a finished intent a candidate for removal.
-func UnneededIntent(key string, stamp uint64) Unneeded {
-	return Unneeded{Removal{key, stamp}, retainIntent}
+func UnneededIntent(key string, revision uint64) Unneeded {
+	return Unneeded{Removal{key, revision}, retainIntent}
 }
 
 // UnneededBundle makes an unused bundle a candidate for removal.
-func UnneededBundle(key string, stamp uint64) Unneeded {
-	return Unneeded{Removal{key, stamp}, retainBundle}
+func UnneededBundle(key string, revision uint64) Unneeded {
+	return Unneeded{Removal{key, revision}, retainBundle}
 }
 
 // firstSight is when a candidate was first seen in its present revision.
 type firstSight struct {
-	stamp uint64
-	at    model.Micros
+	revision uint64
+	at       model.Micros
 }
 
-// Cleaner chooses what to remove. Its memory is only of what it has seen itself, so a new
-// holder of the duty begins to count anew.
+// Cleaner chooses which keys to remove. It remembers only what it has seen itself, so a
+// new holder of the duty begins to count anew.
 type Cleaner struct{ seen map[string]firstSight }
 
 // NewCleaner makes a cleaner that has seen nothing.
 func NewCleaner() *Cleaner { return &Cleaner{seen: map[string]firstSight{}} }
 
-// Plan gives at most so many removals among what is unneeded now, the longest known first.
-func (c *Cleaner) Plan(now model.Micros, unneeded []Unneeded, most int) []Removal {
+// Plan chooses at most so many of the keys that have stood unneeded for long enough, the
+// longest known first.
+func (c *Cleaner) Plan(now model.Micros, unneeded []Unneeded, limit int) []Removal {
 	seen := make(map[string]firstSight, len(unneeded))
-	var ripe []Removal
+	var removals []Removal
 	for _, u := range unneeded {
 		first, known := c.seen[u.Key]
-		if !known || first.stamp != u.Revision {
+		if !known || first.revision != u.Revision {
 			first = firstSight{u.Revision, now}
 		}
 		seen[u.Key] = first
 		if now-first.at >= u.Retain {
-			ripe = append(ripe, u.Removal)
+			removals = append(removals, u.Removal)
 		}
 	}
 	c.seen = seen
-	slices.SortFunc(ripe, func(a, b Removal) int {
+	slices.SortFunc(removals, func(a, b Removal) int {
 		return cmp.Or(cmp.Compare(seen[a.Key].at, seen[b.Key].at), cmp.Compare(a.Key, b.Key))
 	})
-	return ripe[:min(len(ripe), max(0, most))]
+	return removals[:min(len(removals), max(0, limit))]
 }
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -125,19 +125,20 @@
 const (
 	intentOverhead   = 320
 	machineNameBytes = 26  // with quotes and a comma
-	rentAtMost       = 50  // the cloud's limit of a rental
-	returnAtMost     = 100 // the cloud's limit of a deletion
+	maxRental        = 50  // the cloud's limit of a rental
+	maxReturn        = 100 // the cloud's limit of a deletion
 )
 
 // RentAtMost is how many machines a rental intent may ask for, so that their names fit
 // into a value of the state service.
-func RentAtMost(valueBytes int) int { return namesThatFit(valueBytes, rentAtMost) }
+func RentAtMost(valueBytes int) int { return namesThatFit(valueBytes, maxRental) }
 
 // ReturnAtMost is how many machines a return intent may name.
-func ReturnAtMost(valueBytes int) int { return namesThatFit(valueBytes, returnAtMost) }
+func ReturnAtMost(valueBytes int) int { return namesThatFit(valueBytes, maxReturn) }
 
-func namesThatFit(valueBytes, most int) int {
-	return max(1, min(most, (valueBytes-intentOverhead)/machineNameBytes))
+// namesThatFit is how many machines' names fit into a value, one at least.
+func namesThatFit(valueBytes, limit int) int {
+	return max(1, min(limit, (valueBytes-intentOverhead)/machineNameBytes))
 }
 
 // RetainRental is how long the record of a finished rental intent is kept before its slot
--- a/internal/duty/keeper.go
+++ b/internal/duty/keeper.go
@@ -10,9 +10,9 @@
 // Times of a keeper.
 const (
 	acquireStagger  = 500 * model.Millisecond // each further controller of the order waits so much longer
-	cloudFailure    = 10 * model.Second       // without an answer of the cloud, at first
-	maxDoublings    = 5                       // of such times
-	avoidanceMemory = 10                      // in pauses: later failures count from one again
+	cloudFailure    = 10 * model.Second       // without an answer of the cloud before a first hand-over
+	maxDoublings    = 5                       // of cloudFailure and of the policy's cooldown
+	avoidanceMemory = 10                      // in cooldowns: failures after that count from one again
 )
 
 // Node is a live controller.
@@ -72,7 +72,13 @@
 
 // NewKeeper makes a keeper that holds nothing.
 func NewKeeper(policy *Policy) *Keeper {
-	return &Keeper{policy: policy, vacantSince: map[Name]model.Micros{}, heldSince: map[Name]model.Micros{}, heldToken: map[Name]uint64{}, last: map[Name]Held{}}
+	return &Keeper{
+		policy:      policy,
+		vacantSince: map[Name]model.Micros{},
+		heldSince:   map[Name]model.Micros{},
+		heldToken:   map[Name]uint64{},
+		last:        map[Name]Held{},
+	}
 }
 
 // Holds tells whether this controller holds a duty, and under which token.
@@ -137,6 +143,7 @@
 	return order
 }
 
+// avoided ranks controllers: 1 if one is to be avoided now, else 0.
 func avoided(s *Situation, avoid map[string]Avoidance, node string) int {
 	if s.WallMs < avoid[node].UntilMs {
 		return 1
@@ -158,16 +165,24 @@
 	return Action{Kind: Acquire, Name: name, Lease: lease}, true
 }
 
+// unfitReason is why this controller can't perform a duty that it holds, ReasonNone if it can.
+func (k *Keeper) unfitReason(s *Situation, name Name) Reason {
+	if name.NeedsCloud() && s.CloudFailingSince != 0 {
+		failing := s.Now - max(s.CloudFailingSince, k.heldSince[name])
+		if failing >= k.cloudPatience(s, s.Leases[name].Avoid) {
+			return ReasonNoCloud
+		}
+	}
+	if s.Overloaded {
+		return ReasonOverloaded
+	}
+	return ReasonNone
+}
+
 // handOver proposes to pass a duty on to a controller that can or should hold it.
 func (k *Keeper) handOver(s *Situation, name Name) (Action, bool) {
 	held := s.Leases[name]
-	why := ReasonNone
-	switch {
-	case name.NeedsCloud() && s.CloudFailingSince != 0 && s.Now-max(s.CloudFailingSince, k.heldSince[name]) >= k.cloudPatience(s, held.Avoid):
-		why = ReasonNoCloud
-	case s.Overloaded:
-		why = ReasonOverloaded
-	}
+	why := k.unfitReason(s, name)
 	for _, node := range k.order(s, name, held.Avoid) {
 		if avoided(s, held.Avoid, node) != 0 {
 			break
@@ -197,6 +212,8 @@
 	return cloudFailure << min(times, maxDoublings)
 }
 
+// passTo is the hand-over to a successor. A holder that could not perform the duty is
+// avoided for a while.
 func (k *Keeper) passTo(s *Situation, name Name, successor Node, why Reason) Action {
 	held := s.Leases[name]
 	avoid := k.stillAvoided(s, held.Avoid)
@@ -210,8 +227,16 @@
 		pause := k.policy.Cooldown << min(times-1, maxDoublings)
 		avoid[s.Self] = Avoidance{UntilMs: s.WallMs + int64(pause/model.Millisecond), Times: times}
 	}
-	return Action{Kind: HandOver, Name: name, Token: held.Token, Successor: successor,
-		Lease: Lease{Holder: successor.Name, Session: successor.Session, SinceMs: s.WallMs, Previous: s.Self, PreviousToken: held.Token, Why: why, Avoid: avoid}}
+	lease := Lease{
+		Holder:        successor.Name,
+		Session:       successor.Session,
+		SinceMs:       s.WallMs,
+		Previous:      s.Self,
+		PreviousToken: held.Token,
+		Why:           why,
+		Avoid:         avoid,
+	}
+	return Action{Kind: HandOver, Name: name, Token: held.Token, Successor: successor, Lease: lease}
 }
 
 // stillAvoided are the avoidances that still matter: those in force, and those so recent
--- a/internal/duty/keeper_test.go
+++ b/internal/duty/keeper_test.go
@@ -89,7 +89,7 @@
 // keeps it.
 func TestHandOverAfterFailure(t *testing.T) {
 	kt := newKeeperTest(t)
-	kt.k.policy.Settle = mostSettleS * model.Second // no controller is preferred meanwhile
+	kt.k.policy.Settle = maxSettleS * model.Second // no controller is preferred meanwhile
 	pause := int64(0)
 	for round := range 3 {
 		kt.held("a", 7, uint64(50+round))
@@ -163,7 +163,7 @@
 			}
 		}
 	}
-	if RentAtMost(32*960) != rentAtMost || ReturnAtMost(32*960) != returnAtMost || RentAtMost(0) != 1 {
+	if RentAtMost(32*960) != maxRental || ReturnAtMost(32*960) != maxReturn || RentAtMost(0) != 1 {
 		t.Error("not as many as the cloud takes")
 	}
 }
--- a/internal/duty/policy.go
+++ b/internal/duty/policy.go
@@ -40,9 +40,9 @@
 const (
 	defaultSettleS   = 30
 	defaultCooldownS = 60
-	mostSettleS      = 3600
-	mostCooldownS    = 3600
-	leastLeaseS      = 2 // a shorter session does not outlive one lost request
+	maxSettleS       = 3600
+	maxCooldownS     = 3600
+	minLeaseS        = 2 // a shorter session does not outlive one lost request
 )
 
 // FieldError is a setting that is wrong.
@@ -85,63 +85,49 @@
 	policy.Settle, policy.Cooldown, policy.Lease = model.Seconds(s.SettleS), model.Seconds(s.CooldownS), model.Seconds(s.LeaseS)
 	seen := map[Name]bool{}
 	for i := range s.Duties {
-		d := &s.Duties[i]
-		if seen[Name(d.Name)] {
-			return nil, &FieldError{"duty " + d.Name, "named twice"}
+		entry := &s.Duties[i]
+		if seen[Name(entry.Name)] {
+			return nil, &FieldError{"duty " + entry.Name, "named twice"}
 		}
-		seen[Name(d.Name)] = true
-		if err := policy.add(d, nodes); err != nil {
+		seen[Name(entry.Name)] = true
+		if err := policy.add(entry, nodes); err != nil {
 			return nil, err
 		}
 	}
 	return policy, nil
 }
 
+// checkTimes checks the times of the file.
 func (s *Settings) checkTimes(longest model.Micros) error {
 	switch {
-	case !(s.SettleS >= 1 && s.SettleS <= mostSettleS):
-		return &FieldError{"settle-s", fmt.Sprintf("%v is not between 1 and %v", s.SettleS, mostSettleS)}
-	case !(s.CooldownS >= 1 && s.CooldownS <= mostCooldownS):
-		return &FieldError{"cooldown-s", fmt.Sprintf("%v is not between 1 and %v", s.CooldownS, mostCooldownS)}
+	case !(s.SettleS >= 1 && s.SettleS <= maxSettleS):
+		return &FieldError{"settle-s", fmt.Sprintf("%v is not between 1 and %v", s.SettleS, maxSettleS)}
+	case !(s.CooldownS >= 1 && s.CooldownS <= maxCooldownS):
+		return &FieldError{"cooldown-s", fmt.Sprintf("%v is not between 1 and %v", s.CooldownS, maxCooldownS)}
 	case s.LeaseS == 0:
 		return nil
-	case !(s.LeaseS >= leastLeaseS):
-		return &FieldError{"lease-s", fmt.Sprintf("%v is shorter than is useful: one lost request would end it; at least %v", s.LeaseS, leastLeaseS)}
+	case !(s.LeaseS >= minLeaseS):
+		return &FieldError{"lease-s", fmt.Sprintf("%v is shorter than is useful: one lost request would end it; at least %v", s.LeaseS, minLeaseS)}
 	case model.Seconds(s.LeaseS) > longest:
 		return &FieldError{"lease-s", fmt.Sprintf("%v is longer than is safe with these settings; at most %v", s.LeaseS, longest.Seconds())}
 	}
 	return nil
 }
 
-// add checks what the file says of a duty and takes it into the policy.
-func (p *Policy) add(d *Entry, nodes []string) error {
-	field, name := "duty "+d.Name, Name(d.Name)
+// add checks what the file says of a duty and adds it to the policy.
+func (p *Policy) add(entry *Entry, nodes []string) error {
+	field, name := "duty "+entry.Name, Name(entry.Name)
 	if name == Reclaiming {
 		return &FieldError{field, "stays with the holder of the machines' block and can't be placed"}
 	}
 	if !slices.Contains(Movable, name) {
 		return &FieldError{field, "unknown duty"}
 	}
-	place := Place(d.Place)
-	switch {
-	case place == "" && len(d.Prefer) > 0:
-		place = PlaceListed
-	case place == "":
-		place = PlaceLeader
+	place := entry.place()
+	if err := entry.checkPlace(field, place); err != nil {
+		return err
 	}
-	switch place {
-	case PlaceLeader, PlaceSpread:
-		if len(d.Prefer) > 0 {
-			return &FieldError{field, fmt.Sprintf("place %q names no controllers, but some are preferred", place)}
-		}
-	case PlaceListed:
-		if len(d.Prefer) == 0 {
-			return &FieldError{field, "nobody may hold it: place \"listed\" without a preferred controller"}
-		}
-	default:
-		return &FieldError{field, fmt.Sprintf("unknown place %q", d.Place)}
-	}
-	for _, prefer := range d.Prefer {
+	for _, prefer := range entry.Prefer {
 		node := strings.TrimSpace(prefer)
 		if !slices.Contains(nodes, node) {
 			return &FieldError{field, fmt.Sprintf("unknown controller %q", node)}
@@ -155,6 +141,34 @@
 	return nil
 }
 
+// place is the place that the file gives or implies.
+func (e *Entry) place() Place {
+	switch {
+	case e.Place != "":
+		return Place(e.Place)
+	case len(e.Prefer) > 0:
+		return PlaceListed
+	}
+	return PlaceLeader
+}
+
+// checkPlace checks that a duty's place is known and agrees with the preferred controllers.
+func (e *Entry) checkPlace(field string, place Place) error {
+	switch place {
+	case PlaceLeader, PlaceSpread:
+		if len(e.Prefer) > 0 {
+			return &FieldError{field, fmt.Sprintf("place %q names no controllers, but some are preferred", place)}
+		}
+	case PlaceListed:
+		if len(e.Prefer) == 0 {
+			return &FieldError{field, "nobody may hold it: place \"listed\" without a preferred controller"}
+		}
+	default:
+		return &FieldError{field, fmt.Sprintf("unknown place %q", e.Place)}
+	}
+	return nil
+}
+
 // Order lists the candidates for a duty, the preferred ones first. The leader comes last
 // where it is not preferred, as it has the most to do.
 func (p *Policy) Order(name Name, candidates []string, leader string) []string {
--- a/internal/spill/lending.go
+++ b/internal/spill/lending.go
@@ -4,7 +4,7 @@
 
 // Times of a lending at home.
 const (
-	offerGap      = 2 * model.Second  // between two offers without an answer
+	offerPeriod   = 2 * model.Second  // between two offers without an answer
 	offerPatience = 12 * model.Second // an offer of which nothing is heard is given up
 	recallAfter   = 5 * model.Second  // a job is not recalled right after it was lent
 )
@@ -22,13 +22,13 @@
 	since      model.Micros
 	offeredAt  model.Micros
 	offered    bool
-	heard      bool // the guest has asked
-	running    bool // the guest told that tasks are on machines, or done
-	tasks      int  // on machines, as it told last
+	heard      bool // the guest has asked for the right
+	running    bool // the guest has reported tasks on machines, or done
+	tasks      int  // on machines, as the guest reported last
 	refused    bool
 	recalled   bool
 	takingBack bool
-	returned   bool // the guest has told so
+	returned   bool // the guest has reported that nothing is left there
 }
 
 // NewLending is a lending that this holder has just made durable.
@@ -44,7 +44,7 @@
 
 // OfferDue tells that the job is to be offered now, and notes that it is.
 func (l *Lending) OfferDue(now model.Micros) bool {
-	if l.heard || l.refused || l.takingBack || l.offered && now-l.offeredAt < offerGap {
+	if l.heard || l.refused || l.takingBack || l.offered && now-l.offeredAt < offerPeriod {
 		return false
 	}
 	l.offered, l.offeredAt = true, now
@@ -59,7 +59,7 @@
 	}
 }
 
-// Recall asks the guest to return the job, if it has not begun.
+// Recall has the guest asked to return the job, if it has not begun.
 func (l *Lending) Recall(now model.Micros) {
 	if !l.running && now-l.since >= recallAfter {
 		l.recalled = true
@@ -113,7 +113,7 @@
 // ReturnReason tells why a job is taken back.
 type ReturnReason string
 
-// The reasons.
+// The reasons for which a job is taken back.
 const (
 	GuestReturned ReturnReason = "returned by the guest"
 	GuestRefused  ReturnReason = "refused"
@@ -121,7 +121,7 @@
 	GuestSilent   ReturnReason = "silent, and its leases are over"
 )
 
-// TakeBack tells whether there is proof that nothing of the job is on the guest's
+// TakeBack reports whether there is proof that nothing of the job is on the guest's
 // machines or can ever start there under this token. From then on the right is not granted
 // any more, so the proof stands.
 func (l *Lending) TakeBack(now model.Micros) (ReturnReason, bool) {
--- a/internal/spill/model_test.go
+++ b/internal/spill/model_test.go
@@ -228,12 +228,12 @@
 	if m.guest == nil || m.in == nil {
 		return
 	}
-	m.guest.Consider(12*model.Second, m.now)
+	m.guest.ReturnUnlessBegun(12*model.Second, m.now)
 	switch {
 	case m.running:
 	case m.guest.Forgettable():
 		m.in, m.guest = nil, nil
-	case m.guest.GivingBack() && !m.guest.IsReturned() && !m.guest.IsOver():
+	case m.guest.ReturnRequested() && !m.guest.IsReturned() && !m.guest.IsOver():
 		m.in.State = Returned
 		m.guest.SetReturned()
 	}
--- a/internal/spill/settings.go
+++ b/internal/spill/settings.go
@@ -11,16 +11,16 @@
 
 // Defaults and bounds of the spill file.
 const (
-	defaultWaitS     = 30
-	defaultLeaseS    = 10
-	defaultStayS     = 60
-	defaultStartS    = 30
-	defaultMostLent  = 64
-	mostSeconds      = 3600
-	leastLeaseS      = 3 // a shorter right does not outlive one lost question
-	mostLentAtAll    = 100_000
-	longestCellName  = 63
-	cellNameAlphabet = "abcdefghijklmnopqrstuvwxyz0123456789-"
+	defaultWaitS      = 30
+	defaultLeaseS     = 10
+	defaultStayS      = 60
+	defaultStartS     = 30
+	defaultMostLent   = 64
+	maxSeconds        = 3600
+	minLeaseS         = 3 // a shorter right does not outlive one lost question
+	maxLentLimit      = 100_000
+	maxCellNameLength = 63
+	cellNameAlphabet  = "abcdefghijklmnopqrstuvwxyz0123456789-"
 )
 
 // unknownElement is an element that the spill file does not have.
@@ -110,8 +110,8 @@
 	switch {
 	case name == "":
 		return &FieldError{field, "missing"}
-	case len(name) > longestCellName || strings.Trim(name, cellNameAlphabet) != "":
-		return &FieldError{field, fmt.Sprintf("%q is not made of small letters, digits and hyphens, at most %d", name, longestCellName)}
+	case len(name) > maxCellNameLength || strings.Trim(name, cellNameAlphabet) != "":
+		return &FieldError{field, fmt.Sprintf("%q is not made of small letters, digits and hyphens, at most %d", name, maxCellNameLength)}
 	}
 	return nil
 }
@@ -155,11 +155,11 @@
 		span             *model.Micros
 		count            *float64
 	}{
-		{"wait-s", s.WaitS, defaultWaitS, 1, mostSeconds, &p.Wait, nil},
-		{"lease-s", s.LeaseS, defaultLeaseS, leastLeaseS, mostSeconds, &p.Lease, nil},
-		{"stay-s", s.StayS, defaultStayS, 1, mostSeconds, &p.Stay, nil},
-		{"start-s", s.StartS, defaultStartS, 1, mostSeconds, &p.Start, nil},
-		{"most-lent", s.MostLent, defaultMostLent, 1, mostLentAtAll, nil, &mostLent},
+		{"wait-s", s.WaitS, defaultWaitS, 1, maxSeconds, &p.Wait, nil},
+		{"lease-s", s.LeaseS, defaultLeaseS, minLeaseS, maxSeconds, &p.Lease, nil},
+		{"stay-s", s.StayS, defaultStayS, 1, maxSeconds, &p.Stay, nil},
+		{"start-s", s.StartS, defaultStartS, 1, maxSeconds, &p.Start, nil},
+		{"most-lent", s.MostLent, defaultMostLent, 1, maxLentLimit, nil, &mostLent},
 	}
 	for _, n := range numbers {
 		if len(n.values) > 1 {
--- a/internal/spill/settings_test.go
+++ b/internal/spill/settings_test.go
@@ -52,7 +52,7 @@
 		t.Errorf("asked %d times in 600 s of failures", asked)
 	}
 	c.Answered(0, now)
-	if now += mostBackoff + mostBackoff/2; !c.Ready(now) {
+	if now += maxBackoff + maxBackoff/2; !c.Ready(now) {
 		t.Error("not asked again after an answer")
 	}
 	c.Answered(3*model.Second, now)
--- a/internal/spill/spill.go
+++ b/internal/spill/spill.go
@@ -1,5 +1,5 @@
-// Package spill decides how waiting jobs are lent to other cells of the same operator
-// and come back. A cell is a deployment of its own: controllers, state service, cloud and
+// Package spill decides how waiting jobs are offloaded to other cells of the same
+// operator, under a lease, and come back. A cell is a deployment of its own: controllers, state service, cloud and
 // workers. The package does no input or output; docs/spill.md has the design and the
 // safety argument.
 package spill
