--- a/internal/controller/hosting.go
+++ b/internal/controller/hosting.go
@@ -21,15 +21,15 @@
 func (s *spiller) takeIn(key string) {
 	l := s.l
 	record := l.c.view.LentIn[key]
-	job := jobOf(key)
-	if js := l.block.Jobs[job]; js != nil && js.HomeCell != record.Home {
+	jobID := jobOf(key)
+	if job := l.block.Jobs[jobID]; job != nil && job.HomeCell != record.Home {
 		// A job of this cell or of another by that name became known a moment before: nothing
 		// of this one is here, and home takes it back as it is not asked for it.
 		s.want(key, spillChange{})
 		return
 	}
 	s.hostings[key] = spill.NewHosting(record, l.c.now)
-	if l.block.Jobs[job] == nil {
+	if l.block.Jobs[jobID] == nil {
 		guest := record.Spec.Job(l.c.view.Revisions[key])
 		guest.Priority = model.LowPriority // this cell's own work comes first
 		l.block.AddGuest(guest, record.Home, model.SetOf(record.Done), l.c.now)
@@ -54,20 +54,20 @@
 
 // guestJob is the block's job that a record stands for, nil if it is gone or another's.
 func (s *spiller) guestJob(key string) *model.JobState {
-	js := s.l.block.Jobs[jobOf(key)]
-	if js == nil || js.HomeCell != s.hostings[key].Home {
+	job := s.l.block.Jobs[jobOf(key)]
+	if job == nil || job.HomeCell != s.hostings[key].Home {
 		return nil
 	}
-	return js
+	return job
 }
 
 // isGuest tells whether a job's name stands for one that another cell has lent.
-func (s *spiller) isGuest(job string) bool {
-	if js := s.l.block.Jobs[job]; js != nil {
-		return js.HomeCell != ""
+func (s *spiller) isGuest(jobID string) bool {
+	if job := s.l.block.Jobs[jobID]; job != nil {
+		return job.HomeCell != ""
 	}
 	for key := range s.hostings {
-		if jobOf(key) == job {
+		if jobOf(key) == jobID {
 			return true
 		}
 	}
@@ -83,19 +83,19 @@
 // called before every decision and every answer to a worker.
 func (s *spiller) applyRights() {
 	for key, hosting := range s.hostings {
-		js := s.guestJob(key)
-		if js == nil {
+		job := s.guestJob(key)
+		if job == nil {
 			continue
 		}
 		switch hosting.Phase(s.withhold(), s.l.c.now) {
 		case spill.MayRun:
-			s.l.block.Resume(js)
+			s.l.block.Resume(job)
 		case spill.Withheld:
-			js.Suspended = true
+			job.Suspended = true
 		case spill.Stopped:
-			s.l.block.Suspend(js, "no right to run it for "+hosting.Home, s.l.c.now)
+			s.l.block.Suspend(job, "no right to run it for "+hosting.Home, s.l.c.now)
 		}
-		if len(js.Bindings) > 0 {
+		if len(job.Bindings) > 0 {
 			hosting.Begun()
 		}
 	}
@@ -123,12 +123,12 @@
 func (s *spiller) stepHostings() {
 	l := s.l
 	for _, key := range sortedKeys(s.hostings) {
-		hosting, job := s.hostings[key], jobOf(key)
-		js := s.guestJob(key)
-		bound := js != nil && len(js.Bindings) > 0
+		hosting, jobID := s.hostings[key], jobOf(key)
+		job := s.guestJob(key)
+		bound := job != nil && len(job.Bindings) > 0
 		if hosting.IsOver() || s.orphaned(hosting) {
-			if js != nil {
-				l.block.EndJob(job, "over", l.c.now)
+			if job != nil {
+				l.block.EndJob(jobID, "over", l.c.now)
 			}
 			if !bound && (hosting.Forgettable() || s.orphaned(hosting)) {
 				s.want(key, spillChange{})
@@ -138,7 +138,7 @@
 		if s.policy != nil {
 			hosting.ReturnUnlessBegun(s.policy.Start, l.c.now)
 		}
-		if js != nil && js.UnknownToWorkers {
+		if job != nil && job.UnknownToWorkers {
 			s.noteUnknown(key)
 			hosting.RequestReturn()
 		}
--- a/internal/controller/hosting_offers.go
+++ b/internal/controller/hosting_offers.go
@@ -58,8 +58,8 @@
 
 // whyNot tells why a job is not taken, and more about it for logs.
 func (s *spiller) whyNot(offer *spill.Offer) (spill.Refusal, string) {
-	c, block, job := s.l.c, s.l.block, offer.Spec.ID
-	key := spill.InKey(offer.Home, job)
+	c, block, jobID := s.l.c, s.l.block, offer.Spec.ID
+	key := spill.InKey(offer.Home, jobID)
 	if !s.enabled() || !s.policy.Knows(offer.Home) {
 		return spill.Disabled, "not set up to take jobs of " + offer.Home
 	}
@@ -69,10 +69,10 @@
 	if s.stale(key, offer.Token) {
 		return spill.Stale, ""
 	}
-	if c.view.Known(job) {
+	if c.view.Known(jobID) {
 		return spill.OwnJob, ""
 	}
-	if s.isGuest(job) {
+	if s.isGuest(jobID) {
 		return spill.Stale, "lent by another cell"
 	}
 	spec := offer.Spec.Job(0)
@@ -105,7 +105,7 @@
 // stale tells that an earlier lending of a job is not gone yet, or that a later one than
 // that under the token is known.
 func (s *spiller) stale(key string, token uint64) bool {
-	if js := s.l.block.Jobs[jobOf(key)]; js != nil && js.HomeCell != "" {
+	if job := s.l.block.Jobs[jobOf(key)]; job != nil && job.HomeCell != "" {
 		return true
 	}
 	hosting := s.hostings[key]
@@ -121,7 +121,7 @@
 func (s *spiller) canServe(offer *spill.Offer, spec *model.Job) bool {
 	c := s.l.c
 	done := model.SetOf(offer.Done)
-	js := &model.JobState{Job: spec, Done: done}
+	job := &model.JobState{Job: spec, Done: done}
 	minTasks := 1
 	if spec.Kind == model.Gang {
 		minTasks = spec.Tasks
@@ -138,7 +138,7 @@
 	if unbegun >= maxUnbegun {
 		return false
 	}
-	if s.l.block.RoomFor(spec, s.roomWanted(js), float64(c.op.ExtraCapacityRate)) {
+	if s.l.block.RoomFor(spec, s.roomWanted(job), float64(c.op.ExtraCapacityRate)) {
 		return true
 	}
 	return s.l.cloudHealth.healthy() && s.mayRentFor(spec)
--- a/internal/controller/hosting_renewals.go
+++ b/internal/controller/hosting_renewals.go
@@ -69,13 +69,13 @@
 func (s *spiller) jobReport(key string) spill.JobReport {
 	hosting := s.hostings[key]
 	report := spill.JobReport{Job: jobOf(key), Token: hosting.Token}
-	js := s.guestJob(key)
-	report.Returned = hosting.Report(js != nil && len(js.Bindings) > 0)
-	if js == nil {
+	job := s.guestJob(key)
+	report.Returned = hosting.Report(job != nil && len(job.Bindings) > 0)
+	if job == nil {
 		return report
 	}
-	report.Complete, report.Done = js.EndPending, slices.Clone(js.Done.Bytes())
-	for _, bindings := range js.Bindings {
+	report.Complete, report.Done = job.EndPending, slices.Clone(job.Done.Bytes())
+	for _, bindings := range job.Bindings {
 		for _, binding := range bindings {
 			if binding.Status >= model.WaitingForGang && binding.Status != model.Exited {
 				report.Running++
@@ -102,8 +102,8 @@
 		if hosting == nil || hosting.Token != verdict.Token || m.renewal.Jobs[i].Job != verdict.Job {
 			continue
 		}
-		if js := s.guestJob(key); js != nil && js.Ended == "" {
-			s.l.block.Confirm(js, verdict.Confirmed)
+		if job := s.guestJob(key); job != nil && job.Ended == "" {
+			s.l.block.Confirm(job, verdict.Confirmed)
 		}
 		hosting.Heard(verdict, m.renewal.Jobs[i].Returned, m.sent, m.answer.Age)
 	}
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -19,19 +19,19 @@
 const suspendedAsLent = "lent to another cell"
 
 // jobAdded keeps a job that is lent from being bound when the block learns of it.
-func (s *spiller) jobAdded(job string) {
-	if record := s.l.c.view.LentOut[job]; record != nil && record.State != spill.Home {
-		s.keepHome(job)
+func (s *spiller) jobAdded(jobID string) {
+	if record := s.l.c.view.LentOut[jobID]; record != nil && record.State != spill.Home {
+		s.keepHome(jobID)
 	}
 }
 
 // keepHome has nothing of a job bound here.
-func (s *spiller) keepHome(job string) {
-	js := s.l.block.Jobs[job]
-	if js == nil || js.Ended != "" {
+func (s *spiller) keepHome(jobID string) {
+	job := s.l.block.Jobs[jobID]
+	if job == nil || job.Ended != "" {
 		return
 	}
-	s.l.block.Suspend(js, suspendedAsLent, s.l.c.now)
+	s.l.block.Suspend(job, suspendedAsLent, s.l.c.now)
 }
 
 // reservation is what counts towards a team's limit for a job that is lent.
@@ -42,49 +42,49 @@
 
 // reserve counts all of a lent job towards its team's limit: of a task that is known as
 // finished another attempt may run in the guest, if that has not heard of it.
-func (s *spiller) reserve(job string, record *spill.OutRecord) {
-	if _, reserved := s.reserved[job]; reserved {
+func (s *spiller) reserve(jobID string, record *spill.OutRecord) {
+	if _, reserved := s.reserved[jobID]; reserved {
 		return
 	}
-	s.reserved[job] = reservation{record.Team, record.Reserved()}
+	s.reserved[jobID] = reservation{record.Team, record.Reserved()}
 	s.l.block.Reserve(record.Team, record.Reserved())
 }
 
 // release ends a reservation.
-func (s *spiller) release(job string) {
-	if r, reserved := s.reserved[job]; reserved {
-		delete(s.reserved, job)
+func (s *spiller) release(jobID string) {
+	if r, reserved := s.reserved[jobID]; reserved {
+		delete(s.reserved, jobID)
 		s.l.block.Release(r.team, r.amount)
 	}
 }
 
 // lendingNews takes what the view says of a job that is or was lent.
-func (s *spiller) lendingNews(job string) {
+func (s *spiller) lendingNews(jobID string) {
 	l := s.l
-	record := l.c.view.LentOut[job]
+	record := l.c.view.LentOut[jobID]
 	if record != nil && record.State == spill.Lent {
-		lending := s.lendings[job]
+		lending := s.lendings[jobID]
 		if lending == nil || lending.Record.Token != record.Token {
-			s.lendings[job] = spill.NewLending(*record, l.c.now)
-			s.keepHome(job)
-			s.reserve(job, record)
-			slog.Info("lent", "job", job, "cell", record.Cell, "token", record.Token)
+			s.lendings[jobID] = spill.NewLending(*record, l.c.now)
+			s.keepHome(jobID)
+			s.reserve(jobID, record)
+			slog.Info("lent", "job", jobID, "cell", record.Cell, "token", record.Token)
 			return
 		}
 		lending.Record = *record
 		return
 	}
 	if record != nil && record.State == spill.Unreadable {
-		s.keepHome(job)
+		s.keepHome(jobID)
 		return
 	}
-	if _, pending := s.changes[spill.OutKey(job)]; pending && record != nil {
+	if _, pending := s.changes[spill.OutKey(jobID)]; pending && record != nil {
 		return // it is to be lent again
 	}
-	delete(s.lendings, job)
-	s.release(job)
-	if js := l.block.Jobs[job]; js != nil && js.HomeCell == "" {
-		l.block.Resume(js)
+	delete(s.lendings, jobID)
+	s.release(jobID)
+	if job := l.block.Jobs[jobID]; job != nil && job.HomeCell == "" {
+		l.block.Resume(job)
 		l.schedule.runSoon()
 	}
 }
@@ -93,24 +93,24 @@
 // gone, and forgets what has ended.
 func (s *spiller) stepLendings() {
 	c := s.l.c
-	for _, job := range sortedKeys(c.view.LentOut) {
-		if _, ended := c.view.Final(job); ended {
-			s.forgetEnded(job)
+	for _, jobID := range sortedKeys(c.view.LentOut) {
+		if _, ended := c.view.Final(jobID); ended {
+			s.forgetEnded(jobID)
 		}
 	}
-	for _, job := range sortedKeys(s.lendings) {
-		lending, js := s.lendings[job], s.l.block.Jobs[job]
-		if js == nil || js.EndPending || js.Ended != "" || lending.Record.State != spill.Lent {
+	for _, jobID := range sortedKeys(s.lendings) {
+		lending, job := s.lendings[jobID], s.l.block.Jobs[jobID]
+		if job == nil || job.EndPending || job.Ended != "" || lending.Record.State != spill.Lent {
 			continue
 		}
 		if reason, proven := lending.TakeBack(c.now); proven {
-			s.takeBack(job, lending, reason)
+			s.takeBack(jobID, lending, reason)
 			continue
 		}
 		if lending.OfferDue(c.now) {
-			s.offer(job, lending.Record.Cell, lending.Record.Token)
+			s.offer(jobID, lending.Record.Cell, lending.Record.Token)
 		}
-		s.noteRunning(job, lending)
+		s.noteRunning(jobID, lending)
 	}
 	if c.now-s.recallAt >= recallPeriod {
 		s.recallAt = c.now
@@ -121,15 +121,15 @@
 // recallOne has one job come home that has not begun in its guest and could begin here.
 func (s *spiller) recallOne() {
 	looked := 0
-	for _, job := range sortedKeys(s.lendings) {
-		lending, js := s.lendings[job], s.l.block.Jobs[job]
-		if js == nil || js.EndPending || js.Ended != "" || lending.Running() || lending.Recalled() {
+	for _, jobID := range sortedKeys(s.lendings) {
+		lending, job := s.lendings[jobID], s.l.block.Jobs[jobID]
+		if job == nil || job.EndPending || job.Ended != "" || lending.Running() || lending.Recalled() {
 			continue
 		}
 		if looked++; looked > maxJobsSearched {
 			return
 		}
-		if s.wantedHome(js, lending) {
+		if s.wantedHome(job, lending) {
 			lending.Recall(s.l.c.now)
 			return
 		}
@@ -138,55 +138,55 @@
 
 // forgetEnded removes the record of a job that has ended, once nothing of it can be in the
 // guest: until then it counts towards its team's limit.
-func (s *spiller) forgetEnded(job string) {
-	lending := s.lendings[job]
+func (s *spiller) forgetEnded(jobID string) {
+	lending := s.lendings[jobID]
 	if lending != nil {
 		if _, proven := lending.TakeBack(s.l.c.now); !proven {
 			return
 		}
 	}
-	s.want(spill.OutKey(job), spillChange{})
+	s.want(spill.OutKey(jobID), spillChange{})
 }
 
 // wantedHome tells that a job that has not begun in its guest is better off at home.
-func (s *spiller) wantedHome(js *model.JobState, lending *spill.Lending) bool {
+func (s *spiller) wantedHome(job *model.JobState, lending *spill.Lending) bool {
 	if s.policy == nil || !s.policy.Knows(lending.Record.Cell) {
 		return true
 	}
-	return s.l.block.RoomSoonFor(js.Job, s.roomWanted(js), s.l.c.now) && !s.l.block.OwnWorkWaits(ownPatience, s.l.c.now)
+	return s.l.block.RoomSoonFor(job.Job, s.roomWanted(job), s.l.c.now) && !s.l.block.OwnWorkWaits(ownPatience, s.l.c.now)
 }
 
 // takeBack has a job come home. Nothing of it is bound here before that is durable.
-func (s *spiller) takeBack(job string, lending *spill.Lending, reason spill.ReturnReason) {
-	key := spill.OutKey(job)
+func (s *spiller) takeBack(jobID string, lending *spill.Lending, reason spill.ReturnReason) {
+	key := spill.OutKey(jobID)
 	record := lending.Record
 	if change, ok := s.changes[key].value.(spill.OutRecord); ok && change.State == spill.Home {
 		return
 	}
 	record.State, record.SinceMs, record.Running = spill.Home, s.l.c.wall(), 0
-	noteStep(record.Trace, "take back", job, attribute.String("why", string(reason)))
+	noteStep(record.Trace, "take back", jobID, attribute.String("why", string(reason)))
 	s.want(key, spillChange{value: record})
-	slog.Info("taken back", "job", job, "cell", record.Cell, "token", record.Token, "why", reason)
+	slog.Info("taken back", "job", jobID, "cell", record.Cell, "token", record.Token, "why", reason)
 }
 
 // noteRunning has the users' answers say that a lent job runs, once.
-func (s *spiller) noteRunning(job string, lending *spill.Lending) {
+func (s *spiller) noteRunning(jobID string, lending *spill.Lending) {
 	if lending.Record.Running > 0 || !lending.Running() {
 		return
 	}
-	if _, pending := s.changes[spill.OutKey(job)]; pending {
+	if _, pending := s.changes[spill.OutKey(jobID)]; pending {
 		return
 	}
 	record := lending.Record
 	record.Running = max(1, lending.LastRunning())
-	s.want(spill.OutKey(job), spillChange{value: record})
+	s.want(spill.OutKey(jobID), spillChange{value: record})
 }
 
 // roomWanted is how many tasks have to find room for a job to be well served: all of a
 // gang, half of what is left of an array.
-func (s *spiller) roomWanted(js *model.JobState) int {
-	left := js.Tasks - js.Done.Len()
-	if js.Kind == model.Gang {
+func (s *spiller) roomWanted(job *model.JobState) int {
+	left := job.Tasks - job.Done.Len()
+	if job.Kind == model.Gang {
 		return left
 	}
 	return (left + 1) / 2
--- a/internal/controller/lending_offers.go
+++ b/internal/controller/lending_offers.go
@@ -15,19 +15,19 @@
 
 // offer asks a cell whether it takes a job, with token 0, or offers what is lent to it. The
 // call goes on beside the actor, so it gets a set of finished tasks of its own.
-func (s *spiller) offer(job, cell string, token uint64) {
+func (s *spiller) offer(jobID, cell string, token uint64) {
 	c := s.l.c
-	js, view := s.l.block.Jobs[job], c.view.Jobs[job]
-	if c.cells == nil || js == nil || view == nil || view.Submission == nil || s.policy == nil {
+	job, view := s.l.block.Jobs[jobID], c.view.Jobs[jobID]
+	if c.cells == nil || job == nil || view == nil || view.Submission == nil || s.policy == nil {
 		return
 	}
-	offer := &spill.Offer{Home: s.policy.Cell, Token: token, Spec: view.Submission, Done: slices.Clone(js.Done.Bytes()), Trace: s.traceOf(job)}
-	c.cells.offer(msgOffered{cell: cell, job: job, sent: c.now, term: s.l.token, offer: offer})
+	offer := &spill.Offer{Home: s.policy.Cell, Token: token, Spec: view.Submission, Done: slices.Clone(job.Done.Bytes()), Trace: s.traceOf(jobID)}
+	c.cells.offer(msgOffered{cell: cell, job: jobID, sent: c.now, term: s.l.token, offer: offer})
 }
 
 // traceOf is the trace of a lending, "" if there is none.
-func (s *spiller) traceOf(job string) string {
-	if lending := s.lendings[job]; lending != nil {
+func (s *spiller) traceOf(jobID string) string {
+	if lending := s.lendings[jobID]; lending != nil {
 		return lending.Record.Trace
 	}
 	return ""
@@ -62,10 +62,10 @@
 
 // lend decides that a job is lent. Nothing of it is bound from now on; it is offered once
 // the record is durable.
-func (s *spiller) lend(job, cell string, workerLease model.Micros) {
+func (s *spiller) lend(jobID, cell string, workerLease model.Micros) {
 	c := s.l.c
-	js := s.l.block.Jobs[job]
-	if !s.enabled() || js == nil || !s.mayLend(js) || !s.policy.Knows(cell) {
+	job := s.l.block.Jobs[jobID]
+	if !s.enabled() || job == nil || !s.mayLend(job) || !s.policy.Knows(cell) {
 		return
 	}
 	cancel := model.Seconds(c.set.Params.Workers.CancelS)
@@ -84,12 +84,12 @@
 		SinceMs:       c.wall(),
 		LeaseUs:       int64(s.policy.Lease),
 		WorkerLeaseUs: int64(workerLease),
-		Team:          js.Team,
-		CoresMilli:    int64(js.Request.Cores) * int64(js.Tasks),
-		GPUsMilli:     int64(js.Request.GPUs) * int64(js.Tasks),
+		Team:          job.Team,
+		CoresMilli:    int64(job.Request.Cores) * int64(job.Tasks),
+		GPUsMilli:     int64(job.Request.GPUs) * int64(job.Tasks),
 	}
-	record.Trace = noteStep("", "lend", job, attribute.String("cell", cell), attribute.Int64("token", int64(record.Token)))
-	s.keepHome(job)
-	s.reserve(job, &record)
-	s.want(spill.OutKey(job), spillChange{value: record, job: job})
+	record.Trace = noteStep("", "lend", jobID, attribute.String("cell", cell), attribute.Int64("token", int64(record.Token)))
+	s.keepHome(jobID)
+	s.reserve(jobID, &record)
+	s.want(spill.OutKey(jobID), spillChange{value: record, jobID: jobID})
 }
--- a/internal/controller/lending_search.go
+++ b/internal/controller/lending_search.go
@@ -26,9 +26,9 @@
 	if neighbour == "" {
 		return
 	}
-	if job := s.oldestWithoutRoom(); job != "" {
+	if jobID := s.oldestWithoutRoom(); jobID != "" {
 		s.probing[neighbour] = true
-		s.offer(job, neighbour, 0)
+		s.offer(jobID, neighbour, 0)
 	}
 }
 
@@ -36,15 +36,15 @@
 // is none among the oldest few.
 func (s *spiller) oldestWithoutRoom() string {
 	var jobs []*model.JobState
-	for _, js := range s.l.block.Jobs {
-		if s.mayLend(js) {
-			jobs = append(jobs, js)
+	for _, job := range s.l.block.Jobs {
+		if s.mayLend(job) {
+			jobs = append(jobs, job)
 		}
 	}
 	slices.SortFunc(jobs, func(a, b *model.JobState) int { return cmp.Compare(a.AcceptedRevision, b.AcceptedRevision) })
-	for _, js := range jobs[:min(len(jobs), maxJobsSearched)] {
-		if !s.l.block.RoomSoonFor(js.Job, s.roomWanted(js), s.l.c.now) {
-			return js.ID
+	for _, job := range jobs[:min(len(jobs), maxJobsSearched)] {
+		if !s.l.block.RoomSoonFor(job.Job, s.roomWanted(job), s.l.c.now) {
+			return job.ID
 		}
 	}
 	return ""
@@ -85,26 +85,26 @@
 // bound, that has waited long enough and has not come back a moment ago, that no other
 // job awaits, that has time, and that its team's limit leaves room for here, so that the
 // team stays within it wherever the job runs.
-func (s *spiller) mayLend(js *model.JobState) bool {
+func (s *spiller) mayLend(job *model.JobState) bool {
 	c := s.l.c
-	view := c.view.Jobs[js.ID]
+	view := c.view.Jobs[job.ID]
 	switch {
-	case js.HomeCell != "" || js.Suspended || js.Ended != "" || js.EndPending || js.Kind == model.Service:
+	case job.HomeCell != "" || job.Suspended || job.Ended != "" || job.EndPending || job.Kind == model.Service:
 		return false
-	case len(js.Bindings) > 0 || len(js.Waiting) == 0 || c.now < js.NotBefore:
+	case len(job.Bindings) > 0 || len(job.Waiting) == 0 || c.now < job.NotBefore:
 		return false
-	case c.now-max(js.ReadySince, js.IdleSince) < s.policy.Wait:
+	case c.now-max(job.ReadySince, job.IdleSince) < s.policy.Wait:
 		return false
 	case view == nil || view.Submission == nil || view.End != "" || !view.Alone():
 		return false
-	case js.Deadline > 0 && js.ReadySince+js.Deadline < c.now+minLeasesLeft*s.policy.Lease:
+	case job.Deadline > 0 && job.ReadySince+job.Deadline < c.now+minLeasesLeft*s.policy.Lease:
 		return false
-	case !s.l.block.WithinLimit(js.Job, js.Tasks):
+	case !s.l.block.WithinLimit(job.Job, job.Tasks):
 		return false
 	}
-	if _, pending := s.changes[spill.OutKey(js.ID)]; pending {
+	if _, pending := s.changes[spill.OutKey(job.ID)]; pending {
 		return false
 	}
-	record := c.view.LentOut[js.ID]
+	record := c.view.LentOut[job.ID]
 	return record == nil || record.State == spill.Home && model.Micros(c.wall()-record.SinceMs)*model.Millisecond >= s.policy.Stay
 }
--- a/internal/controller/spill.go
+++ b/internal/controller/spill.go
@@ -78,10 +78,10 @@
 	for key := range view.LentIn {
 		s.takeIn(key)
 	}
-	for job, record := range view.LentOut {
+	for jobID, record := range view.LentOut {
 		if record.State == spill.Lent {
-			s.lendings[job] = spill.RestoredLending(*record, s.l.c.now)
-			s.reserve(job, record)
+			s.lendings[jobID] = spill.RestoredLending(*record, s.l.c.now)
+			s.reserve(jobID, record)
 		}
 	}
 }
@@ -89,9 +89,9 @@
 // afterRestore stops what a takeover has restored of jobs that are lent out: the holder
 // before had proof that it was gone before it lent them.
 func (s *spiller) afterRestore() {
-	for job := range s.lendings {
-		if js := s.l.block.Jobs[job]; js != nil {
-			s.l.block.Suspend(js, "lent to another cell", s.l.c.now)
+	for jobID := range s.lendings {
+		if job := s.l.block.Jobs[jobID]; job != nil {
+			s.l.block.Suspend(job, suspendedAsLent, s.l.c.now)
 		}
 	}
 }
@@ -114,8 +114,8 @@
 
 // recordNews takes what the view says of a record of spilling.
 func (s *spiller) recordNews(key string) {
-	if job, out := strings.CutPrefix(key, spill.OutPrefix); out {
-		s.lendingNews(job)
+	if jobID, out := strings.CutPrefix(key, spill.OutPrefix); out {
+		s.lendingNews(jobID)
 	} else {
 		s.hostingNews(key)
 	}
@@ -125,11 +125,11 @@
 func (s *spiller) reload() {
 	view := s.l.c.view
 	keys := map[string]bool{}
-	for job := range view.LentOut {
-		keys[spill.OutKey(job)] = true
+	for jobID := range view.LentOut {
+		keys[spill.OutKey(jobID)] = true
 	}
-	for job := range s.lendings {
-		keys[spill.OutKey(job)] = true
+	for jobID := range s.lendings {
+		keys[spill.OutKey(jobID)] = true
 	}
 	for key := range view.LentIn {
 		keys[key] = true
@@ -143,8 +143,8 @@
 }
 
 // noteStep records a step of a lending as a span, whose context it gives.
-func noteStep(parent, step, job string, attributes ...attribute.KeyValue) (context string) {
-	span := tracing.Start(parent, step, append(attributes, attribute.String("job", job))...)
+func noteStep(parent, step, jobID string, attributes ...attribute.KeyValue) (context string) {
+	span := tracing.Start(parent, step, append(attributes, attribute.String("job", jobID))...)
 	span.End("")
 	return span.Context()
 }
--- a/internal/controller/spill_changes.go
+++ b/internal/controller/spill_changes.go
@@ -12,7 +12,7 @@
 // answer may still be carried out.
 type spillChange struct {
 	value any    // nil: the record is removed
-	job   string // a job of this cell that must not have changed, "": none
+	jobID string // a job of this cell that must not have changed, "": none
 }
 
 // want has a change made durable, in the place of an earlier one of the same record.
@@ -39,8 +39,8 @@
 			break
 		}
 		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: c.view.Revisions[key]})
-		if change.job != "" {
-			txn.Conditions = append(txn.Conditions, state.Condition{Path: jobPrefix + change.job, Revision: c.view.Revisions[jobPrefix+change.job]})
+		if change.jobID != "" {
+			txn.Conditions = append(txn.Conditions, state.Condition{Path: jobPrefix + change.jobID, Revision: c.view.Revisions[jobPrefix+change.jobID]})
 		}
 		if change.value == nil {
 			txn.Then = append(txn.Then, state.Op{Drop: key})
@@ -56,8 +56,8 @@
 // settled tells that a change stands in the view, or that it is pointless.
 func (s *spiller) settled(key string, change spillChange) bool {
 	view := s.l.c.view
-	if change.job != "" {
-		if _, ended := view.Final(change.job); ended {
+	if change.jobID != "" {
+		if _, ended := view.Final(change.jobID); ended {
 			return true
 		}
 	}
