--- /dev/null
+++ b/internal/controller/bindings.go
@@ -0,0 +1,89 @@
+package controller
+
+import (
+	"errors"
+	"log/slog"
+
+	"woadweir/internal/core/shard"
+	"woadweir/internal/state"
+)
+
+// maxTxnBytes keeps a transaction within the state service's 64 KiB, with room for keys
+// and conditions.
+const maxTxnBytes = 48 << 10
+
+// writeBindings makes the scheduler's changes durable, one transaction at a time.
+func (l *leader) writeBindings() {
+	c := l.c
+	if !c.lanes.free(laneBindings, c.now) || l.resync || l.block.Queued() == 0 {
+		return
+	}
+	limit := min(c.limits.TxnOps, c.budget.Left(c.now))
+	if limit < 1 {
+		return
+	}
+	l.block.Params.Dense = c.dense()
+	writes := l.block.Writes(limit, maxTxnBytes)
+	if len(writes) == 0 {
+		return
+	}
+	for i := range writes {
+		if end, ok := writes[i].Value.(shard.JobRecord); ok {
+			end.AtMs = c.wall()
+			writes[i].Value = end
+		}
+	}
+	c.send(laneBindings, msgCommitted{txn: l.bindingsTxn(writes), writes: writes, token: l.token})
+}
+
+// bindingsTxn makes a transaction of the scheduler's writes. Its conditions are the
+// grant, and the known revision of every key, so that a copy that is executed late
+// changes nothing.
+func (l *leader) bindingsTxn(writes []shard.Write) *state.Txn {
+	txn := &state.Txn{Conditions: []state.Condition{{Path: grantKey, Revision: l.token}}}
+	for _, w := range writes {
+		key := w.Key
+		if key == "" {
+			key = state.BundleKey(blockName, w.Slot)
+		}
+		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: l.c.view.Revisions[key]})
+		txn.Then = append(txn.Then, state.Op{Set: key, Value: w.Value})
+	}
+	return txn
+}
+
+// bindingsCommitted handles the outcome of a transaction of the scheduler's writes.
+func (l *leader) bindingsCommitted(m msgCommitted) {
+	c := l.c
+	switch {
+	case m.err != nil:
+		l.bindingsFailed(m)
+	case m.res.OK:
+		c.view.Apply(m.txn, m.res.Revision)
+		l.block.Committed(m.writes, c.now)
+	default:
+		slog.Info("conflict", "keys", m.res.Failed)
+		if m.lostGrant() {
+			c.stepDown(reasonGrantLost)
+			return
+		}
+		l.block.Retry(m.writes, false)
+		l.needSync()
+	}
+}
+
+// bindingsFailed has the scheduler retry writes that were refused or got no answer, in
+// smaller pieces if they were too large.
+func (l *leader) bindingsFailed(m msgCommitted) {
+	slog.Debug("commit", "err", m.err)
+	if errors.Is(m.err, state.ErrTooBig) {
+		l.c.lowerStateLimits(m.err)
+		l.block.Params.MaxValue = l.c.maxValue()
+		l.block.Recut(m.writes)
+	} else {
+		l.block.Retry(m.writes, !state.NotExecuted(m.err))
+	}
+	if l.c.writeFailed(m) {
+		l.needSync()
+	}
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -108,9 +108,16 @@
 	}
 }
 
-// take dispatches a message.
+// take handles a message.
 func (c *controller) take(m any) {
 	c.now = c.clock()
+	if !c.takeRequest(m) && !c.takeOutcome(m) {
+		panic("node: unknown message")
+	}
+}
+
+// takeRequest handles a message if it asks this controller for something.
+func (c *controller) takeRequest(m any) bool {
 	switch m := m.(type) {
 	case msgTick:
 		c.duties.ticked()
@@ -124,18 +131,30 @@
 		m.reply <- c.healthy()
 	case msgPing:
 		m.reply <- pingReply{stateReached: c.loaded && !c.sync.suspect(c.now), workers: c.relay.directWorkers(c.now)}
-	case msgPinged:
-		c.siblingsProbed(m)
 	case msgHeartbeat:
 		c.handleHeartbeat(m)
-	case msgRelayFailed:
-		c.relay.relayFailed(c.now)
-	case msgSession:
-		c.sessionChanged(m)
+	case msgOffer, msgRenewal:
+		c.takeCellMessage(m)
+	default:
+		return false
+	}
+	return true
+}
+
+// takeOutcome handles a message if it is the outcome of what this controller has asked
+// for.
+func (c *controller) takeOutcome(m any) bool {
+	switch m := m.(type) {
 	case msgSynced:
 		c.synced(m)
 	case msgCommitted:
 		c.committed(m)
+	case msgSession:
+		c.sessionChanged(m)
+	case msgPinged:
+		c.siblingsProbed(m)
+	case msgRelayFailed:
+		c.relay.relayFailed(c.now)
 	case msgMachineTypes:
 		c.gotMachineTypes(m)
 	case msgListed:
@@ -144,11 +163,12 @@
 		c.rented(m)
 	case msgDeleted:
 		c.deleted(m)
-	case msgOffer, msgRenewal, msgOffered, msgRenewed:
+	case msgOffered, msgRenewed:
 		c.takeCellMessage(m)
 	default:
-		panic("node: unknown message")
+		return false
 	}
+	return true
 }
 
 // step does what is due.
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -1,33 +1,17 @@
 package controller
 
 import (
-	"errors"
 	"log/slog"
 
 	"woadweir/internal/cloud"
 	"woadweir/internal/core/autoscaler"
 	"woadweir/internal/core/model"
 	"woadweir/internal/core/shard"
-	"woadweir/internal/state"
 )
 
-// Intervals of placement rounds: these use a share of the processor time that the
-// settings grant, within bounds. Rounds that may preempt work take longer.
-const (
-	minPlacementInterval  = 40 * model.Millisecond
-	maxPlacementInterval  = 400 * model.Millisecond
-	placementCPUShare     = 0.15
-	maxPreemptionInterval = 800 * model.Millisecond
-	preemptionCPUShare    = 0.1
-)
-
-const (
-	// maxTxnBytes keeps a transaction within the state service's 64 KiB, with room for
-	// keys and conditions.
-	maxTxnBytes = 48 << 10
-	// machineTypesRetry is how soon machine types are fetched again that are not known.
-	machineTypesRetry = model.Second
-)
+// machineTypesRetry is how soon machine types are fetched again as long as they are not
+// known.
+const machineTypesRetry = model.Second
 
 // taskSize is what a task takes, and whether it may use spot machines.
 type taskSize struct {
@@ -39,34 +23,40 @@
 // provisioner of machines, and what spills to other cells. It is part of the controller
 // actor.
 type leader struct {
-	c                *controller
-	token            uint64       // the fencing token: the revision of the leader's grant
-	ready            bool         // it has taken over what former leaders wrote
-	resync           bool         // a transaction failed: none before a synchronization of the view
+	c      *controller
+	token  uint64 // the fencing token: the revision of the leader's grant
+	ready  bool   // it has taken over what former leaders wrote
+	resync bool   // a transaction failed: none before a synchronization of the view
+
+	// Scheduling.
 	block            *shard.State // the scheduler
+	placement        placementRounds
 	pendingResponses []pendingResponse
+	sweepAt          model.Micros // when timeouts were last looked for
+	spill            *spiller
 
+	// Provisioning.
 	provisioner      *autoscaler.Provisioner
 	nextProvisioning model.Micros // the next round at the latest
-	provisionSoon    bool         // something has changed: do not wait for that
+	provisionSoon    bool         // something has changed: a round is due earlier
 	lastProvisioning model.Micros
 	rentalCount      int
 	pendingRentals   map[string]cloud.Rental
-	cloudBad         model.Micros // when the cloud last failed
-	cloudGood        model.Micros
 	recentSizes      map[taskSize]model.Micros
-	deletedMachines  map[string]model.Micros // machines that were deleted
-	missingFromLists map[string]int
-
-	machineTypesAt, listAt, sweepAt, placeAt model.Micros
-	placeGap                                 model.Micros // until the next placement round
-	preemptAt, preemptGap                    model.Micros // the same for those that may preempt
-	machineTypesBusy, listBusy               bool
-	machineTypesKnown                        bool
-	pendingDeletions                         map[string]model.Micros // when it is to be sent, see deletionSent
-	seenLists                                int
-	intents                                  intentLog
-	spill                                    *spiller
+	intents          intentLog
+
+	// The cloud's machines, and whether it answers.
+	cloudBad          model.Micros // when a call of the cloud last failed
+	cloudGood         model.Micros // when one last succeeded
+	machineTypesAt    model.Micros // when machine types were last asked for
+	machineTypesBusy  bool         // that call is in progress
+	machineTypesKnown bool
+	listAt            model.Micros            // when the list of machines was last asked for
+	listBusy          bool                    // that call is in progress
+	seenLists         int                     // lists received
+	deletedMachines   map[string]model.Micros // machines that were deleted
+	missingFromLists  map[string]int
+	pendingDeletions  map[string]model.Micros // when it is to be sent, see deletionSent
 }
 
 func newLeader(c *controller, token uint64) *leader {
@@ -231,46 +221,6 @@
 	return l.machineTypesAt == 0 || age > machineTypesGap || !l.machineTypesKnown && age > machineTypesRetry
 }
 
-// writeBindings makes the scheduler's changes durable, one transaction at a time.
-func (l *leader) writeBindings() {
-	c := l.c
-	if !c.lanes.free(laneBindings, c.now) || l.resync || l.block.Queued() == 0 {
-		return
-	}
-	limit := min(c.limits.TxnOps, c.budget.Left(c.now))
-	if limit < 1 {
-		return
-	}
-	l.block.Params.Dense = c.dense()
-	writes := l.block.Writes(limit, maxTxnBytes)
-	if len(writes) == 0 {
-		return
-	}
-	for i := range writes {
-		if end, ok := writes[i].Value.(shard.JobRecord); ok {
-			end.AtMs = c.wall()
-			writes[i].Value = end
-		}
-	}
-	c.send(laneBindings, msgCommitted{txn: l.bindingsTxn(writes), writes: writes, token: l.token})
-}
-
-// bindingsTxn makes a transaction of the scheduler's writes. Its conditions are the
-// grant, and the known revision of every key, so that a copy that is executed late
-// changes nothing.
-func (l *leader) bindingsTxn(writes []shard.Write) *state.Txn {
-	txn := &state.Txn{Conditions: []state.Condition{{Path: grantKey, Revision: l.token}}}
-	for _, w := range writes {
-		key := w.Key
-		if key == "" {
-			key = state.BundleKey(blockName, w.Slot)
-		}
-		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: l.c.view.Revisions[key]})
-		txn.Then = append(txn.Then, state.Op{Set: key, Value: w.Value})
-	}
-	return txn
-}
-
 // committed handles the outcome of a transaction that this leader has sent.
 func (l *leader) committed(m msgCommitted) {
 	switch m.lane {
@@ -287,71 +237,7 @@
 	}
 }
 
-// bindingsCommitted handles the outcome of a transaction of the scheduler's writes.
-func (l *leader) bindingsCommitted(m msgCommitted) {
-	c := l.c
-	switch {
-	case m.err != nil:
-		l.bindingsFailed(m)
-	case m.res.OK:
-		c.view.Apply(m.txn, m.res.Revision)
-		l.block.Committed(m.writes, c.now)
-	default:
-		slog.Info("conflict", "keys", m.res.Failed)
-		if m.lostGrant() {
-			c.stepDown(reasonGrantLost)
-			return
-		}
-		l.block.Retry(m.writes, false)
-		l.needSync()
-	}
-}
-
-// bindingsFailed has the scheduler retry writes that were refused or got no answer, in
-// smaller pieces if they were too large.
-func (l *leader) bindingsFailed(m msgCommitted) {
-	slog.Debug("commit", "err", m.err)
-	if errors.Is(m.err, state.ErrTooBig) {
-		l.c.lowerStateLimits(m.err)
-		l.block.Params.MaxValue = l.c.maxValue()
-		l.block.Recut(m.writes)
-	} else {
-		l.block.Retry(m.writes, !state.NotExecuted(m.err))
-	}
-	if l.c.writeFailed(m) {
-		l.needSync()
-	}
-}
-
+// needSync keeps the leader from writing until the view has been synchronized.
 func (l *leader) needSync() {
 	l.c.needSync(&l.resync)
 }
-
-// place runs a placement round if one is due. On a large fleet heartbeats come much
-// faster than rounds can be run: a round then serves many of them.
-func (l *leader) place() {
-	c := l.c
-	if !l.block.NeedsPlacement || !l.due(&l.placeAt, l.placeGap) {
-		return
-	}
-	preempt := l.due(&l.preemptAt, l.preemptGap)
-	start := c.clock()
-	l.block.Place(c.now, preempt)
-	took := c.clock() - start
-	if preempt {
-		l.preemptGap = min(l.intervalFor(took, preemptionCPUShare), maxPreemptionInterval)
-	} else {
-		l.placeGap = min(max(minPlacementInterval, l.intervalFor(took, placementCPUShare)), maxPlacementInterval)
-	}
-	l.provisionSoon = true
-}
-
-// intervalFor is the interval at which something that took so long uses only a share of
-// the processor time that the settings grant.
-func (l *leader) intervalFor(took model.Micros, share float64) model.Micros {
-	cores := l.c.set.Params.Quota.Cores
-	if cores <= 0 || cores > 1 {
-		cores = 1
-	}
-	return model.Micros(float64(took) / (share * cores))
-}
--- a/internal/controller/user_writes.go
+++ b/internal/controller/user_writes.go
@@ -24,6 +24,9 @@
 	cancellationBytes = 600
 )
 
+// statusPending is the status of a job that was just accepted.
+const statusPending = "pending"
+
 // userWrite is an acceptance or a cancellation of a job that waits to be made durable.
 type userWrite struct {
 	jobID      string
@@ -203,7 +206,7 @@
 		if w.isCancellation() {
 			w.answer(userapi.Accepted(http.StatusOK, w.jobID, state.Cancelled))
 		} else {
-			w.answer(userapi.Accepted(http.StatusCreated, w.jobID, "pending"))
+			w.answer(userapi.Accepted(http.StatusCreated, w.jobID, statusPending))
 		}
 		c.jobChanged(w.jobID)
 	}
--- a/internal/controller/view_sync.go
+++ b/internal/controller/view_sync.go
@@ -29,7 +29,7 @@
 const spillPrefix = "spill/"
 
 // viewSync schedules the synchronization of the view with the state service. A
-// synchronization is a linearizable read barrier as well: once it has ended, the view
+// synchronization is a linearizable read barrier as well: once it has succeeded, the view
 // has every write that was committed before it started.
 type viewSync struct {
 	minInterval model.Micros
