--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -160,7 +160,9 @@
 			}
 			lost = res.Revision
 			life := n.life
-			w.After(commitTimeout, func() { n.deliver(life, msgCommitted{lane: m.lane, txn: m.txn, token: m.token, err: state.ErrLost}) })
+			w.After(commitTimeout, func() {
+				n.deliver(life, msgCommitted{lane: m.lane, txn: m.txn, session: m.session, err: state.ErrLost})
+			})
 			return true
 		}
 	}
