--- a/internal/controller/cloud_polling.go
+++ b/internal/controller/cloud_polling.go
@@ -33,10 +33,10 @@
 	polling, now := &l.polling, l.c.now
 	if polling.machineTypesDue(now) {
 		polling.machineTypesAt, polling.machineTypesInFlight = now, true
-		l.c.io.flavors()
+		l.c.io.fetchMachineTypes()
 	}
 	if !polling.machineListInFlight && l.due(&polling.machineListAt, machineListPeriod) {
 		polling.machineListInFlight = true
-		l.c.io.list()
+		l.c.io.listMachines()
 	}
 }
--- a/internal/controller/duty_cloud.go
+++ b/internal/controller/duty_cloud.go
@@ -21,7 +21,7 @@
 		d.cloudFailingSince = 0
 	case d.c.leading == nil && s.Now-d.cloudAskedAt >= cloudProbePeriod: // a leader reads the machine list anyway
 		d.cloudAskedAt = s.Now
-		d.c.io.flavors()
+		d.c.io.fetchMachineTypes()
 	}
 }
 
--- a/internal/controller/duty_holder.go
+++ b/internal/controller/duty_holder.go
@@ -83,7 +83,7 @@
 	d.noteHeld(&s)
 	d.probeCloud(&s)
 	d.carryOut(&s)
-	if c.busy[laneDuty] || d.resync || c.now < c.pauses[laneDuty] || s.Session == 0 {
+	if !c.lanes.free(laneDuty, c.now) || d.resync || s.Session == 0 {
 		return
 	}
 	if l := c.view.Leader; l != nil && l.Duties {
@@ -102,11 +102,11 @@
 func (d *dutyHolder) enableIntents() {
 	c := d.c
 	l := c.leading
-	if l == nil || !l.ready || c.actsThroughIntents() || !d.wanted() || c.busy[laneMisc] || c.now < c.pauses[laneMisc] || !c.auth.IsValid(c.now) {
+	if l == nil || !l.ready || c.actsThroughIntents() || !d.wanted() || !c.lanes.free(laneMisc, c.now) || !c.auth.IsValid(c.now) {
 		return
 	}
-	grant := state.GrantKey(blockName)
-	c.pauses[laneMisc] = c.now + enableRetry
+	grant := grantKey
+	c.lanes.pauseUntil(laneMisc, c.now+enableRetry)
 	c.send(laneMisc, msgCommitted{token: l.token, txn: &state.Txn{
 		Conditions: []state.Condition{{Path: state.LeaderKey, Revision: c.view.Revisions[state.LeaderKey]}, {Path: grant, Revision: l.token}},
 		Then:       []state.Op{{Set: state.LeaderKey, Value: c.leaderRecord(), LeaseID: c.session}},
--- a/internal/controller/intent_calls.go
+++ b/internal/controller/intent_calls.go
@@ -88,11 +88,11 @@
 }
 
 func (d *dutyHolder) callRent(key string, rental *duty.Rental) {
-	d.c.io.rent(msgRented{rental: requestOf(rental), carryOut: d.begin(key, duty.Renting, rental.Trace)})
+	d.c.io.rentMachines(msgRented{rental: requestOf(rental), carryOut: d.begin(key, duty.Renting, rental.Trace)})
 }
 
 func (d *dutyHolder) callDelete(key string, ret *duty.Return) {
-	d.c.io.remove(msgDeleted{refs: ret.Machines, carryOut: d.begin(key, duty.Returning, ret.Trace)})
+	d.c.io.deleteMachines(msgDeleted{machineIDs: ret.Machines, carryOut: d.begin(key, duty.Returning, ret.Trace)})
 }
 
 // requestOf is the request by which a rental intent is carried out.
--- a/internal/controller/intent_writes.go
+++ b/internal/controller/intent_writes.go
@@ -33,14 +33,14 @@
 // writeIntents makes the leader's decisions durable, some at a time.
 func (l *leader) writeIntents() {
 	c := l.c
-	if c.busy[laneIntent] || l.resync || c.now < c.pauses[laneIntent] || len(l.intents.queue) == 0 {
+	if !c.lanes.free(laneIntent, c.now) || l.resync || len(l.intents.queue) == 0 {
 		return
 	}
 	limit := min(c.limits.TxnOps, c.duties.intentsAtMost(l.intents.sentAt))
 	if limit < 1 {
 		return
 	}
-	txn := &state.Txn{Conditions: []state.Condition{{Path: state.GrantKey(blockName), Revision: l.token}}}
+	txn := &state.Txn{Conditions: []state.Condition{{Path: grantKey, Revision: l.token}}}
 	taken := map[string]bool{}
 	machines := 0
 	for len(l.intents.queue) > 0 && len(txn.Then) < limit && machines <= maxTxnMachines {
@@ -92,7 +92,7 @@
 	switch {
 	case m.lostGrant():
 		slog.Info("fenced write refused", "duty", duty.Reclaiming, "token", l.token, "keys", m.res.Failed)
-		c.stepDown("the grant is not ours any more")
+		c.stepDown(reasonGrantLost)
 	case c.writeFailed(m):
 		l.needSync()
 	}
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -18,18 +18,18 @@
 func (l *leader) gotMachineTypes(m msgMachineTypes) {
 	c := l.c
 	l.polling.machineTypesInFlight = false
-	if m.err != nil || len(m.builds) == 0 {
+	if m.err != nil || len(m.machineTypes) == 0 {
 		slog.Debug("machine types", "err", m.err)
 		l.cloudHealth.failed(c.now)
 		return
 	}
 	l.polling.machineTypesKnown = true
 	l.cloudHealth.succeeded(c.now)
-	if !sameMachineTypes(m.builds, c.view.MachineTypes) && !c.busy[laneMisc] {
-		l.writeMachineTypes(m.builds)
+	if !sameMachineTypes(m.machineTypes, c.view.MachineTypes) && !c.lanes.busy[laneMisc] {
+		l.writeMachineTypes(m.machineTypes)
 	}
 	if l.ready {
-		l.block.SetMachineTypes(m.builds)
+		l.block.SetMachineTypes(m.machineTypes)
 		l.schedule.runSoon()
 	}
 }
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -93,7 +93,7 @@
 	case l.c.actsThroughIntents():
 		l.decideReturn(machineIDs)
 	default:
-		l.c.io.remove(msgDeleted{refs: machineIDs, term: l.token})
+		l.c.io.deleteMachines(msgDeleted{machineIDs: machineIDs, token: l.token})
 	}
 }
 
@@ -104,16 +104,16 @@
 		return
 	}
 	l := c.leading
-	if l == nil || l.token != m.term {
+	if l == nil || l.token != m.token {
 		return
 	}
 	if m.err != nil {
 		l.cloudHealth.failed(c.now)
-		l.inventory.retryDeletions(m.refs, c.now)
+		l.inventory.retryDeletions(m.machineIDs, c.now)
 		return
 	}
 	l.cloudHealth.succeeded(c.now)
-	for _, machineID := range m.refs {
+	for _, machineID := range m.machineIDs {
 		l.machineDeleted(machineID)
 	}
 	l.schedule.runSoon()
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		offer := autoscaler.Offer{MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot}
-		l.c.io.rent(msgRented{rental: request, offer: offer, term: l.token})
+		l.c.io.rentMachines(msgRented{rental: request, offer: offer, token: l.token})
 	}
 }
 
@@ -49,7 +49,7 @@
 		return
 	}
 	l := c.leading
-	if l == nil || l.token != m.term {
+	if l == nil || l.token != m.token {
 		return
 	}
 	delete(l.inventory.pendingRentals, m.rental.RequestID)
