--- a/internal/controller/awaits_test.go
+++ b/internal/controller/awaits_test.go
@@ -129,7 +129,7 @@
 		last = awaiting(i).ID
 	}
 	w.until(60*model.Second, "the first runs", func() bool { return w.nodes[0].statusOf(t, first.ID) == "running" })
-	w.state.Fall(2, 5, 3)
+	w.state.LowerLimits(2, 5, 3)
 	u := &user{w: w, sub: first}
 	w.rules.Ask(first.ID)
 	late := awaiting(500, first.ID)
--- a/internal/controller/chaos_test.go
+++ b/internal/controller/chaos_test.go
@@ -266,7 +266,7 @@
 			case w.Chance(0.2):
 				x.Die()
 			case w.Chance(0.2):
-				x.Sick = true
+				x.Faulty = true
 			}
 		}
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -344,7 +344,7 @@
 				})
 			}
 			w.After(w.Between(0, 40*model.Second), func() {
-				w.state.Fall(2, 5, 18)
+				w.state.LowerLimits(2, 5, 18)
 				fell = true
 			})
 		})
@@ -412,7 +412,7 @@
 		n.old = false
 		w.After(w.Between(0, 2*model.Second), n.start)
 	}
-	w.After(500*model.Millisecond, func() { w.state.Fall(2, 5, 18) })
+	w.After(500*model.Millisecond, func() { w.state.LowerLimits(2, 5, 18) })
 	for i := 10; i < 14; i++ {
 		us = append(us, w.submit(sweepJob(i, 20, 5), 0))
 	}
@@ -434,7 +434,7 @@
 		us = append(us, w.submit(sweepJob(i, 30, 10), 0))
 	}
 	w.until(60*model.Second, "something runs", func() bool { return w.rules.OnMachine() > 5 })
-	w.state.Fall(2, 4, 20)
+	w.state.LowerLimits(2, 4, 20)
 	for i := 10; i < 40; i++ {
 		us = append(us, w.submit(sweepJob(i, 6, 5), 0))
 	}
@@ -466,7 +466,7 @@
 		n.old = false
 		n.start()
 	}
-	w.state.Fall(2, 5, 18)
+	w.state.LowerLimits(2, 5, 18)
 	w.led(20 * model.Second)
 	w.rules.Ask(long.ID)
 	u.withdraw()
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -2,22 +2,23 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 
 	"woadweir/internal/cloud"
 	"woadweir/internal/core/model"
 )
 
-// Cloud is a stand-in for the cloud, with the machines and their workers.
+// Cloud is a stand-in for the cloud's API, and has the machines with their workers.
 type Cloud struct {
 	MachineTypes []model.MachineType
-	Capacity     map[string]int // build/yard/spot -> machines at once
-	Down         bool
-	Quick        float64 // the chance that a machine is up within two seconds
-	Lag          model.Micros
-	Run          func(*model.Job) model.Micros
-	Times        Times
-	Cell         string // the cell that rents here, "": there is one
+	Capacity     map[string]int                // machines that may be rented at once, by type/zone/spot
+	Down         bool                          // every call fails
+	Quick        float64                       // the chance that a machine is up within two seconds
+	Lag          model.Micros                  // about how old the listed machines are
+	Run          func(*model.Job) model.Micros // how long a task runs
+	Times        Times                         // the settings of new workers
+	Cell         string                        // the cell that rents here, "": there is one
 
 	// Calls are the rentals and deletions that were carried out.
 	Calls []CloudCall
@@ -27,92 +28,114 @@
 	rules    *Rules
 	gangs    map[gangKey]map[*Task]bool
 	machines []*machine
-	hires    map[string][]string
+	rentals  map[string][]string // the machines of each request
 	next     int
 }
 
 // CloudCall is a rental or a deletion that changed something.
 type CloudCall struct {
 	At       model.Micros
-	Request  string // of a rental, "": a deletion
+	Request  string // the request ID of a rental, "" for a deletion
 	Machines []string
 }
 
+// neverUp stands in the place of the time when a machine is up.
+const neverUp = -1
+
 type machine struct {
 	w        *Worker
 	rented   model.Micros
-	up       model.Micros // -1: never
+	up       model.Micros // when it is up, or neverUp
 	goneAt   model.Micros
 	gone     bool
 	upWorker bool
 }
 
-// NewCloud makes a cloud without machines.
+// NewCloud returns a cloud without machines and without capacity.
 func NewCloud(sim *Sim, net Net, rules *Rules, machineTypes []model.MachineType, t Times) *Cloud {
 	return &Cloud{MachineTypes: machineTypes, Capacity: map[string]int{}, Lag: 3 * model.Second, Times: t, sim: sim, net: net, rules: rules,
-		gangs: map[gangKey]map[*Task]bool{}, hires: map[string][]string{}, Run: func(j *model.Job) model.Micros { return j.EstimatedRun }}
+		gangs: map[gangKey]map[*Task]bool{}, rentals: map[string][]string{}, Run: func(j *model.Job) model.Micros { return j.EstimatedRun }}
 }
 
 func offer(machineType, zone string, spot bool) string {
 	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
 
-// Rent is POST /rentals.
+// Rent rents machines, as many of the wanted ones as there are: POST /rentals. A request
+// that is repeated gets the machines that it got before.
 func (c *Cloud) Rent(r *cloud.Rental) ([]string, error) {
 	if c.Down {
 		return nil, cloud.ErrTrouble
 	}
-	if old, ok := c.hires[r.RequestID]; ok {
+	if old, ok := c.rentals[r.RequestID]; ok {
 		return old, nil
 	}
 	if r.Count < 1 || r.Count > 50 {
 		panic("rental of a bad count")
 	}
+	granted := min(r.Count, c.free(r))
+	if granted <= 0 {
+		return nil, cloud.ErrNoCapacity
+	}
+	machineType := c.machineType(r.MachineType)
+	var refs []string
+	for range granted {
+		m := c.addMachine(r, machineType)
+		refs = append(refs, m.w.ID)
+		c.boot(m, machineType)
+	}
+	c.rentals[r.RequestID] = refs
+	c.Calls = append(c.Calls, CloudCall{c.sim.Now, r.RequestID, refs})
+	return refs, nil
+}
+
+// free is how many machines of the wanted kind the cloud still has.
+func (c *Cloud) free(r *cloud.Rental) int {
 	used := 0
 	for _, m := range c.machines {
 		if !m.gone && m.w.MachineType == r.MachineType && m.w.Zone == r.Zone && m.w.Spot == r.Spot {
 			used++
 		}
 	}
-	n := min(r.Count, c.Capacity[offer(r.MachineType, r.Zone, r.Spot)]-used)
-	if n <= 0 {
-		return nil, cloud.ErrNoCapacity
+	return c.Capacity[offer(r.MachineType, r.Zone, r.Spot)] - used
+}
+
+func (c *Cloud) machineType(name string) *model.MachineType {
+	i := slices.IndexFunc(c.MachineTypes, func(t model.MachineType) bool { return t.Name == name })
+	return &c.MachineTypes[i]
+}
+
+func (c *Cloud) addMachine(r *cloud.Rental, machineType *model.MachineType) *machine {
+	worker := &Worker{ID: fmt.Sprintf("host-%06d", c.next), Cell: c.Cell, MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, Size: machineType.Size(),
+		sim: c.sim, net: c.net, rules: c.rules, gangs: c.gangs, run: c.Run, times: c.Times}
+	c.next++
+	m := &machine{rented: c.sim.Now, w: worker}
+	c.machines = append(c.machines, m)
+	return m
+}
+
+// bootFailure is the chance that a rented machine never comes up.
+const bootFailure = 0.03
+
+// boot has a machine come up after a while, unless it is one of those that never do.
+func (c *Cloud) boot(m *machine, machineType *model.MachineType) {
+	if c.sim.Chance(bootFailure) {
+		m.up = neverUp
+		return
 	}
-	var f *model.MachineType
-	for i := range c.MachineTypes {
-		if c.MachineTypes[i].Name == r.MachineType {
-			f = &c.MachineTypes[i]
-		}
+	m.up = c.sim.Now + c.sim.Between(model.Seconds(machineType.BootS*0.6), model.Seconds(machineType.BootS*1.5))
+	if c.Quick > 0 && c.sim.Chance(c.Quick) {
+		m.up = c.sim.Now + c.sim.Between(200*model.Millisecond, 2*model.Second)
 	}
-	var refs []string
-	for range n {
-		ref := fmt.Sprintf("host-%06d", c.next)
-		c.next++
-		m := &machine{rented: c.sim.Now, w: &Worker{ID: ref, Cell: c.Cell, MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, Size: f.Size(),
-			sim: c.sim, net: c.net, rules: c.rules, gangs: c.gangs, run: c.Run, t: c.Times}}
-		c.machines = append(c.machines, m)
-		refs = append(refs, ref)
-		if c.sim.Chance(0.03) {
-			m.up = -1
-			continue
-		}
-		m.up = c.sim.Now + c.sim.Between(model.Seconds(f.BootS*0.6), model.Seconds(f.BootS*1.5))
-		if c.Quick > 0 && c.sim.Chance(c.Quick) {
-			m.up = c.sim.Now + c.sim.Between(200*model.Millisecond, 2*model.Second)
+	c.sim.At(m.up, func() {
+		if !m.gone {
+			m.upWorker = true
+			m.w.begin()
 		}
-		c.sim.At(m.up, func() {
-			if !m.gone {
-				m.upWorker = true
-				m.w.begin()
-			}
-		})
-	}
-	c.hires[r.RequestID] = refs
-	c.Calls = append(c.Calls, CloudCall{c.sim.Now, r.RequestID, refs})
-	return refs, nil
+	})
 }
 
-// Delete is POST /rentals/delete.
+// Delete gives machines back: POST /rentals/delete. Those that are gone are passed over.
 func (c *Cloud) Delete(refs []string) error {
 	if c.Down {
 		return cloud.ErrTrouble
@@ -135,7 +158,7 @@
 	return nil
 }
 
-// List is GET /rentals, late by the lag.
+// List returns the rented machines as they were some time ago: GET /rentals.
 func (c *Cloud) List() ([]cloud.Machine, error) {
 	if c.Down {
 		return nil, cloud.ErrTrouble
@@ -146,17 +169,17 @@
 		if m.rented > at || m.gone && m.goneAt <= at {
 			continue
 		}
-		st := "starting"
-		if m.up >= 0 && m.up <= at {
-			st = "running"
+		status := "starting"
+		if m.up != neverUp && m.up <= at {
+			status = "running"
 		}
-		out = append(out, cloud.Machine{ID: m.w.ID, MachineType: m.w.MachineType, Zone: m.w.Zone, Spot: m.w.Spot, Status: st,
+		out = append(out, cloud.Machine{ID: m.w.ID, MachineType: m.w.MachineType, Zone: m.w.Zone, Spot: m.w.Spot, Status: status,
 			HeldS: (at - m.rented).Seconds()})
 	}
 	return out, nil
 }
 
-// Workers are the machines that are up.
+// Workers are the workers of the machines that are up.
 func (c *Cloud) Workers() (ws []*Worker) {
 	for _, m := range c.machines {
 		if m.upWorker && !m.gone && !m.w.dead {
@@ -176,7 +199,7 @@
 	return n
 }
 
-// Describe is for failure messages.
+// Describe lists the machines with their tasks, for failure messages.
 func (c *Cloud) Describe() string {
 	var b strings.Builder
 	for _, w := range c.Workers() {
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -8,30 +8,32 @@
 	"woadweir/internal/core/model"
 )
 
-// Rules watches what must hold under every failure.
+// statusWithdrawn is a cancelled job's status, as users are told it.
+const statusWithdrawn = "withdrawn"
+
+// Rules checks the invariants that hold under every failure. It learns from the workers what
+// is on machines, and from the users what they asked for and were answered.
 type Rules struct {
-	sim    *Sim
-	Teams  map[string]*model.Team
+	Teams map[string]*model.Team
+	// Cancel is how long after a confirmed cancellation the job's tasks may be on machines.
 	Cancel model.Micros
+	// Broken says which rule was broken, when and how.
 	Broken []string
 
-	Subs map[string]*model.Job // every job that a user submitted
-	on   map[model.TaskID]map[*Task]bool
-	used map[account]model.Resources
+	// Subs are the jobs that users submitted, also those that were not accepted.
+	Subs map[string]*model.Job
 	// Homes are the cells at which jobs were submitted, where there are several.
-	Homes     map[string]string
-	completed map[model.TaskID]bool
-	cancelled map[string]model.Micros // when a user asked
-	told      map[string]string       // the end that was told
-	toldAt    map[string]model.Micros
-	Accepted  map[string]bool
-	Awaits    map[string][]string // by job: the jobs that it names
-	Calm      model.Micros        // when all troubles were over, 0: not yet
-	answered  map[string]model.Micros
-	idleFrom  map[string]model.Micros // since when a job waits beside room
+	Homes map[string]string
+	// Accepted are the jobs that a user was told are accepted.
+	Accepted map[string]bool
+	// Awaits are, for each job, those that it directly depends on.
+	Awaits map[string][]string
+	// Calm is when all failures were over, 0 if they are not.
+	Calm model.Micros
 	// Finished, if set, is called at the moment when a job's last task completes.
 	Finished func(ref string)
-	Starts   int
+	// Starts counts the tasks that came onto a machine.
+	Starts int
 	// CancelledStarts are starts of tasks whose job had been reported as withdrawn:
 	// commands that were on their way. They break no rule while cancel lasts.
 	CancelledStarts int
@@ -47,9 +49,19 @@
 	// machine. MistakenTries counts the tasks of theirs that got their image and failed.
 	Mistaken      map[string]bool
 	MistakenTries int
+
+	sim       *Sim
+	on        map[model.TaskID]map[*Task]bool // what is on machines
+	used      map[account]model.Resources
+	completed map[model.TaskID]bool
+	cancelled map[string]model.Micros // when a user asked to cancel a job
+	told      map[string]string       // the end that a user was told of a job
+	toldAt    map[string]model.Micros
+	answered  map[string]model.Micros // when a question about a job was last answered
+	idleFrom  map[string]model.Micros // since when a job waits although there is room
 }
 
-// NewRules makes a watch.
+// NewRules returns rules of which none is broken yet.
 func NewRules(sim *Sim, teams map[string]*model.Team, cancel model.Micros) *Rules {
 	return &Rules{sim: sim, Teams: teams, Cancel: cancel, Subs: map[string]*model.Job{}, on: map[model.TaskID]map[*Task]bool{},
 		used: map[account]model.Resources{}, Homes: map[string]string{}, completed: map[model.TaskID]bool{}, cancelled: map[string]model.Micros{},
@@ -82,22 +94,7 @@
 			r.broken("too_early: %s starts before %s is done", t.id, a)
 		}
 	}
-	inZone, elsewhere := 0, 0
-	for n := range j.Tasks {
-		if !j.SameZone && !j.Spread {
-			break
-		}
-		for o := range r.on[model.TaskID{Job: j.ID, Index: n}] {
-			if o.w.Zone == t.w.Zone {
-				inZone++
-			} else {
-				elsewhere++
-			}
-		}
-	}
-	if j.SameZone && elsewhere > 0 || inZone+1 > j.MaxPerZone() {
-		r.broken("wrong_place: %s in %s: %d there, %d elsewhere", t.id, t.w.Zone, inZone, elsewhere)
-	}
+	r.checkZones(t)
 	if r.on[t.id] == nil {
 		r.on[t.id] = map[*Task]bool{}
 	}
@@ -108,7 +105,7 @@
 			r.broken("quota: %v uses %v", a, r.used[a])
 		}
 	}
-	if r.told[j.ID] == "withdrawn" {
+	if r.told[j.ID] == statusWithdrawn {
 		r.CancelledStarts++
 	}
 	if r.overdue(j.ID) {
@@ -116,13 +113,34 @@
 	}
 }
 
+// checkZones checks that a task comes into a zone where the job's other tasks allow it.
+func (r *Rules) checkZones(t *Task) {
+	j := t.job
+	if !j.SameZone && !j.Spread {
+		return
+	}
+	inZone, elsewhere := 0, 0
+	for index := range j.Tasks {
+		for other := range r.on[model.TaskID{Job: j.ID, Index: index}] {
+			if other.w.Zone == t.w.Zone {
+				inZone++
+			} else {
+				elsewhere++
+			}
+		}
+	}
+	if j.SameZone && elsewhere > 0 || inZone+1 > j.MaxPerZone() {
+		r.broken("wrong_place: %s in %s: %d there, %d elsewhere", t.id, t.w.Zone, inZone, elsewhere)
+	}
+}
+
 // overdue tells that a user was told of a job's cancellation so long ago that none of
 // its tasks may be on a machine any more.
 func (r *Rules) overdue(ref string) bool {
-	return r.told[ref] == "withdrawn" && r.sim.Now > r.toldAt[ref]+r.Cancel
+	return r.told[ref] == statusWithdrawn && r.sim.Now > r.toldAt[ref]+r.Cancel
 }
 
-// Check looks at what is on machines now: a task that never leaves would not be
+// Check checks what is on machines now: a task that never leaves would not be
 // noticed otherwise.
 func (r *Rules) Check() {
 	for id, ts := range r.on {
@@ -189,21 +207,13 @@
 	}
 }
 
-// tell notes an answer that a user got about a job.
+// tell checks an answer whose body has been read.
 func (r *Rules) tell(ref string, code int, status string, asked model.Micros) {
 	if at, ok := r.toldAt[ref]; ok && asked <= at {
 		return // asked before the end was told: either answer is right
 	}
-	switch {
-	case code == 404 || code == 400 || code == 422:
-		if r.Accepted[ref] {
-			r.broken("forgotten: %s answered %d", ref, code)
-		}
-		return
-	case code != 200 && code != 201:
-		if r.Accepted[ref] && r.Calm > 0 && r.sim.Now-max(r.Calm, r.answered[ref]) > forgottenAfter {
-			r.broken("forgotten: no question about %s is answered", ref)
-		}
+	if code != 200 && code != 201 {
+		r.checkRefusal(ref, code)
 		return
 	}
 	r.answered[ref] = r.sim.Now
@@ -216,35 +226,63 @@
 	if old := r.told[ref]; old != "" && old != status {
 		r.broken("went_back: %s was %s, is %s", ref, old, status)
 	}
+	if !r.checkStatus(ref, status, asked) {
+		return
+	}
+	if r.told[ref] == "" {
+		r.told[ref] = status
+		r.toldAt[ref] = r.sim.Now
+	}
+}
+
+// checkRefusal checks an answer that refuses a request about a job, or the lack of one.
+func (r *Rules) checkRefusal(ref string, code int) {
+	if !r.Accepted[ref] {
+		return
+	}
+	switch code {
+	case 400, 404, 422:
+		r.broken("forgotten: %s answered %d", ref, code)
+	default:
+		if r.Calm > 0 && r.sim.Now-max(r.Calm, r.answered[ref]) > forgottenAfter {
+			r.broken("forgotten: no question about %s is answered", ref)
+		}
+	}
+}
+
+// checkStatus checks a status against what has happened, and tells whether it is an end.
+func (r *Rules) checkStatus(ref, status string, asked model.Micros) (ended bool) {
 	switch status {
 	case "done":
 		if !r.complete(ref) {
 			r.broken("not_done: %s", ref)
 		}
-	case "withdrawn":
-		_, cancelled := r.cancelled[ref]
-		r.before(ref, func(a string) {
-			_, ok := r.cancelled[a]
-			cancelled = cancelled || ok
-		})
-		if !cancelled {
+		return true
+	case statusWithdrawn:
+		if !r.cancellationAsked(ref) {
 			r.broken("went_back: %s withdrawn unasked", ref)
 		}
-	default:
-		r.before(ref, func(a string) {
-			if at, ok := r.toldAt[a]; ok && r.told[a] == "withdrawn" && asked > at+r.Cancel {
-				r.broken("orphaned: %s is %s after %s was withdrawn", ref, status, a)
-			}
-		})
-		return
-	}
-	if r.told[ref] == "" {
-		r.told[ref] = status
-		r.toldAt[ref] = r.sim.Now
+		return true
 	}
+	r.before(ref, func(earlier string) {
+		if at, ok := r.toldAt[earlier]; ok && r.told[earlier] == statusWithdrawn && asked > at+r.Cancel {
+			r.broken("orphaned: %s is %s after %s was withdrawn", ref, status, earlier)
+		}
+	})
+	return false
+}
+
+// cancellationAsked tells whether a user asked to cancel a job, or one that it needs.
+func (r *Rules) cancellationAsked(ref string) bool {
+	_, asked := r.cancelled[ref]
+	r.before(ref, func(earlier string) {
+		_, ok := r.cancelled[earlier]
+		asked = asked || ok
+	})
+	return asked
 }
 
-// Ended is the end that users were told.
+// Ended is the status of a job that has ended, as users were told it, or "".
 func (r *Rules) Ended(ref string) string { return r.told[ref] }
 
 // OnMachine tells how many tasks are on machines.
@@ -265,7 +303,7 @@
 	return n
 }
 
-// ToldAt is when a user was first told of a job's end, 0 if none was.
+// ToldAt is when a user was first told of a job's end, 0 if that has not happened.
 func (r *Rules) ToldAt(ref string) model.Micros { return r.toldAt[ref] }
 
 // Used is what a team's tasks take of machines.
@@ -287,8 +325,8 @@
 // fits has room and its team is under its limit.
 const waitsMost = 90 * model.Second
 
-// Room watches for such jobs. It is called now and then, with the machines that are
-// up and can be reached.
+// Room checks that no job waits longer than that. It is to be called about every second,
+// with the machines that are up and can be reached.
 func (r *Rules) Room(ws []*Worker) {
 	for ref := range r.Accepted {
 		if !r.idle(ref) || !r.fits(r.Subs[ref], ws) {
@@ -332,7 +370,7 @@
 	}
 	inZone := map[string]int{}
 	for _, w := range ws {
-		if !w.hung && !w.Sick && w.recall == 0 && j.Allows(w.MachineType, w.Zone, w.Spot) {
+		if !w.hung && !w.Faulty && w.recall == 0 && j.Allows(w.MachineType, w.Zone, w.Spot) {
 			inZone[w.Zone] += j.Request.Count(w.Size.Minus(w.used()), want)
 		}
 	}
@@ -347,7 +385,7 @@
 	return !j.SameZone && sum >= want
 }
 
-// Tell notes an answer with its body, to a request that was made at that time.
+// Tell checks an answer that a user got, to a request that was made at that time.
 func (r *Rules) Tell(ref string, code int, body []byte, asked model.Micros) {
 	var a struct {
 		Ref    string `json:"ref"`
@@ -362,5 +400,5 @@
 	r.tell(ref, code, a.Status, asked)
 }
 
-// Ask notes that the user asks to cancel.
+// Ask notes that a user asks to cancel a job.
 func (r *Rules) Ask(ref string) { r.cancelled[ref] = r.sim.Now }
--- a/internal/standin/sim.go
+++ b/internal/standin/sim.go
@@ -1,7 +1,8 @@
-// Package standin has stand-ins for what lies outside the service, written
-// after the published protocols: the state service, the cloud, the workers and
-// the users. They live in simulated time and watch the rules that hold under
-// every failure. Tests only.
+// Package standin simulates what lies outside the service, in simulated time and
+// deterministically for a seed: the state service, the cloud and the machines with their
+// workers. Rules checks the invariants that hold under every failure. Everything here is
+// written from the published protocols, not from the service's own code, so that a mistake
+// there does not cancel out. The package is for tests and simulations only.
 package standin
 
 import (
@@ -11,7 +12,8 @@
 	"woadweir/internal/core/model"
 )
 
-// Sim is a clock with events.
+// Sim is a simulated clock with a queue of events and the source of all chance, so that a
+// run depends on the seed alone.
 type Sim struct {
 	Now model.Micros
 	Rng *rand.Rand
@@ -19,7 +21,7 @@
 	seq int
 }
 
-// NewSim makes a clock at zero with a seeded source of chance.
+// NewSim returns a clock at zero with a seeded source of chance.
 func NewSim(seed uint64) *Sim { return &Sim{Rng: rand.New(rand.NewPCG(seed, 7))} }
 
 type event struct {
@@ -43,16 +45,16 @@
 	return e
 }
 
-// At has f run at that time.
+// At has f run at that time, or at once if it has passed.
 func (s *Sim) At(t model.Micros, f func()) {
 	s.seq++
 	heap.Push(&s.q, event{max(t, s.Now), s.seq, f})
 }
 
-// After has f run after d.
+// After has f run after that time.
 func (s *Sim) After(d model.Micros, f func()) { s.At(s.Now+d, f) }
 
-// Run lets time pass until then.
+// Run carries out all events up to that time, and sets the clock to it.
 func (s *Sim) Run(until model.Micros) {
 	for len(s.q) > 0 && s.q[0].at <= until {
 		e := heap.Pop(&s.q).(event)
@@ -62,7 +64,7 @@
 	s.Now = until
 }
 
-// Between draws a time from lo to hi.
+// Between draws a time from lo up to but not including hi.
 func (s *Sim) Between(lo, hi model.Micros) model.Micros {
 	if hi <= lo {
 		return lo
@@ -70,5 +72,5 @@
 	return lo + model.Micros(s.Rng.Int64N(int64(hi-lo)))
 }
 
-// Chance draws yes with that probability.
+// Chance is true with that probability.
 func (s *Sim) Chance(p float64) bool { return s.Rng.Float64() < p }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -10,35 +10,42 @@
 	"woadweir/internal/state"
 )
 
-// State is a stand-in for the state service. Outage makes it refuse everybody,
-// Refused single nodes; leases have their full time again after an outage.
+// State is a stand-in for the state service: a key-value store with transactions, leases
+// and a watch. After an outage every lease has its full time again.
 type State struct {
-	sim     *Sim
+	// TxnOps and ValueKB are the limits on a transaction's changes and on a value.
 	TxnOps  int
 	ValueKB int
+	// Refused are the nodes whose requests alone are refused.
 	Refused map[string]bool
-	outage  bool
-	epoch   uint64
-	keys    map[string]state.Entry
-	log     []state.Event
-	Kept    int // changes that are kept for watches
-	leases  map[uint64]*lease
-	nextID  uint64
-	Writes  int
-	Reads   int // catch-ups that were asked for
-	// After Fall, what is too large is refused, and so is what is too much.
-	fallen bool
-	rate   float64
-	level  float64
-	at     model.Micros
-	TooBig int // refused as too large
+	// Kept is the number of events that are kept for watches.
+	Kept int
+	// Writes counts the changes that were asked for, Reads the watch requests, and TooBig
+	// the transactions that were refused as too large.
+	Writes int
+	Reads  int
+	TooBig int
 	// Log, if KeepLog is set, is every transaction that was accepted, or refused by a
 	// condition.
 	Log     []Write
 	KeepLog bool
+
+	sim      *Sim
+	outage   bool
+	revision uint64
+	keys     map[string]state.Entry
+	events   []state.Event
+	leases   map[uint64]*lease
+	nextID   uint64
+	// Once the limits are lowered, what is too large is refused, and so is what exceeds
+	// the rate of writes. writeBudget is what was left of that rate at budgetAt.
+	limitsLowered bool
+	writeRate     float64
+	writeBudget   float64
+	budgetAt      model.Micros
 }
 
-// Write is a transaction that was answered.
+// Write is a transaction that was answered, as it stands in State.Log.
 type Write struct {
 	At       model.Micros
 	Node     string
@@ -51,20 +58,21 @@
 	ttl, until model.Micros
 }
 
-// NewState makes an empty store.
+// NewState returns an empty store with the limits of the production service.
 func NewState(sim *Sim) *State {
 	return &State{sim: sim, TxnOps: 16, ValueKB: 32, Refused: map[string]bool{}, keys: map[string]state.Entry{},
 		Kept: 10_000, leases: map[uint64]*lease{}}
 }
 
-// Fall lowers the limits. What is stored stays.
-func (s *State) Fall(valueKB, txnOps int, writes float64) {
-	s.ValueKB, s.TxnOps, s.rate, s.fallen = valueKB, txnOps, writes, true
-	s.level, s.at = writes, s.sim.Now
+// LowerLimits lowers the limits, as the service may at any time. What is stored stays, even
+// where it exceeds them.
+func (s *State) LowerLimits(valueKB, txnOps int, writes float64) {
+	s.ValueKB, s.TxnOps, s.writeRate, s.limitsLowered = valueKB, txnOps, writes, true
+	s.writeBudget, s.budgetAt = writes, s.sim.Now
 }
 
-// tooBig tells that a transaction is beyond the limits. Before they fall nobody may
-// send one.
+// tooBig tells whether a transaction exceeds the limits. Before they are lowered nobody
+// may send one.
 func (s *State) tooBig(t *state.Txn) bool {
 	raw, err := json.Marshal(t)
 	why := ""
@@ -79,13 +87,13 @@
 			why = fmt.Sprintf("value of %s: %d bytes, %v", op.Set, len(raw), err)
 		}
 	}
-	if why != "" && !s.fallen {
+	if why != "" && !s.limitsLowered {
 		panic("transaction too large: " + why)
 	}
 	return why != ""
 }
 
-// SetOutage begins or ends an outage.
+// SetOutage begins or ends an outage, in which the requests of all nodes are refused.
 func (s *State) SetOutage(on bool) {
 	s.expire()
 	s.outage = on
@@ -119,10 +127,10 @@
 	if len(gone) == 0 {
 		return
 	}
-	s.epoch++
+	s.revision++
 	for _, k := range gone {
 		delete(s.keys, k)
-		s.log = append(s.log, state.Event{Drop: k, Revision: s.epoch})
+		s.events = append(s.events, state.Event{Drop: k, Revision: s.revision})
 	}
 }
 
@@ -131,7 +139,7 @@
 	return s.outage || s.Refused[node]
 }
 
-// Get is GET /keys/{key}.
+// Get reads one key: GET /keys/{key}.
 func (s *State) Get(node, key string) (*state.Entry, error) {
 	if s.refuse(node) {
 		return nil, state.ErrRefused
@@ -142,7 +150,7 @@
 	return nil, state.ErrMissing
 }
 
-// List is GET /keys with all pages.
+// List reads all keys, in the order of their paths: GET /keys with all pages.
 func (s *State) List(node string) ([]state.Entry, uint64, error) {
 	if s.refuse(node) {
 		return nil, 0, state.ErrRefused
@@ -152,29 +160,29 @@
 		es = append(es, e)
 	}
 	slices.SortFunc(es, func(a, b state.Entry) int { return strings.Compare(a.Path, b.Path) })
-	return es, s.epoch, nil
+	return es, s.revision, nil
 }
 
-// Watch is GET /watch without waiting.
+// Watch returns the events after a revision: GET /watch without waiting.
 func (s *State) Watch(node string, from uint64) (*state.Changes, error) {
 	s.Reads++
 	if s.refuse(node) {
 		return nil, state.ErrRefused
 	}
-	if n := len(s.log); n > s.Kept {
-		if s.log[n-s.Kept-1].Revision > from {
+	if n := len(s.events); n > s.Kept {
+		if s.events[n-s.Kept-1].Revision > from {
 			return nil, state.ErrCompacted
 		}
 	}
-	ch := &state.Changes{Revision: s.epoch}
-	for i := len(s.log) - 1; i >= 0 && s.log[i].Revision > from; i-- {
-		ch.Events = append(ch.Events, s.log[i])
+	ch := &state.Changes{Revision: s.revision}
+	for i := len(s.events) - 1; i >= 0 && s.events[i].Revision > from; i-- {
+		ch.Events = append(ch.Events, s.events[i])
 	}
 	slices.Reverse(ch.Events)
 	return ch, nil
 }
 
-// Commit is POST /commit.
+// Commit carries out a transaction if all its conditions hold: POST /commit.
 func (s *State) Commit(node string, t *state.Txn) (*state.Result, error) {
 	if s.refuse(node) {
 		return nil, state.ErrRefused
@@ -183,52 +191,78 @@
 		s.TooBig++
 		return nil, state.ErrTooBig
 	}
-	if s.rate > 0 {
-		s.level = min(s.rate, s.level+s.rate*(s.sim.Now-s.at).Seconds())
-		s.at = s.sim.Now
-		if s.level < float64(len(t.Then)) {
-			return nil, state.ErrBusy
-		}
-		s.level -= float64(len(t.Then))
+	if !s.withinWriteRate(len(t.Then)) {
+		return nil, state.ErrBusy
 	}
 	s.Writes += len(t.Then)
-	res := &state.Result{Revision: s.epoch}
+	if key := s.keyWithoutLease(t); key != "" {
+		s.record(node, t, &state.Result{Failed: []string{key}})
+		return nil, state.ErrNoLease
+	}
+	res := &state.Result{Revision: s.revision, Failed: s.failedConditions(t)}
+	if len(res.Failed) == 0 {
+		s.apply(t, res)
+	}
+	s.record(node, t, res)
+	return res, nil
+}
+
+// withinWriteRate takes that many writes out of the budget, if it has them.
+func (s *State) withinWriteRate(writes int) bool {
+	if s.writeRate == 0 {
+		return true
+	}
+	s.writeBudget = min(s.writeRate, s.writeBudget+s.writeRate*(s.sim.Now-s.budgetAt).Seconds())
+	s.budgetAt = s.sim.Now
+	if s.writeBudget < float64(writes) {
+		return false
+	}
+	s.writeBudget -= float64(writes)
+	return true
+}
+
+// keyWithoutLease is the first key that is to be attached to a lease that has ended, or
+// "" if there is none.
+func (s *State) keyWithoutLease(t *state.Txn) string {
 	for _, op := range t.Then {
 		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
-			s.record(node, t, &state.Result{Failed: []string{op.Set}})
-			return nil, state.ErrNoLease
+			return op.Set
 		}
 	}
-	for _, g := range t.Conditions {
-		if s.keys[g.Path].Revision != g.Revision {
-			res.Failed = append(res.Failed, g.Path)
+	return ""
+}
+
+// failedConditions are the keys whose revision is not the expected one.
+func (s *State) failedConditions(t *state.Txn) (failed []string) {
+	for _, condition := range t.Conditions {
+		if s.keys[condition.Path].Revision != condition.Revision {
+			failed = append(failed, condition.Path)
 		}
 	}
-	if len(res.Failed) > 0 {
-		s.record(node, t, res)
-		return res, nil
-	}
+	return failed
+}
+
+// apply carries out the changes of a transaction whose conditions hold.
+func (s *State) apply(t *state.Txn, res *state.Result) {
 	res.OK = true
-	defer s.record(node, t, res)
 	if len(t.Then) == 0 {
-		return res, nil
+		return
 	}
-	s.epoch++
-	res.Revision = s.epoch
+	s.revision++
+	res.Revision = s.revision
 	for _, op := range t.Then {
 		if op.Drop != "" {
 			delete(s.keys, op.Drop)
-			s.log = append(s.log, state.Event{Drop: op.Drop, Revision: s.epoch})
+			s.events = append(s.events, state.Event{Drop: op.Drop, Revision: s.revision})
 			continue
 		}
 		raw, err := json.Marshal(op.Value)
 		if err != nil {
 			panic(err)
 		}
-		s.keys[op.Set] = state.Entry{Path: op.Set, Value: raw, Revision: s.epoch, LeaseID: op.LeaseID}
-		s.log = append(s.log, state.Event{Set: op.Set, Value: raw, Revision: s.epoch})
+		s.keys[op.Set] = state.Entry{Path: op.Set, Value: raw, Revision: s.revision, LeaseID: op.LeaseID}
+		s.events = append(s.events, state.Event{Set: op.Set, Value: raw, Revision: s.revision})
 	}
-	return res, nil
 }
 
 func (s *State) record(node string, t *state.Txn, res *state.Result) {
@@ -237,7 +271,7 @@
 	}
 }
 
-// Grant is POST /grants.
+// Grant begins a lease: POST /grants.
 func (s *State) Grant(node string, ttl model.Micros) (uint64, error) {
 	if s.refuse(node) {
 		return 0, state.ErrRefused
@@ -247,7 +281,7 @@
 	return s.nextID, nil
 }
 
-// Touch is POST /grants/{id}/touch.
+// Touch renews a lease: POST /grants/{id}/touch.
 func (s *State) Touch(node string, id uint64) error {
 	if s.refuse(node) {
 		return state.ErrRefused
@@ -260,7 +294,7 @@
 	return nil
 }
 
-// End is DELETE /grants/{id}.
+// End ends a lease and removes the keys attached to it: DELETE /grants/{id}.
 func (s *State) End(node string, id uint64) error {
 	if s.refuse(node) {
 		return state.ErrRefused
@@ -272,7 +306,7 @@
 	return nil
 }
 
-// Keys counts the keys with a prefix.
+// Keys returns the number of keys with a prefix.
 func (s *State) Keys(prefix string) (n int) {
 	for key := range s.keys {
 		if strings.HasPrefix(key, prefix) {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -2,28 +2,33 @@
 
 import (
 	"encoding/json"
+	"maps"
 	"slices"
 	"strings"
 
 	"woadweir/internal/core/model"
 )
 
-// Net carries a worker's report to a node. The answer comes with code 0 if
-// there was none within the worker's patience.
+// Net is the network between workers and controllers.
 type Net interface {
+	// Checkin carries a worker's report to a node and calls answer with the response, if
+	// one arrives.
 	Checkin(w *Worker, node string, body []byte, answer func(code int, body []byte))
+	// Nodes are the names of all controllers.
 	Nodes() []string
 }
 
-// Times are the workers' settings.
+// Times are the workers' settings: the interval of reports, the lease on the machine's
+// tasks, how long a task waits for the others of its gang, and after how long it notices
+// that one of them has gone.
 type Times struct{ Report, Lease, GangWait, GangPeer model.Micros }
 
-// Worker is a stand-in for a machine's worker.
+// Worker is a stand-in for a machine with its worker.
 type Worker struct {
 	ID, MachineType, Zone string
 	Spot                  bool
 	Size                  model.Resources
-	Sick                  bool
+	Faulty                bool   // every task fails on this machine
 	Cell                  string // the cell that the machine belongs to, "": there is one
 
 	sim      *Sim
@@ -31,7 +36,7 @@
 	rules    *Rules
 	gangs    map[gangKey]map[*Task]bool
 	run      func(*model.Job) model.Micros
-	t        Times
+	times    Times
 	dead     bool
 	hung     bool
 	session  uint64
@@ -44,28 +49,78 @@
 	leased   model.Micros // when the last answered report was sent
 	inFlight bool
 	lastSent model.Micros
-	due      model.Micros
+	due      model.Micros // when the next report goes out
 	dueSeq   int
-	recall   model.Micros
+	recall   model.Micros // when a spot machine is taken away, 0: no notice was given
 }
 
+// gangKey names an attempt of a gang: its tasks find each other by it.
 type gangKey struct {
-	job string
-	try uint64
+	job     string
+	attempt uint64
 }
 
-// Task is an attempt on a machine.
+// Statuses of a task in a report, as the protocol names them.
+const (
+	statusPulling   = "pulling"
+	statusGathering = "gathering"
+	statusRunning   = "running"
+	statusSaving    = "saving"
+	statusEnded     = "ended"
+)
+
+// Task is one attempt of a task on a machine.
 type Task struct {
-	id     model.TaskID
-	try    uint64
-	job    *model.Job
-	w      *Worker
-	status string
-	cause  string
-	stored bool
-	seq    int // events of an earlier state are void
+	id      model.TaskID
+	attempt uint64
+	job     *model.Job
+	w       *Worker
+	status  string
+	cause   string // why it ended
+	stored  bool   // its state was saved before it ended
+	seq     int    // planned events with an older number are void
 }
 
+func (t *Task) gangKey() gangKey { return gangKey{t.job.ID, t.attempt} }
+
+// Messages of the workers' protocol. They are declared here anew, so that a mistake in the
+// service's own declarations is found.
+type (
+	reportedTask struct {
+		Piece  string `json:"piece"`
+		Try    uint64 `json:"try"`
+		Status string `json:"status"`
+		Cause  string `json:"cause,omitempty"`
+		Stored bool   `json:"stored,omitempty"`
+	}
+	report struct {
+		Host    string         `json:"host"`
+		Address string         `json:"address"`
+		Build   string         `json:"build"`
+		Yard    string         `json:"yard"`
+		Loaners bool           `json:"loaners"`
+		Tenure  uint64         `json:"tenure"`
+		Tally   uint64         `json:"tally"`
+		Warrant uint64         `json:"warrant"`
+		Pieces  []reportedTask `json:"pieces"`
+		RecallS *float64       `json:"recallS"`
+	}
+	reportAnswer struct {
+		Warrant uint64          `json:"warrant"`
+		Steward string          `json:"steward"`
+		Orders  []workerCommand `json:"orders"`
+	}
+	workerCommand struct {
+		Verb    string  `json:"verb"`
+		Piece   string  `json:"piece"`
+		Try     uint64  `json:"try"`
+		LeewayS float64 `json:"leewayS"`
+	}
+)
+
+// answerTimeout is how long a worker waits for the answer to a report.
+const answerTimeout = 4 * model.Second
+
 func (w *Worker) begin() {
 	w.session, w.leased = 1, w.sim.Now
 	w.images = map[string]bool{}
@@ -74,21 +129,22 @@
 	w.watchLease()
 }
 
+// watchLease restarts the worker when its lease runs out.
 func (w *Worker) watchLease() {
 	if w.dead {
 		return
 	}
 	// A hanging machine resumes within its lease or not at all, so its tasks
 	// count as gone from then on.
-	if w.sim.Now-w.leased > w.t.Lease {
+	if w.sim.Now-w.leased > w.times.Lease {
 		w.Restart()
 	}
-	w.sim.At(w.leased+w.t.Lease+1, w.watchLease)
+	w.sim.At(w.leased+w.times.Lease+1, w.watchLease)
 }
 
-// plan has the next report go out at that delay, unless one is due earlier.
-func (w *Worker) plan(d model.Micros) {
-	at := w.sim.Now + d
+// plan has the next report go out after that delay, unless one is due earlier.
+func (w *Worker) plan(delay model.Micros) {
+	at := w.sim.Now + delay
 	if w.due > w.sim.Now && w.due <= at {
 		return
 	}
@@ -102,6 +158,7 @@
 	})
 }
 
+// changed has a report go out soon, but not within half a second of the last one.
 func (w *Worker) changed() { w.plan(max(0, w.lastSent+model.Second/2-w.sim.Now)) }
 
 func (w *Worker) report() {
@@ -113,26 +170,7 @@
 		return
 	}
 	w.sequence++
-	type piece struct {
-		Piece  string `json:"piece"`
-		Try    uint64 `json:"try"`
-		Status string `json:"status"`
-		Cause  string `json:"cause,omitempty"`
-		Stored bool   `json:"stored,omitempty"`
-	}
-	ps := []piece{}
-	for _, t := range w.tasks {
-		ps = append(ps, piece{t.id.String(), t.try, t.status, t.cause, t.stored})
-	}
-	msg := map[string]any{"host": w.ID, "address": "10.1.0.1:9000", "build": w.MachineType, "yard": w.Zone, "loaners": w.Spot,
-		"tenure": w.session, "tally": w.sequence, "warrant": w.token, "pieces": ps, "recallS": nil}
-	if w.recall > 0 {
-		msg["recallS"] = max(0, w.recall-w.sim.Now).Seconds()
-	}
-	body, err := json.Marshal(msg)
-	if err != nil {
-		panic(err)
-	}
+	body := w.reportBody()
 	w.inFlight, w.lastSent = true, w.sim.Now
 	sent, session, answered := w.sim.Now, w.session, false
 	nodes := w.net.Nodes()
@@ -145,21 +183,31 @@
 			w.answer(code, body, sent, session)
 		}
 	}
-	w.sim.After(4*model.Second, func() { done(0, nil) })
+	w.sim.After(answerTimeout, func() { done(0, nil) })
 	w.net.Checkin(w, nodes[w.node%len(nodes)], body, done)
 }
 
-func (w *Worker) answer(code int, body []byte, sent model.Micros, session uint64) {
-	var a struct {
-		Warrant uint64 `json:"warrant"`
-		Steward string `json:"steward"`
-		Orders  []struct {
-			Verb    string  `json:"verb"`
-			Piece   string  `json:"piece"`
-			Try     uint64  `json:"try"`
-			LeewayS float64 `json:"leewayS"`
-		} `json:"orders"`
+// reportBody is the report of what is on the machine now.
+func (w *Worker) reportBody() []byte {
+	msg := report{Host: w.ID, Address: "10.1.0.1:9000", Build: w.MachineType, Yard: w.Zone, Loaners: w.Spot,
+		Tenure: w.session, Tally: w.sequence, Warrant: w.token, Pieces: []reportedTask{}}
+	for _, t := range w.tasks {
+		msg.Pieces = append(msg.Pieces, reportedTask{t.id.String(), t.attempt, t.status, t.cause, t.stored})
+	}
+	if w.recall > 0 {
+		left := max(0, w.recall-w.sim.Now).Seconds()
+		msg.RecallS = &left
+	}
+	body, err := json.Marshal(msg)
+	if err != nil {
+		panic(err)
 	}
+	return body
+}
+
+// answer takes the answer to a report that was sent at that time, in that session.
+func (w *Worker) answer(code int, body []byte, sent model.Micros, session uint64) {
+	var a reportAnswer
 	if len(body) > 0 {
 		if err := json.Unmarshal(body, &a); err != nil {
 			panic(err)
@@ -176,7 +224,7 @@
 		w.plan(model.Second)
 		return
 	}
-	w.plan(w.t.Report*3/4 + w.sim.Between(0, w.t.Report/2))
+	w.plan(w.times.Report*3/4 + w.sim.Between(0, w.times.Report/2))
 	if w.hung || a.Warrant < w.token || session != w.session {
 		return
 	}
@@ -185,31 +233,36 @@
 		w.token = a.Warrant
 		w.changed()
 	}
-	for _, o := range a.Orders {
-		id, ok := model.ParseTaskID(o.Piece)
-		if !ok {
-			panic("bad piece " + o.Piece)
+	for _, command := range a.Orders {
+		w.carryOut(command)
+	}
+}
+
+// carryOut does what a command of an answer says.
+func (w *Worker) carryOut(command workerCommand) {
+	id, ok := model.ParseTaskID(command.Piece)
+	if !ok {
+		panic("bad piece " + command.Piece)
+	}
+	switch command.Verb {
+	case "start":
+		w.start(id, command.Try)
+	case "stop":
+		if t := w.find(id, command.Try); t != nil {
+			t.stop(model.Seconds(command.LeewayS))
 		}
-		switch o.Verb {
-		case "start":
-			w.start(id, o.Try)
-		case "stop":
-			if t := w.find(id, o.Try); t != nil {
-				t.stop(model.Seconds(o.LeewayS))
-			}
-		case "clear":
-			if t := w.find(id, o.Try); t != nil && t.status == "ended" {
-				w.tasks = slices.DeleteFunc(w.tasks, func(x *Task) bool { return x == t })
-			}
-		default:
-			panic("bad verb " + o.Verb)
+	case "clear":
+		if t := w.find(id, command.Try); t != nil && t.status == statusEnded {
+			w.tasks = slices.DeleteFunc(w.tasks, func(other *Task) bool { return other == t })
 		}
+	default:
+		panic("bad verb " + command.Verb)
 	}
 }
 
 func (w *Worker) find(id model.TaskID, attempt uint64) *Task {
 	for _, t := range w.tasks {
-		if t.id == id && t.try == attempt {
+		if t.id == id && t.attempt == attempt {
 			return t
 		}
 	}
@@ -220,9 +273,9 @@
 	if w.find(id, attempt) != nil {
 		return
 	}
-	t := &Task{id: id, try: attempt, job: w.rules.Subs[id.Job], w: w, status: "pulling"}
+	t := &Task{id: id, attempt: attempt, job: w.rules.Subs[id.Job], w: w, status: statusPulling}
 	used := w.used()
-	busy := slices.ContainsFunc(w.tasks, func(o *Task) bool { return o.status != "ended" && o.id == id })
+	busy := slices.ContainsFunc(w.tasks, func(o *Task) bool { return o.status != statusEnded && o.id == id })
 	w.tasks = append(w.tasks, t)
 	switch {
 	case t.job == nil || id.Index >= t.job.Tasks || w.rules.Unknowing[w.Cell] && w.rules.Homes[id.Job] != w.Cell:
@@ -232,11 +285,11 @@
 	case !used.Plus(t.job.Request).Fits(w.Size):
 		t.exit("full")
 	default:
-		d := model.Micros(0)
+		pull := model.Micros(0)
 		if !w.images[t.job.Image] {
-			d = w.sim.Between(model.Second, 3*model.Second)
+			pull = w.sim.Between(model.Second, 3*model.Second)
 		}
-		t.after(d, t.ready)
+		t.after(pull, t.ready)
 	}
 	w.changed()
 }
@@ -260,6 +313,7 @@
 	t.w.sim.After(d, due)
 }
 
+// ready begins a task whose image has been pulled.
 func (t *Task) ready() {
 	w := t.w
 	w.images[t.job.Image] = true
@@ -269,36 +323,15 @@
 	case w.rules.completed[t.id]:
 		w.rules.ExecutedAgain++
 		t.exit("done")
-	case w.Sick:
+	case w.Faulty:
 		t.exit("error")
 	case w.rules.Mistaken[t.id.Job]:
 		w.rules.MistakenTries++
 		t.exit("error")
 	case t.job.Kind == model.Gang:
-		t.status = "gathering"
-		k := gangKey{t.job.ID, t.try}
-		if w.gangs[k] == nil {
-			w.gangs[k] = map[*Task]bool{}
-		}
-		w.gangs[k][t] = true
-		t.after(w.t.GangWait, func() { t.exit("alone") })
-		if len(w.gangs[k]) == t.job.Tasks {
-			run := w.run(t.job)
-			for m := range w.gangs[k] {
-				m.status = "running"
-				m.w.changed()
-			}
-			var order []*Task
-			for m := range w.gangs[k] {
-				order = append(order, m)
-			}
-			slices.SortFunc(order, func(a, b *Task) int { return a.id.Index - b.id.Index })
-			for _, m := range order {
-				m.after(run, func() { m.gangDone(k) })
-			}
-		}
+		t.joinGang()
 	default:
-		t.status = "running"
+		t.status = statusRunning
 		if t.job.Kind == model.Array {
 			t.after(w.run(t.job), func() {
 				w.rules.finish(t.id)
@@ -308,32 +341,57 @@
 	}
 }
 
-func (t *Task) gangDone(k gangKey) {
-	if len(t.w.gangs[k]) < t.job.Tasks {
-		t.exit("mates_gone")
+// joinGang has a task wait for the others of its gang; the last one has all of them run.
+func (t *Task) joinGang() {
+	w, key := t.w, t.gangKey()
+	t.status = statusGathering
+	if w.gangs[key] == nil {
+		w.gangs[key] = map[*Task]bool{}
+	}
+	w.gangs[key][t] = true
+	t.after(w.times.GangWait, func() { t.exit("alone") })
+	if len(w.gangs[key]) != t.job.Tasks {
 		return
 	}
-	members := make([]*Task, 0, t.job.Tasks)
-	for m := range t.w.gangs[k] {
-		members = append(members, m)
+	run := w.run(t.job)
+	for member := range w.gangs[key] {
+		member.status = statusRunning
+		member.w.changed()
 	}
-	for _, m := range members {
-		t.w.rules.finish(m.id)
+	for _, member := range w.gangMembers(key) {
+		member.after(run, func() { member.gangDone(key) })
 	}
+}
+
+// gangMembers are the tasks of a gang that are there, in their order.
+func (w *Worker) gangMembers(key gangKey) []*Task {
+	members := slices.Collect(maps.Keys(w.gangs[key]))
 	slices.SortFunc(members, func(a, b *Task) int { return a.id.Index - b.id.Index })
-	for _, m := range members {
-		m.exit("done")
+	return members
+}
+
+func (t *Task) gangDone(key gangKey) {
+	if len(t.w.gangs[key]) < t.job.Tasks {
+		t.exit("mates_gone")
+		return
+	}
+	members := t.w.gangMembers(key)
+	for _, member := range members {
+		t.w.rules.finish(member.id)
+	}
+	for _, member := range members {
+		member.exit("done")
 	}
 }
 
 func (t *Task) stop(leeway model.Micros) {
 	switch {
-	case t.status == "ended":
-	case t.status == "running" && t.job.CheckpointInterval > 0 && leeway >= t.job.SaveTime:
-		t.status = "saving"
+	case t.status == statusEnded:
+	case t.status == statusRunning && t.job.CheckpointInterval > 0 && leeway >= t.job.SaveTime:
+		t.status = statusSaving
 		t.after(t.job.SaveTime, func() { t.stored = true; t.exit("stopped") })
 		t.w.changed()
-	case t.status == "saving" && leeway > 0:
+	case t.status == statusSaving && leeway > 0:
 	default:
 		t.exit("stopped")
 	}
@@ -342,7 +400,7 @@
 func (t *Task) exit(cause string) {
 	t.leaveGang(cause == "done")
 	t.w.rules.leave(t)
-	t.status, t.cause = "ended", cause
+	t.status, t.cause = statusEnded, cause
 	t.seq++
 	t.w.changed()
 }
@@ -355,25 +413,25 @@
 }
 
 func (t *Task) leaveGang(done bool) {
-	if t.job == nil || t.job.Kind != model.Gang || t.status == "ended" {
+	if t.job == nil || t.job.Kind != model.Gang || t.status == statusEnded {
 		return
 	}
-	k := gangKey{t.job.ID, t.try}
-	if !t.w.gangs[k][t] {
+	key := t.gangKey()
+	if !t.w.gangs[key][t] {
 		return
 	}
-	delete(t.w.gangs[k], t)
+	delete(t.w.gangs[key], t)
 	if done {
 		return
 	}
-	for m := range t.w.gangs[k] {
-		if m.status == "running" {
-			m.after(m.w.t.GangPeer, func() { m.exit("mates_gone") })
+	for member := range t.w.gangs[key] {
+		if member.status == statusRunning {
+			member.after(member.w.times.GangPeer, func() { member.exit("mates_gone") })
 		}
 	}
 }
 
-// Die ends the machine with everything on it.
+// Die ends the machine with everything on it, for good.
 func (w *Worker) Die() {
 	if w.dead {
 		return
@@ -384,10 +442,10 @@
 	w.tasks, w.dead = nil, true
 }
 
-// Hang stops or resumes the machine.
+// Hang stops the machine, or has it resume with its tasks as they were.
 func (w *Worker) Hang(on bool) { w.hung = on }
 
-// Restart ends the session with all its tasks, and begins the next at once.
+// Restart ends the worker's session with all its tasks, and begins the next at once.
 func (w *Worker) Restart() {
 	for _, t := range slices.Clone(w.tasks) {
 		t.vanish()
@@ -401,36 +459,37 @@
 // used is what the tasks on the machine take, fetching ones included.
 func (w *Worker) used() (n model.Resources) {
 	for _, t := range w.tasks {
-		if t.status != "ended" {
+		if t.status != statusEnded {
 			n = n.Plus(t.job.Request)
 		}
 	}
 	return n
 }
 
-// Has tells whether a task of the job is on the machine.
+// Has tells whether a task of a job is on the machine and has not ended.
 func (w *Worker) Has(ref string) bool {
-	return slices.ContainsFunc(w.tasks, func(t *Task) bool { return t.status != "ended" && t.id.Job == ref })
+	return slices.ContainsFunc(w.tasks, func(t *Task) bool { return t.status != statusEnded && t.id.Job == ref })
 }
 
-// Tasks is the number of tasks on the machine.
+// Tasks is the number of tasks on the machine that have not ended.
 func (w *Worker) Tasks() (n int) {
 	for _, t := range w.tasks {
-		if t.status != "ended" {
+		if t.status != statusEnded {
 			n++
 		}
 	}
 	return n
 }
 
-// Recall gives a spot notice.
-func (w *Worker) Recall(in model.Micros) {
-	w.recall = w.sim.Now + in
+// Recall gives the notice that a spot machine is taken away, and takes it away after that
+// time.
+func (w *Worker) Recall(notice model.Micros) {
+	w.recall = w.sim.Now + notice
 	w.changed()
-	w.sim.After(in, w.Die)
+	w.sim.After(notice, w.Die)
 }
 
-// Describe is for failure messages.
+// Describe lists the machine's tasks with their statuses, for failure messages.
 func (w *Worker) Describe() string {
 	var b strings.Builder
 	for _, t := range w.tasks {
