--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -71,12 +71,12 @@
 		l.crash()
 		w.After(4*model.Second, l.start)
 	})
-	w.After(15*model.Second, func() { fault(w, 12, 0) })
+	w.After(15*model.Second, func() { newFault(w, 0).restartInElections() })
 	w.After(24*model.Second, func() {
 		w.state.SetOutage(true)
 		w.After(12*model.Second, func() { w.state.SetOutage(false) })
 	})
-	w.After(35*model.Second, func() { fault(w, 1, 0) })
+	w.After(35*model.Second, func() { newFault(w, 0).restartAll() })
 	w.Run(110 * model.Second)
 	w.copies = 0
 	ended := func() bool {
--- a/internal/controller/sim_node_test.go
+++ b/internal/controller/sim_node_test.go
@@ -76,6 +76,12 @@
 	n.alive, n.pending = false, nil
 }
 
+// crashFor ends a controller, and starts it again after that time.
+func (n *simNode) crashFor(down model.Micros) {
+	n.crash()
+	n.w.After(down, n.start)
+}
+
 func (n *simNode) tick(life int) {
 	if !n.alive || n.life != life {
 		return
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 	"os"
+	"strings"
 	"testing"
 
 	"woadweir/internal/config"
@@ -63,6 +64,7 @@
 	closeLooks  bool                                     // users ask at all nodes when they are told anything
 	looked      int                                      // questions so asked that were answered
 	stateLag    model.Micros                             // requests to the state service take up to so much longer
+	begun       []string                                 // the drawn faults that have begun, for failure messages
 }
 
 // copyLate is well over a lease.
@@ -180,6 +182,9 @@
 		}
 		s += "\n"
 	}
+	if len(w.begun) > 0 {
+		s += "faults: " + strings.Join(w.begun, "; ") + "\n"
+	}
 	return s
 }
 
