--- a/internal/controller/awaits_test.go
+++ b/internal/controller/awaits_test.go
@@ -39,7 +39,7 @@
 }
 
 func awaiting(i int, refs ...string) *model.Submission {
-	s := sweepJob(i, 2, 5)
+	s := arrayJob(i, 2, 5)
 	s.Awaits = refs
 	return s
 }
@@ -50,9 +50,9 @@
 	w := newWorld(t, 61)
 	w.led(10 * model.Second)
 	w.Run(w.Now + 3*model.Second)
-	service := sweepJob(2, 1, 0)
+	service := arrayJob(2, 1, 0)
 	service.Kind = "service"
-	for i, s := range []*model.Submission{sweepJob(0, 2, 200), service} {
+	for i, s := range []*model.Submission{arrayJob(0, 2, 200), service} {
 		if a := w.nodes[i].submits(s); a.Code != 201 {
 			t.Fatalf("%d %s", a.Code, a.Body)
 		}
@@ -91,7 +91,7 @@
 	w.Run(w.Now + 3*model.Second)
 	var refs []string
 	for i := range 100 {
-		s := sweepJob(i, 1, 1)
+		s := arrayJob(i, 1, 1)
 		refs = append(refs, s.ID)
 		n := w.nodes[i%3]
 		w.until(30*model.Second, "accepted", func() bool { return n.submits(s).Code/100 == 2 })
@@ -118,7 +118,7 @@
 		w.rules.Subs[s.ID], w.rules.Awaits[s.ID] = s.Job(0), s.Awaits
 		w.until(60*model.Second, "accepted", func() bool { return w.nodes[w.Rng.IntN(3)].submits(s).Code/100 == 2 })
 	}
-	before, first := sweepJob(0, 1, 1), sweepJob(1, 4, 300)
+	before, first := arrayJob(0, 1, 1), arrayJob(1, 4, 300)
 	accept(before)
 	first.Awaits = []string{before.ID}
 	accept(first)
@@ -223,12 +223,12 @@
 	w := newWorld(t, 66)
 	w.led(10 * model.Second)
 	w.Run(w.Now + 3*model.Second)
-	first := sweepJob(0, 2, 60)
-	big := sweepJob(1, 20, 5) // the team's whole limit
+	first := arrayJob(0, 2, 60)
+	big := arrayJob(1, 20, 5) // the team's whole limit
 	big.Awaits, big.Priority = []string{first.ID}, "critical"
 	w.submit(first, 0).then = func() { w.submit(big, 0) }
 	w.until(30*model.Second, "the first runs", func() bool { return w.rules.OnMachine() == 2 })
-	beside := w.submit(sweepJob(2, 16, 5), 0)
+	beside := w.submit(arrayJob(2, 16, 5), 0)
 	w.until(40*model.Second, "what came later is done", func() bool { return beside.ended == "done" })
 	if s := w.nodes[0].statusOf(t, big.ID); s != "pending" {
 		t.Errorf("what waits is %s", s)
@@ -246,7 +246,7 @@
 		return slices.ContainsFunc(w.rules.Broken, func(b string) bool { return strings.Contains(b, name) })
 	}
 	// The service is not told that the second awaits the first.
-	first, second := sweepJob(0, 2, 60), sweepJob(1, 2, 60)
+	first, second := arrayJob(0, 2, 60), arrayJob(1, 2, 60)
 	w.submit(first, 0)
 	w.submit(second, 0)
 	w.rules.Awaits[second.ID] = []string{first.ID}
@@ -255,8 +255,8 @@
 	(&user{w: w, sub: first}).withdraw()
 	w.until(60*model.Second, "orphaned", func() bool { return broken("orphaned") })
 	// Nobody is left to answer, and no trouble is said to be the reason.
-	w.submit(sweepJob(2, 1, 300), 0)
-	w.until(20*model.Second, "it is accepted", func() bool { return w.rules.Accepted[sweepJob(2, 1, 1).ID] })
+	w.submit(arrayJob(2, 1, 300), 0)
+	w.until(20*model.Second, "it is accepted", func() bool { return w.rules.Accepted[arrayJob(2, 1, 1).ID] })
 	w.rules.Calm = w.Now
 	for _, n := range w.nodes {
 		n.crash()
--- a/internal/controller/cells_chaos_test.go
+++ b/internal/controller/cells_chaos_test.go
@@ -23,8 +23,8 @@
 		x.set(from, to, kind-1)
 		x.After(2*long, func() { x.set(from, to, open) })
 	case 4: // calls arrive again, minutes late
-		x.copies = 0.4
-		x.After(long, func() { x.copies = 0 })
+		x.duplicateRequests = 0.4
+		x.After(long, func() { x.duplicateRequests = 0 })
 	case 5: // the holder stands still for longer than its lease, and wakes late
 		if l := w.leader(); l != nil && !l.paused {
 			l.pauseFor(long + 5*model.Second)
@@ -58,7 +58,7 @@
 					cancel = x.Between(5*model.Second, 60*model.Second)
 				}
 				x.At(x.Between(5*model.Second, 70*model.Second), func() {
-					s := sweepJob(100*c+i, 1+x.Rng.IntN(5), float64(4+x.Rng.IntN(60)))
+					s := arrayJob(100*c+i, 1+x.Rng.IntN(5), float64(4+x.Rng.IntN(60)))
 					if x.Chance(0.3) {
 						s = gangJob(100*c+i, 1+x.Rng.IntN(3), float64(4+x.Rng.IntN(60)))
 					}
--- a/internal/controller/cells_failures_test.go
+++ b/internal/controller/cells_failures_test.go
@@ -29,13 +29,13 @@
 	l.home = l.cells[0]
 	l.Run(20 * model.Second)
 	for i, team := range []string{"red", "blue"} {
-		s := sweepJob(i, 4, 0) // half of the cell's cores each
+		s := arrayJob(i, 4, 0) // half of the cell's cores each
 		s.Kind, s.Team, s.Cores = "service", team, 4
 		l.fillers = append(l.fillers, l.home.submit(s, 0))
 	}
 	l.Run(l.Now + 15*model.Second)
-	l.home.closeLooks = true
-	s := sweepJob(900, 4, seconds)
+	l.home.checksEveryNode = true
+	s := arrayJob(900, 4, seconds)
 	s.Cores = 4
 	l.user = l.home.submit(s, 0)
 	return l
@@ -154,7 +154,7 @@
 		l.user.cancel(nil)
 	}},
 	{"cancelled while the guest's machines hang", func(l *lentJob) { l.hang(); l.user.cancel(nil) }},
-	{"cancelled while the guest's machines are cut off", func(l *lentJob) { l.mute(); l.user.cancel(nil) }},
+	{"cancelled while the guest's machines are cut off", func(l *lentJob) { l.cutOffGuest(); l.user.cancel(nil) }},
 	{"cancelled as the guest's holder ends and the link is cut", func(l *lentJob) {
 		l.link(l.guest, l.home, dropped)
 		l.endHolder(l.guest)
@@ -206,16 +206,16 @@
 	}
 }
 
-// muteFor is longer than a workers' lease.
-const muteFor = 25 * model.Second
+// cutOffTime is longer than a worker's lease.
+const cutOffTime = 25 * model.Second
 
-func (l *lentJob) mute() { l.cutOff(l.guest) }
+func (l *lentJob) cutOffGuest() { l.cutOff(l.guest) }
 
 // cutOff keeps the machines of a cell from reaching any controller.
 func (l *lentJob) cutOff(w *world) {
 	for _, x := range w.cloud.Workers() {
-		w.mute[x.ID] = true
-		l.After(muteFor, func() { delete(w.mute, x.ID) })
+		w.heartbeatsBlocked[x.ID] = true
+		l.After(cutOffTime, func() { delete(w.heartbeatsBlocked, x.ID) })
 	}
 }
 
@@ -258,10 +258,10 @@
 	name string
 	come func(l *lentJob)
 }{
-	{"cancelled through a sibling while home's holder is blind", func(l *lentJob) {
+	{"cancelled through a sibling while home's holder gets no syncs", func(l *lentJob) {
 		n := l.home.leader()
-		n.blind, n.alone = true, true
-		l.After(60*model.Second, func() { n.blind, n.alone = false, false })
+		n.syncsLost, n.peersCutOff = true, true
+		l.After(60*model.Second, func() { n.syncsLost, n.peersCutOff = false, false })
 		l.user.cancel((&meeting{world: l.home}).other(n))
 	}},
 	{"cancelled as answers are held for seconds", func(l *lentJob) {
@@ -279,7 +279,7 @@
 				return
 			}
 			l.watch = nil
-			n.alone = true // or it resigns when it wakes
+			n.peersCutOff = true // or it resigns when it wakes
 			n.pauseFor(6 * model.Second)
 			l.link(l.guest, l.home, dropped)
 			l.After(20*model.Millisecond, func() { l.user.cancel(nil) })
@@ -290,7 +290,7 @@
 		l.freeHome()
 		l.user.cancel(nil)
 		l.After(model.Second, func() {
-			s := sweepJob(901, 10, 60)
+			s := arrayJob(901, 10, 60)
 			s.Cores = 4
 			l.home.submit(s, 0)
 		})
@@ -381,7 +381,7 @@
 				l.reach("all of it runs", func() bool { return l.accepted() && l.rules.OnMachineOf(l.job) == 4 })
 				l.Run(l.Now + 3*model.Second)
 				c.come(l)
-				l.After(cutAfter, l.mute)
+				l.After(cutAfter, l.cutOffGuest)
 				l.Run(l.Now + 120*model.Second)
 				l.verify(t)
 			})
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -13,7 +13,7 @@
 // burst submits arrays and gangs to a cell, more than it has machines for.
 func (x *cellWorld) burst(w *world, first, jobs int, seconds float64) (us []*user) {
 	for i := range jobs {
-		s := sweepJob(first+i, 1+i%4, seconds)
+		s := arrayJob(first+i, 1+i%4, seconds)
 		if i%4 == 3 {
 			s = gangJob(first+i, 2, seconds)
 		}
@@ -109,7 +109,7 @@
 	t.Parallel()
 	x := newCellWorld(t, 8, defaultRight, 1, 2, 2)
 	x.Run(20 * model.Second)
-	own := sweepJob(20, 1, 20)
+	own := arrayJob(20, 1, 20)
 	x.rules.Subs[own.ID] = own.Job(0)
 	x.call(x.cells[1], func(r chan<- userapi.Answer) any { s := *own; return msgSubmit{own.ID, &s, nil, r} }, func(userapi.Answer) {})
 	x.Run(x.Now + 60*model.Second)
@@ -188,7 +188,7 @@
 	x := newCellWorld(t, 11, defaultRight, 1, 2, 2)
 	x.Run(20 * model.Second)
 	home := x.cells[0]
-	u := home.submit(sweepJob(0, 2, 5), 0)
+	u := home.submit(arrayJob(0, 2, 5), 0)
 	for _, op := range []state.Op{{Set: "spill/out/j-000000", Value: "?"}, {Set: "spill/in/south/j-000099", Value: 7}} {
 		if _, err := home.state.Commit("", &state.Txn{Then: []state.Op{op}}); err != nil {
 			t.Fatal(err)
@@ -250,7 +250,7 @@
 	if p := l.guest.leader().ctl.leading.block.Jobs[l.job]; p == nil || p.Priority != model.LowPriority {
 		t.Errorf("the lent job is %+v", p)
 	}
-	own := sweepJob(950, 8, 10)
+	own := arrayJob(950, 8, 10)
 	own.Team, own.Cores, own.Priority = "blue", 3.5, "standard"
 	u := l.guest.submit(own, 0)
 	l.Run(l.Now + 60*model.Second)
--- a/internal/controller/cells_world_test.go
+++ b/internal/controller/cells_world_test.go
@@ -28,10 +28,10 @@
 	rules *standin.Rules
 	cells []*world
 
-	cut    map[cellLink]int // how the way from one cell to another is cut
-	held   map[cellLink][]func()
-	copies float64 // chance that a call arrives once more, up to minutes later
-	slow   model.Micros
+	cut               map[cellLink]int // how the way from one cell to another is cut
+	held              map[cellLink][]func()
+	duplicateRequests float64 // chance that a call arrives once more, up to minutes later
+	slow              model.Micros
 	// watch, if set, is told of every call that arrives.
 	watch func(from, to *world, call any)
 	calls int
@@ -163,7 +163,7 @@
 		}
 	}
 	x.pass(home.cell.name, cell, arrive)
-	if x.copies > 0 && x.Chance(x.copies) {
+	if x.duplicateRequests > 0 && x.Chance(x.duplicateRequests) {
 		x.After(x.Between(model.Second, 150*model.Second), arrive)
 	}
 }
@@ -245,7 +245,7 @@
 			x.set(from, to, open)
 		}
 	}
-	x.copies, x.slow, x.watch = 0, 0, nil
+	x.duplicateRequests, x.slow, x.watch = 0, 0, nil
 }
 
 // allEnded tells whether users were told of the end of all jobs that they submitted, but for
--- a/internal/controller/chaos_test.go
+++ b/internal/controller/chaos_test.go
@@ -13,7 +13,7 @@
 	w := newWorld(t, 1)
 	var us []*user
 	for i := range 6 {
-		us = append(us, w.submit(sweepJob(i, 8, 10), 0))
+		us = append(us, w.submit(arrayJob(i, 8, 10), 0))
 	}
 	for i := 10; i < 14; i++ {
 		us = append(us, w.submit(gangJob(i, 1+i%3, 12), 0))
@@ -43,9 +43,9 @@
 		drawPipelines(rt, w)
 		drawFaults(rt, w, calm)
 		drawSimultaneousFaults(rt, w, calm)
-		w.copies = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "copies")
+		w.duplicateHeartbeats = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "copies")
 		w.repeats = rapid.SampledFrom([]float64{0, 0.05}).Draw(rt, "repeats")
-		w.closeLooks = rapid.Bool().Draw(rt, "looks")
+		w.checksEveryNode = rapid.Bool().Draw(rt, "looks")
 		w.At(calm, (&meeting{world: w}).calm)
 		w.Run(calm)
 		for w.Now < 500*model.Second {
@@ -87,7 +87,7 @@
 
 // randomJob draws an array or a gang, some with demands on their places.
 func (w *world) randomJob(i int) *model.Submission {
-	s := sweepJob(i, 1+w.Rng.IntN(12), float64(2+w.Rng.IntN(25)))
+	s := arrayJob(i, 1+w.Rng.IntN(12), float64(2+w.Rng.IntN(25)))
 	switch w.Rng.IntN(5) {
 	case 0:
 		s = gangJob(i, 1+w.Rng.IntN(4), float64(2+w.Rng.IntN(25)))
@@ -106,7 +106,7 @@
 	for i := range rapid.IntRange(0, 3).Draw(rt, "services") {
 		at, cancel := w.Between(0, 60*model.Second), w.Between(30*model.Second, 200*model.Second)
 		w.At(at, func() {
-			s := sweepJob(50+i, 1+w.Rng.IntN(4), 0)
+			s := arrayJob(50+i, 1+w.Rng.IntN(4), 0)
 			s.Kind, s.Priority, s.AllowsSpot, s.Spread = "service", "critical", false, w.Chance(0.7)
 			w.submit(s, cancel)
 		})
--- a/internal/controller/duties_fleet_test.go
+++ b/internal/controller/duties_fleet_test.go
@@ -28,7 +28,7 @@
 		n.start()
 	}
 	for i := range 40 {
-		s := sweepJob(i, 100, 150)
+		s := arrayJob(i, 100, 150)
 		s.Cores = 8 // a machine each
 		w.At(model.Micros(i)*500*model.Millisecond, func() { w.submit(s, 0) })
 	}
--- a/internal/controller/duties_test.go
+++ b/internal/controller/duties_test.go
@@ -87,7 +87,7 @@
 // somework keeps machines being rented and returned.
 func (w *world) somework(jobs int, every model.Micros) {
 	for i := range jobs {
-		w.At(w.Now+model.Micros(i)*every, func() { w.submit(sweepJob(i, 6, 6), 0) })
+		w.At(w.Now+model.Micros(i)*every, func() { w.submit(arrayJob(i, 6, 6), 0) })
 	}
 }
 
@@ -529,7 +529,7 @@
 		w := newDutyWorld(t, rapid.Uint64().Draw(rt, "seed"), rapid.SampledFrom([]string{spreadDuties, leaderDuties}).Draw(rt, "file"))
 		const calm = 110 * model.Second
 		w.somework(rapid.IntRange(4, 12).Draw(rt, "jobs"), w.Between(model.Second, 8*model.Second))
-		w.copies = rapid.SampledFrom([]float64{0, 0.1}).Draw(rt, "copies")
+		w.duplicateHeartbeats = rapid.SampledFrom([]float64{0, 0.1}).Draw(rt, "copies")
 		w.repeats = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "repeats")
 		for range rapid.IntRange(1, 6).Draw(rt, "faults") {
 			kind := rapid.IntRange(0, faultKinds-1).Draw(rt, "kind")
@@ -602,7 +602,7 @@
 		n.start()
 	}
 	for i := range 600 {
-		w.At(w.Now+model.Micros(i)*100*model.Millisecond, func() { w.submit(sweepJob(i, 3, 8), 0) })
+		w.At(w.Now+model.Micros(i)*100*model.Millisecond, func() { w.submit(arrayJob(i, 3, 8), 0) })
 	}
 	w.Run(70 * model.Second)
 	decided, outcomes := map[string]model.Micros{}, 0
--- a/internal/controller/failing_jobs_test.go
+++ b/internal/controller/failing_jobs_test.go
@@ -15,16 +15,16 @@
 	w.rules.Mistaken = map[string]bool{}
 	var healthy, mistaken []*user
 	for i := range 4 {
-		healthy = append(healthy, w.submit(sweepJob(i, 8, 20), 0))
+		healthy = append(healthy, w.submit(arrayJob(i, 8, 20), 0))
 	}
 	// Other work goes on all the while: where it runs, a failure is not the machine's.
 	for i := range 15 {
 		w.At(model.Micros(10+10*i)*model.Second, func() {
-			healthy = append(healthy, w.submit(sweepJob(100+i, 8, 20), 0))
+			healthy = append(healthy, w.submit(arrayJob(100+i, 8, 20), 0))
 		})
 	}
 	for i := range 2 {
-		sub := sweepJob(10+i, 16, 20)
+		sub := arrayJob(10+i, 16, 20)
 		w.rules.Mistaken[sub.ID] = true
 		mistaken = append(mistaken, w.submit(sub, 0))
 	}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -34,13 +34,13 @@
 func TestTakeoverWithLateCommits(t *testing.T) {
 	w := newWorld(t, 3)
 	for i := range 6 {
-		w.submit(sweepJob(i, 8, 20), 0)
+		w.submit(arrayJob(i, 8, 20), 0)
 	}
 	w.until(40*model.Second, "something runs", func() bool { return w.rules.OnMachine() > 10 })
 	old := w.leader()
 	old.setCut(holding)
 	for i := 6; i < 9; i++ {
-		w.submit(sweepJob(i, 8, 10), 0)
+		w.submit(arrayJob(i, 8, 10), 0)
 	}
 	w.until(14*model.Second, "another leads", func() bool { l := w.leader(); return l != nil && l != old })
 	if old.ctl.auth.Holds(old.ctl.clock()) {
@@ -72,7 +72,7 @@
 		w.After(commitPatience, func() { n.deliver(life, m) })
 		return true
 	}
-	u := w.submit(sweepJob(1, 6, 15), 0)
+	u := w.submit(arrayJob(1, 6, 15), 0)
 	w.until(60*model.Second, "it runs", func() bool { return w.rules.OnMachine() == 6 })
 	if res, err := w.state.Commit(n.name, held); err != nil || res.OK {
 		t.Fatalf("a late copy is carried out: %v, %v", held, err)
@@ -86,7 +86,7 @@
 
 // A former holder's transaction that is carried out after the takeover changes
 // nothing, even where the new holder has not written the same keys yet.
-func TestFormerHoldersCommitIsShutOut(t *testing.T) {
+func TestFormerHoldersCommitChangesNothing(t *testing.T) {
 	w := newWorld(t, 14)
 	w.led(5 * model.Second)
 	n := w.leader()
@@ -98,7 +98,7 @@
 		held = m.txn
 		return true
 	}
-	u := w.submit(sweepJob(1, 6, 15), 0)
+	u := w.submit(arrayJob(1, 6, 15), 0)
 	w.until(60*model.Second, "a binding is on its way", func() bool { return held != nil })
 	n.crash()
 	w.state.Refused[n.name] = false
@@ -123,7 +123,7 @@
 func TestRestartWithinTheSession(t *testing.T) {
 	w := newWorld(t, 5)
 	for i := range 4 {
-		w.submit(sweepJob(i, 8, 25), 0)
+		w.submit(arrayJob(i, 8, 25), 0)
 	}
 	w.until(40*model.Second, "something runs", func() bool { return w.rules.OnMachine() > 10 })
 	n := w.leader()
@@ -176,7 +176,7 @@
 	w := newWorld(t, 7)
 	w.until(5*model.Second, "a leader that knows the machine types", func() bool { return len(w.nodes[0].ctl.view.MachineTypes) > 0 })
 	w.Run(w.Now + model.Second)
-	s := sweepJob(1, 3, 5)
+	s := arrayJob(1, 3, 5)
 	w.rules.Subs[s.ID] = s.Job(0)
 	w.nodes[0].ask(msgSubmit{s.ID, s, nil, make(chan userapi.Answer, 1)}, nil)
 	w.until(model.Second, "it is accepted", func() bool { return w.state.Has("job/" + s.ID) })
@@ -196,13 +196,13 @@
 // An ended job is never accepted again, also by a node that does not know it.
 func TestEndedJobIsNotRunAgain(t *testing.T) {
 	w := newWorld(t, 8)
-	u := w.submit(sweepJob(1, 2, 2), 0)
+	u := w.submit(arrayJob(1, 2, 2), 0)
 	w.until(60*model.Second, "done", func() bool { return u.ended == "done" })
 	n := w.nodes[1]
 	n.ctl.view = state.NewView() // a node that knows nothing
 	n.ctl.view.MachineTypes, n.ctl.wantList = simMachineTypes, true
 	reply := make(chan userapi.Answer, 1)
-	n.ask(msgSubmit{"j-000001", sweepJob(1, 2, 2), nil, reply}, nil)
+	n.ask(msgSubmit{"j-000001", arrayJob(1, 2, 2), nil, reply}, nil)
 	w.until(2*model.Second, "an answer", func() bool { return len(reply) == 1 })
 	if a := <-reply; a.Code != 200 || !strings.Contains(string(a.Body), "done") {
 		t.Fatalf("answered %d %s", a.Code, a.Body)
@@ -218,7 +218,7 @@
 // finished afterwards. Submissions are refused at once.
 func TestOutageLongerThanASession(t *testing.T) {
 	w := newWorld(t, 9)
-	u := w.submit(sweepJob(1, 8, 60), 0)
+	u := w.submit(arrayJob(1, 8, 60), 0)
 	w.until(40*model.Second, "it runs", func() bool { return w.rules.OnMachine() == 8 })
 	w.state.SetOutage(true)
 	w.Run(w.Now + 13*model.Second)
@@ -229,7 +229,7 @@
 		t.Fatal("running tasks were lost in a short outage")
 	}
 	reply := make(chan userapi.Answer, 1)
-	w.nodes[1].ask(msgSubmit{"j-000002", sweepJob(2, 1, 1), nil, reply}, nil)
+	w.nodes[1].ask(msgSubmit{"j-000002", arrayJob(2, 1, 1), nil, reply}, nil)
 	if len(reply) != 1 {
 		t.Fatal("a submission that can't be taken is held")
 	}
@@ -250,9 +250,9 @@
 
 // One node alone gets 503s: a sibling answers its users, and if it led, another
 // takes over.
-func TestLoneRefusal(t *testing.T) {
+func TestRefusedNode(t *testing.T) {
 	w := newWorld(t, 10)
-	w.submit(sweepJob(1, 4, 30), 0)
+	w.submit(arrayJob(1, 4, 30), 0)
 	w.until(40*model.Second, "it runs", func() bool { return w.rules.OnMachine() == 4 })
 	n := w.leader()
 	n.setCut(refused)
@@ -276,9 +276,9 @@
 
 // A leader that no worker reaches any more hands over to a sibling that they do
 // reach, before their leases run out.
-func TestDesertedLeaderResigns(t *testing.T) {
+func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	w := newWorld(t, 15)
-	w.submit(sweepJob(1, 12, 60), 0)
+	w.submit(arrayJob(1, 12, 60), 0)
 	w.until(40*model.Second, "it runs", func() bool { return w.rules.OnMachine() == 12 })
 	n := w.leader()
 	n.workers = false
@@ -322,7 +322,7 @@
 	n := w.nodes[0]
 	n.setCut(refused)
 	for i := range 4 {
-		w.submit(sweepJob(i, 4, 5), 0)
+		w.submit(arrayJob(i, 4, 5), 0)
 	}
 	w.Run(w.Now + 30*model.Second)
 	n.setCut(open)
@@ -344,7 +344,7 @@
 	w := newWorld(t, 16)
 	var us []*user
 	for i := range 2 {
-		s := sweepJob(i, 100_000, 1)
+		s := arrayJob(i, 100_000, 1)
 		s.Cores, s.MemoryGB, s.Team, s.ImageGB = 0.001, 0.001, "red", 0.1
 		us = append(us, w.submit(s, 0))
 	}
@@ -411,7 +411,7 @@
 	}
 	accept := func(i int) (code int) {
 		reply := make(chan userapi.Answer, 1)
-		s := sweepJob(i, 1, 5)
+		s := arrayJob(i, 1, 5)
 		n.ask(msgSubmit{s.ID, s, nil, reply}, nil)
 		for range 30 {
 			w.Run(w.Now + 10*model.Millisecond)
@@ -436,7 +436,7 @@
 func TestQueuedCancellationMeetsTheEnd(t *testing.T) {
 	for seed := range uint64(5) {
 		w := newWorld(t, 60+seed)
-		u := w.submit(sweepJob(1, 2, 8), 0)
+		u := w.submit(arrayJob(1, 2, 8), 0)
 		w.until(60*model.Second, "it runs", func() bool { return w.rules.OnMachine() == 2 })
 		n := w.nodes[0]
 		if n == w.leader() {
@@ -452,7 +452,7 @@
 			return false
 		}
 		for i := range userLanes {
-			s := sweepJob(10+i, 1, 1)
+			s := arrayJob(10+i, 1, 1)
 			n.ask(msgSubmit{s.ID, s, nil, make(chan userapi.Answer, 1)}, nil)
 		}
 		if len(lanes) != userLanes {
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -132,15 +132,15 @@
 func (f *faultRun) isolateWithWorkers() {
 	n := f.node
 	n.setCut(dropped)
-	n.alone = true
-	f.After(f.long, func() { n.setCut(open); n.alone = false })
+	n.peersCutOff = true
+	f.After(f.long, func() { n.setCut(open); n.peersCutOff = false })
 }
 
 func (f *faultRun) loseResponses() {
 	for _, x := range f.workers {
 		if f.Chance(0.3) {
-			f.deaf[x.ID] = true
-			f.After(2*f.long, func() { delete(f.deaf, x.ID) })
+			f.responsesLost[x.ID] = true
+			f.After(2*f.long, func() { delete(f.responsesLost, x.ID) })
 		}
 	}
 }
@@ -169,8 +169,8 @@
 func (f *faultRun) blockHeartbeats() {
 	for _, x := range f.workers {
 		if f.Chance(0.4) {
-			f.mute[x.ID] = true
-			f.After(f.long, func() { delete(f.mute, x.ID) })
+			f.heartbeatsBlocked[x.ID] = true
+			f.After(f.long, func() { delete(f.heartbeatsBlocked, x.ID) })
 		}
 	}
 }
@@ -198,11 +198,11 @@
 func (f *faultRun) cutOffZone() {
 	n := f.node
 	n.setCut(dropped)
-	n.alone, n.hidden = true, true
+	n.peersCutOff, n.usersCutOff = true, true
 	f.reaches = func(x *standin.Worker, o *simNode) bool { return (x.Zone == "a") == (o == n) }
 	f.After(f.long, func() {
 		n.setCut(open)
-		n.alone, n.hidden = false, false
+		n.peersCutOff, n.usersCutOff = false, false
 		f.reaches = nil
 	})
 }
@@ -242,15 +242,15 @@
 // askEverywhere has users ask at all nodes, repeat submissions, also altered ones, and
 // cancel what is done.
 func (f *faultRun) askEverywhere() {
-	before := f.closeLooks
-	f.closeLooks = true
+	before := f.checksEveryNode
+	f.checksEveryNode = true
 	for _, u := range f.users {
 		if u.accepted && f.Chance(0.6) {
-			u.look()
+			u.checkEveryNode()
 		}
 		if u.ended == "done" && f.Chance(0.5) {
 			u.cancel(nil)
 		}
 	}
-	f.closeLooks = before
+	f.checksEveryNode = before
 }
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -27,11 +27,11 @@
 func TestManyMachinesFailTogether(t *testing.T) {
 	t.Parallel()
 	w := newDeployment(t, 41, fleetSettings, capacity(385, 125))
-	w.copies = 0.03
+	w.duplicateHeartbeats = 0.03
 	var us []*user
 	for i := range 320 {
 		w.At(model.Micros(i)*120*model.Millisecond, func() {
-			s := sweepJob(i, 52, 25)
+			s := arrayJob(i, 52, 25)
 			if i%4 == 0 {
 				s = gangJob(i, 4, 25)
 				s.SameZone = i%8 == 0
@@ -78,7 +78,7 @@
 	})
 	w.After(35*model.Second, func() { newFault(w, 0).restartAll() })
 	w.Run(110 * model.Second)
-	w.copies = 0
+	w.duplicateHeartbeats = 0
 	ended := func() bool {
 		for _, u := range us {
 			if u.accepted && u.ended == "" {
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -19,7 +19,7 @@
 		us = []*user{a, b, c}
 		l = m.leads()
 		l.setCut(refused)
-		l.alone, cut = alone, m.Now
+		l.peersCutOff, cut = alone, m.Now
 		end := m.Now + min(long, 1800*model.Millisecond) - 50*model.Millisecond
 		m.Run(m.Now + 50*model.Millisecond)
 		if m.leader() != l {
@@ -51,7 +51,7 @@
 // reporting to the old leader. What this guards: authority rests on when the last good
 // touch and catch-up were sent, and the session is so short that with the workers' lease
 // after it all is over in time.
-func TestTheGap(t *testing.T) {
+func TestRefusedLeaderThenOutage(t *testing.T) {
 	times := append([]workerTimes{{5, 26.5, 51.5}, {5, 26.5, 46.5}}, meetingTimes...)
 	for i, ts := range times {
 		session := leadership.Settle(30*model.Second, model.Seconds(ts.lease), model.Seconds(ts.report), model.Seconds(ts.cancel)).TTL
@@ -76,7 +76,7 @@
 					}
 					if v.mute {
 						for j, x := range m.cloud.Workers() {
-							m.mute[x.ID] = j%2 == 0
+							m.heartbeatsBlocked[x.ID] = j%2 == 0
 						}
 					}
 					m.Run(cut + until)
@@ -85,7 +85,7 @@
 					if !v.first {
 						l.setCut(open)
 					}
-					m.over(cancelled...)
+					m.requireStopped(cancelled...)
 					m.Run(m.Now + m.rules.Cancel/4)
 					if v.first {
 						for _, n := range m.nodes {
@@ -94,15 +94,15 @@
 							}
 						}
 						l.setCut(open)
-						l.blind = v.blind
+						l.syncsLost = v.blind
 					}
 					m.state.SetOutage(false)
 					if v.blind {
 						m.Run(m.Now + 2*m.session())
-						l.blind = false
+						l.syncsLost = false
 					}
 					m.Run(m.Now + 3*model.Second)
-					m.served()
+					m.requireServed()
 				})
 			}
 		}
@@ -111,16 +111,16 @@
 
 // The same while starts of the cancelled job are still on their way to machines, and
 // with a job that awaits it, which is withdrawn with it and never begins.
-func TestTheGapWithStartsInFlight(t *testing.T) {
+func TestRefusedLeaderThenOutageWithStartsInFlight(t *testing.T) {
 	for i, ts := range meetingTimes {
 		for k, until := range []model.Micros{model.Second, 5 * model.Second, 10 * model.Second} {
 			t.Run(fmt.Sprintf("cancel %v outage after %.1f", ts.cancel, until.Seconds()), func(t *testing.T) {
 				t.Parallel()
 				m := newMeeting(t, ts, uint64(300+i*10+k))
 				m.load()
-				first := m.sweep(6, 300)
+				first := m.submitArray(6, 300)
 				m.until(20*model.Second, "it is accepted", func() bool { return first.accepted })
-				s := sweepJob(600, 2, 5)
+				s := arrayJob(600, 2, 5)
 				s.Awaits = []string{first.sub.ID}
 				next := m.add(s)
 				m.until(20*model.Second, "that which awaits it is accepted", func() bool { return next.accepted })
@@ -137,7 +137,7 @@
 				m.state.SetOutage(true)
 				m.Run(max(m.Now, cut+14*model.Second))
 				l.setCut(open)
-				m.over(first)
+				m.requireStopped(first)
 				m.Run(m.Now + m.rules.Cancel/4)
 				m.state.SetOutage(false)
 				m.Run(m.Now + 3*model.Second)
@@ -145,7 +145,7 @@
 				if m.on(next) > 0 {
 					t.Error("what awaits a withdrawn job runs")
 				}
-				m.served()
+				m.requireServed()
 			})
 		}
 	}
--- a/internal/controller/guest_team_test.go
+++ b/internal/controller/guest_team_test.go
@@ -19,7 +19,7 @@
 // guestJob is of one of the guest's classes: large arrays and tiny ones, all idle work
 // that saves its progress.
 func guestJob(i, tasks int, cores, guess float64) *model.Submission {
-	s := sweepJob(i, tasks, guess)
+	s := arrayJob(i, tasks, guess)
 	s.Team, s.Priority, s.Cores, s.CheckpointS, s.SaveS = "guest", "idle", cores, 5, 1
 	return s
 }
@@ -67,7 +67,7 @@
 		submit((60+40*i)*model.Second, guestJob(700+int(i), 6, 1, 10), &guests)
 	}
 	for i := range model.Micros(24) { // 4 tasks of 2 CPUs: 8 of the 20 that are guaranteed
-		submit((60+8*i)*model.Second, sweepJob(int(i), 4, 8), &guaranteed)
+		submit((60+8*i)*model.Second, arrayJob(int(i), 4, 8), &guaranteed)
 	}
 	w.At(w.Now+130*model.Second, func() { w.leader().crash() })
 	w.Run(w.Now + 460*model.Second)
--- a/internal/controller/meeting_world_test.go
+++ b/internal/controller/meeting_world_test.go
@@ -35,7 +35,7 @@
 
 func newMeeting(t *testing.T, ts workerTimes, seed uint64) *meeting {
 	m := &meeting{world: newDeployment(t, seed, ts.settings, capacity(4, 2))}
-	m.closeLooks = true
+	m.checksEveryNode = true
 	return m
 }
 
@@ -53,24 +53,24 @@
 	return u
 }
 
-func (m *meeting) sweep(tasks int, guess float64) *user {
+func (m *meeting) submitArray(tasks int, guess float64) *user {
 	m.next++
-	return m.add(sweepJob(m.next, tasks, guess))
+	return m.add(arrayJob(m.next, tasks, guess))
 }
 
-func (m *meeting) gang(tasks int, guess float64) *user {
+func (m *meeting) submitGang(tasks int, guess float64) *user {
 	m.next++
 	return m.add(gangJob(m.next, tasks, guess))
 }
 
 // load is a mixed load: what runs long, what is short, and a service.
 func (m *meeting) load() (long *user, gang *user, service *user) {
-	long, gang = m.sweep(6, 300), m.gang(3, 300)
-	s := sweepJob(500, 2, 0)
+	long, gang = m.submitArray(6, 300), m.submitGang(3, 300)
+	s := arrayJob(500, 2, 0)
 	s.Kind, s.Priority, s.AllowsSpot, s.Spread = "service", "critical", false, true
 	service = m.add(s)
 	for range 3 {
-		m.sweep(4, 20)
+		m.submitArray(4, 20)
 	}
 	m.until(90*model.Second, "the load runs", func() bool {
 		return m.on(long) == 6 && m.on(gang) == 3 && m.on(service) == 2
@@ -142,28 +142,28 @@
 	m.state.SetOutage(false)
 	for _, n := range m.nodes {
 		n.setCut(open)
-		n.workers, n.alone, n.hidden, n.blind = true, false, false, false
+		n.workers, n.peersCutOff, n.usersCutOff, n.syncsLost = true, false, false, false
 		if !n.alive {
 			n.start()
 		}
 	}
-	clear(m.deaf)
-	clear(m.mute)
+	clear(m.responsesLost)
+	clear(m.heartbeatsBlocked)
 	clear(m.cut)
-	m.reaches, m.lag, m.stateLag, m.lateWrites, m.copies, m.repeats = nil, 0, 0, 0, 0, 0
+	m.reaches, m.lag, m.stateLag, m.lateWrites, m.duplicateHeartbeats, m.repeats = nil, 0, 0, 0, 0, 0
 	for _, x := range m.cloud.Workers() {
 		x.Hang(false)
 	}
 	m.rules.Calm = m.Now
 }
 
-// served ends all troubles and sees that the work is served: all that was accepted
+// requireServed ends all troubles and checks that the work is served: all that was accepted
 // comes to its end, nothing waits beside room, what comes anew runs, and the rules held.
-func (m *meeting) served() {
+func (m *meeting) requireServed() {
 	m.t.Helper()
 	m.calm()
-	m.sweep(3, 5)
-	m.gang(2, 5)
+	m.submitArray(3, 5)
+	m.submitGang(2, 5)
 	for _, u := range m.us {
 		if u.sub.Kind == "service" {
 			u.cancelAt = m.Now + 40*model.Second
@@ -194,9 +194,9 @@
 	return true
 }
 
-// over sees that nothing of the jobs is on machines once the time for a cancellation has
+// requireStopped checks that nothing of the jobs is on machines once the time for a cancellation has
 // passed.
-func (m *meeting) over(us ...*user) {
+func (m *meeting) requireStopped(us ...*user) {
 	m.t.Helper()
 	for _, u := range us {
 		m.Run(max(m.Now, m.rules.ToldAt(u.sub.ID)+m.rules.Cancel))
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -24,7 +24,7 @@
 		if n := m.rules.OnMachine(); n != 0 || m.leader() != nil {
 			m.t.Fatalf("%d tasks are on machines without a lease", n)
 		}
-		m.over(long)
+		m.requireStopped(long)
 	}},
 	{"cancellations while work changes hands", func(m *meeting) {
 		long, gang, _ := m.load()
@@ -39,17 +39,17 @@
 		m.until(60*model.Second, "another leads", func() bool { return m.leader() != nil })
 		gang.cancel(m.other(m.leader()))
 		m.withdrawn(10*model.Second, gang)
-		m.over(long, gang)
+		m.requireStopped(long, gang)
 	}},
 	{"transactions carried out late, after newer ones", func(m *meeting) {
 		long, gang, _ := m.load()
 		m.lateWrites, m.lateBy = 0.4, m.afterNewer
-		m.sweep(8, 10)
-		m.gang(3, 10)
+		m.submitArray(8, 10)
+		m.submitGang(3, 10)
 		long.cancel(nil)
 		m.Run(m.Now + 15*model.Second)
 		m.restart(m.nodes[0], 300*model.Millisecond)
-		m.sweep(8, 10)
+		m.submitArray(8, 10)
 		gang.cancel(nil)
 		m.Run(m.Now + 30*model.Second)
 		if m.arrivedLate < 10 {
@@ -60,7 +60,7 @@
 		long, _, _ := m.load()
 		m.lateWrites, m.lateBy = 0.5, m.atOnce
 		for range 6 {
-			m.sweep(2, 5)
+			m.submitArray(2, 5)
 		}
 		long.cancel(nil)
 		m.Run(m.Now + 20*model.Second)
@@ -68,20 +68,20 @@
 			m.restart(l, 200*model.Millisecond)
 		}
 		m.Run(m.Now + 20*model.Second)
-		if m.wroteLate < 5 || m.looked < 50 {
-			m.t.Fatalf("%d transactions without an answer, %d looks", m.wroteLate, m.looked)
+		if m.wroteLate < 5 || m.everyNodeAnswers < 50 {
+			m.t.Fatalf("%d transactions without an answer, %d looks", m.wroteLate, m.everyNodeAnswers)
 		}
 	}},
 	{"more work than room, urgent and not, over slow links", func(m *meeting) {
 		m.load()
 		m.lag = 1500 * model.Millisecond
 		for i := range 6 {
-			m.sweep(12, 15)
-			u := m.gang(3, 15)
+			m.submitArray(12, 15)
+			u := m.submitGang(3, 15)
 			if i%2 == 0 {
 				u.then = func() { u.cancelAt = m.Now + 10*model.Second }
 			}
-			low := sweepJob(200+i, 8, 10)
+			low := arrayJob(200+i, 8, 10)
 			low.Priority = "idle"
 			m.add(low)
 		}
@@ -120,7 +120,7 @@
 	{"an answer is held up for seconds, and the machine then goes on", func(m *meeting) {
 		long, gang, _ := m.load()
 		m.lag = 3500 * model.Millisecond
-		m.sweep(8, 10)
+		m.submitArray(8, 10)
 		m.Run(m.Now + m.report())
 		hung := 0
 		for i, x := range m.cloud.Workers() {
@@ -136,14 +136,14 @@
 		if hung < 3 {
 			m.t.Fatalf("%d machines hung", hung)
 		}
-		m.over(long, gang)
+		m.requireStopped(long, gang)
 	}},
 	{"a report is held back until a new leader has acted", func(m *meeting) {
 		long, _, _ := m.load()
 		for i, x := range m.cloud.Workers() {
 			m.cut[x.ID] = i%2 == 0
 		}
-		m.sweep(6, 10)
+		m.submitArray(6, 10)
 		m.Run(m.Now + m.report())
 		l := m.leads()
 		l.crash()
@@ -167,7 +167,7 @@
 		yard := "a"
 		var bound []*user
 		for i := range 3 {
-			s := sweepJob(200+i, 6, 60)
+			s := arrayJob(200+i, 6, 60)
 			if i == 2 {
 				s = gangJob(202, 3, 60)
 				s.SameZone = true
@@ -199,10 +199,10 @@
 		long, _, service := m.load()
 		l := m.leads()
 		l.setCut(dropped)
-		l.alone, l.hidden = true, true
+		l.peersCutOff, l.usersCutOff = true, true
 		m.reaches = func(x *standin.Worker, n *simNode) bool { return (x.Zone == "a") == (n == l) }
 		via := m.other(l)
-		m.sweep(4, 10)
+		m.submitArray(4, 10)
 		long.cancel(via)
 		service.cancel(via)
 		m.withdrawn(20*model.Second, long, service)
@@ -210,7 +210,7 @@
 		if n := m.ready(); n == nil || n == l {
 			m.t.Fatal("no other leads")
 		}
-		m.over(long, service)
+		m.requireStopped(long, service)
 	}},
 	{"the zone of all controllers is cut off for longer than a lease, right after a cancellation", func(m *meeting) {
 		long, gang, service := m.load()
@@ -219,12 +219,12 @@
 		}
 		l := m.leads()
 		l.setCut(dropped) // the leader does not hear of the cancellation
-		l.alone = true
+		l.peersCutOff = true
 		long.cancel(m.other(l))
 		m.withdrawn(10*model.Second, long)
 		for _, n := range m.nodes {
 			n.setCut(dropped)
-			n.hidden = true
+			n.usersCutOff = true
 		}
 		m.reaches = func(x *standin.Worker, _ *simNode) bool { return x.Zone == "a" }
 		m.Run(m.Now + 2*model.Second)
@@ -233,7 +233,7 @@
 		if n := m.tasksIn("b"); n > 0 {
 			m.t.Fatalf("%d tasks in the other zone outlive their leases", n)
 		}
-		m.over(long)
+		m.requireStopped(long)
 		m.calm()
 		// What ended there goes on, a report and its start after the takeover.
 		m.until(3*m.report()+10*model.Second, "replicas and gang run again", func() bool {
@@ -243,7 +243,7 @@
 	{"jobs of two or three tasks end far apart across a change of leader", func(m *meeting) {
 		m.cloud.Run = func(*model.Job) model.Micros { return m.Between(2*model.Second, 50*model.Second) }
 		for i := range 8 {
-			m.sweep(2+i%2, 20)
+			m.submitArray(2+i%2, 20)
 		}
 		changes := 0
 		for range 4 {
@@ -269,10 +269,10 @@
 			switch {
 			case x.Tasks() == 0:
 			case i%3 == 0:
-				m.mute[x.ID] = true
+				m.heartbeatsBlocked[x.ID] = true
 				unreached++
 			case i%3 == 1:
-				m.deaf[x.ID] = true
+				m.responsesLost[x.ID] = true
 				unhearing++
 			}
 		}
@@ -281,21 +281,21 @@
 		m.until(60*model.Second, "another leads", func() bool { return m.ready() != nil })
 		gang.cancel(nil)
 		m.Run(m.Now + m.lease()/2)
-		clear(m.mute)
+		clear(m.heartbeatsBlocked)
 		m.Run(m.Now + m.lease())
 		long.cancel(m.other(l)) // not at the node that is away: its users are not answered for 5 s
 		if unreached == 0 || unhearing == 0 {
 			m.t.Fatal("no such machines")
 		}
 		m.withdrawn(10*model.Second, long, gang)
-		m.over(long, gang)
+		m.requireStopped(long, gang)
 	}},
 	{"new machines are up at once while writes lag, and the leader ends", func(m *meeting) {
 		m.cloud.Quick = 1
 		m.led(10 * model.Second)
 		m.lateWrites, m.lateBy = 0.5, m.afterNewer
-		long := m.sweep(12, 200)
-		m.gang(3, 30)
+		long := m.submitArray(12, 200)
+		m.submitGang(3, 30)
 		quick := false
 		m.until(90*model.Second, "a new machine has work", func() bool {
 			for _, x := range m.cloud.Workers() {
@@ -304,7 +304,7 @@
 			return quick
 		})
 		m.restart(m.leads(), 8*model.Second)
-		m.sweep(6, 10)
+		m.submitArray(6, 10)
 		m.Run(m.Now + 30*model.Second)
 		long.cancel(nil)
 		m.Run(m.Now + 10*model.Second)
@@ -329,13 +329,13 @@
 		l.setCut(open)
 		m.state.SetOutage(false)
 		m.withdrawn(60*model.Second, long, gang, service)
-		m.over(long, gang, service)
+		m.requireStopped(long, gang, service)
 	}},
 	{"a leader alone with its workers and users, cancellations through the new one", func(m *meeting) {
 		long, gang, _ := m.load()
 		l := m.leads()
 		l.setCut(dropped)
-		l.alone = true
+		l.peersCutOff = true
 		m.until(90*model.Second, "another leads", func() bool { n := m.ready(); return n != nil && n != l })
 		long.cancel(m.ready())
 		gang.cancel(m.ready())
@@ -343,10 +343,10 @@
 		if l.cut != dropped || !l.alive {
 			m.t.Fatal("the old leader is back")
 		}
-		m.over(long, gang)
+		m.requireStopped(long, gang)
 	}},
 	{"old reports after newer ones, from earlier sessions and attempts", func(m *meeting) {
-		m.copies = 0.6
+		m.duplicateHeartbeats = 0.6
 		m.record = true
 		long, _, _ := m.load()
 		for i, x := range m.cloud.Workers() {
@@ -371,7 +371,7 @@
 		tokens := map[uint64]bool{}
 		end := m.Now + 120*model.Second
 		for i := 0; m.Now < end; i++ {
-			m.sweep(2, 5)
+			m.submitArray(2, 5)
 			switch l := m.leader(); {
 			case l == nil:
 			case i%3 == 0:
@@ -398,16 +398,16 @@
 	{"workers reach no controller", func(m *meeting) {
 		long, gang, _ := m.load()
 		for i, x := range m.cloud.Workers() {
-			m.mute[x.ID] = i%3 != 2
+			m.heartbeatsBlocked[x.ID] = i%3 != 2
 		}
 		long.cancel(nil)
 		gang.cancel(nil)
 		m.withdrawn(10*model.Second, long, gang)
-		m.sweep(4, 10)
+		m.submitArray(4, 10)
 		m.Run(m.Now + m.lease()/2)
 		m.restart(m.leads(), 300*model.Millisecond)
 		m.Run(m.Now + m.lease())
-		m.over(long, gang)
+		m.requireStopped(long, gang)
 	}},
 	{"every team at its limit, cancelled jobs on machines cut off or hanging, a new leader", func(m *meeting) { atTheLimit(m, "red", "blue") }},
 	{"controllers hand over and back, all end, and one returns, also within a second", func(m *meeting) {
@@ -420,7 +420,7 @@
 		m.until(60*model.Second, "another leads", func() bool { n := m.ready(); return n != nil && n != second })
 		second.setCut(open)
 		m.Run(m.Now + 2*model.Second)
-		m.sweep(4, 10)
+		m.submitArray(4, 10)
 		for i, n := range m.nodes {
 			after := m.session() + model.Micros(8+i)*model.Second
 			if n == second {
@@ -437,7 +437,7 @@
 		m.Run(m.Now + 5*model.Second)
 		for i := range 400 {
 			m.Run(m.Now + 250*model.Millisecond)
-			u := m.sweep(1, 4)
+			u := m.submitArray(1, 4)
 			if i%4 == 0 {
 				u.then = func() { u.cancelAt = m.Now + m.Between(0, 8*model.Second) }
 			}
@@ -464,9 +464,9 @@
 			if u == nil || !u.accepted {
 				return
 			}
-			u.look()
+			u.checkEveryNode()
 			m.After(m.Between(0, 400*model.Millisecond), func() {
-				u.look()
+				u.checkEveryNode()
 				if m.rules.Ended(ref) == "" {
 					met++
 					u.cancel(nil)
@@ -474,7 +474,7 @@
 			})
 		}
 		for i := range 12 {
-			u := m.sweep(1+i%3, 5)
+			u := m.submitArray(1+i%3, 5)
 			byRef[u.sub.ID] = u
 		}
 		m.Run(m.Now + 60*model.Second)
@@ -482,7 +482,7 @@
 		m.led(60 * model.Second)
 		m.lateWrites, m.lateBy = 0.9, m.atOnce
 		for i := range 60 {
-			u := m.sweep(1+i%3, 3)
+			u := m.submitArray(1+i%3, 3)
 			byRef[u.sub.ID] = u
 			m.Run(m.Now + 150*model.Millisecond)
 		}
@@ -499,7 +499,7 @@
 	var cancelled, waiting []*user
 	for i, team := range teams {
 		most := int(m.rules.Teams[team].Limit.Cores / 2000)
-		s := sweepJob(300+i, most, 400)
+		s := arrayJob(300+i, most, 400)
 		s.Team = team
 		cancelled = append(cancelled, m.add(s))
 	}
@@ -512,7 +512,7 @@
 		return true
 	})
 	for i, team := range teams {
-		s := sweepJob(310+i, 6, 10)
+		s := arrayJob(310+i, 6, 10)
 		s.Team = team
 		waiting = append(waiting, m.add(s))
 	}
@@ -522,7 +522,7 @@
 			x.Hang(true)
 			m.After(m.lease()*3/4, func() { x.Hang(false) })
 		case 1:
-			m.mute[x.ID] = true
+			m.heartbeatsBlocked[x.ID] = true
 		}
 	}
 	m.restart(m.leads(), model.Second)
@@ -532,7 +532,7 @@
 	m.withdrawn(60*model.Second, cancelled...)
 	m.until(60*model.Second, "a new leader", func() bool { return m.ready() != nil })
 	m.restart(m.leads(), model.Second)
-	m.over(cancelled...)
+	m.requireStopped(cancelled...)
 	m.until(150*model.Second, "what waited runs", func() bool {
 		for _, u := range waiting {
 			if m.rules.Ended(u.sub.ID) != "done" {
@@ -551,7 +551,7 @@
 					t.Parallel()
 					m := newMeeting(t, ts, 1000+uint64(i)*100+seed)
 					c.run(m)
-					m.served()
+					m.requireServed()
 				})
 			}
 		}
--- a/internal/controller/odd_requests_test.go
+++ b/internal/controller/odd_requests_test.go
@@ -11,7 +11,7 @@
 // be known; none of them costs a write.
 func TestOddRequests(t *testing.T) {
 	m := newMeeting(t, meetingTimes[0], 77)
-	done, gone := m.sweep(1, 2), m.sweep(1, 300)
+	done, gone := m.submitArray(1, 2), m.submitArray(1, 300)
 	m.until(60*model.Second, "one is done", func() bool { return m.rules.Ended(done.sub.ID) == "done" })
 	gone.cancel(nil)
 	m.withdrawn(10*model.Second, gone)
@@ -23,7 +23,7 @@
 		return got
 	}
 	submit := func(change func(s *model.Submission)) func(chan<- userapi.Answer) any {
-		s := sweepJob(900, 1, 5)
+		s := arrayJob(900, 1, 5)
 		change(s)
 		return func(r chan<- userapi.Answer) any { return msgSubmit{s.ID, s, nil, r} }
 	}
--- a/internal/controller/reads_test.go
+++ b/internal/controller/reads_test.go
@@ -160,7 +160,7 @@
 	if list {
 		m.view = state.NewView()
 		for i := range 1000 {
-			m.view.Put(fmt.Sprintf("job/j-%06d", i), shard.JobRecord{Spec: sweepJob(i, 4, 10)}, 1)
+			m.view.Put(fmt.Sprintf("job/j-%06d", i), shard.JobRecord{Spec: arrayJob(i, 4, 10)}, 1)
 		}
 	} else {
 		m.changes = &state.Changes{Revision: from}
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -19,7 +19,7 @@
 	}
 	w := newDeployment(t, 71, sockets(limit, large), map[string]int{"small/a/false": 20, "small/b/false": 20})
 	for i := range 40 {
-		s := sweepJob(i, 8, 40)
+		s := arrayJob(i, 8, 40)
 		s.Team, s.Cores = "red", 0.9
 		if i%2 == 0 {
 			s.Team = "blue"
@@ -54,7 +54,7 @@
 	w.check()
 	before := w.relayed
 	for _, n := range w.nodes {
-		n.alone = n != l()
+		n.peersCutOff = n != l()
 	}
 	w.Run(w.Now + 15*model.Second)
 	before = w.relayed - before
@@ -74,7 +74,7 @@
 func TestWorkersThatCantComeAreNotAskedTo(t *testing.T) {
 	w := newWorld(t, 72)
 	for i := range 4 {
-		w.submit(sweepJob(i, 8, 60), 0)
+		w.submit(arrayJob(i, 8, 60), 0)
 	}
 	w.running(20)
 	was := w.rules.OnMachine()
@@ -91,14 +91,14 @@
 func TestZonesCutFromEachOther(t *testing.T) {
 	w := newWorld(t, 73)
 	for i := range 4 {
-		w.submit(sweepJob(i, 8, 90), 0)
+		w.submit(arrayJob(i, 8, 90), 0)
 	}
 	w.running(20)
 	l := w.leader()
 	ws := w.cloud.Workers()
 	for i, x := range ws {
 		if i%2 == 0 {
-			w.away[x.ID] = l.name
+			w.cutFromNode[x.ID] = l.name
 		}
 	}
 	w.Run(w.Now + 40*model.Second)
@@ -110,7 +110,7 @@
 			t.Errorf("%s was heard %.1f s ago", x.ID, (w.Now - m.LastHeartbeat).Seconds())
 		}
 	}
-	clear(w.away)
+	clear(w.cutFromNode)
 	w.Run(w.Now + 60*model.Second)
 	w.check()
 }
--- a/internal/controller/silence_test.go
+++ b/internal/controller/silence_test.go
@@ -16,7 +16,7 @@
 // silent cuts a controller off from all: the state service, the other controllers,
 // workers and users. What it sends meanwhile is carried out when the cut ends.
 func (n *simNode) silent(yes bool) {
-	n.workers, n.alone, n.hidden = !yes, yes, yes
+	n.workers, n.peersCutOff, n.usersCutOff = !yes, yes, yes
 	if yes {
 		n.setCut(holding)
 	} else {
@@ -46,7 +46,7 @@
 // longWork has arrays and gangs run that last through a failover.
 func longWork(w *world) (us []*user) {
 	for i := range 3 {
-		us = append(us, w.submit(sweepJob(i, 4, 45), 0))
+		us = append(us, w.submit(arrayJob(i, 4, 45), 0))
 		us = append(us, w.submit(gangJob(10+i, 2, 45), 0))
 	}
 	w.running(3*4 + 3*2)
@@ -76,7 +76,7 @@
 				former := w.leader()
 				former.silent(true)
 				began := w.Now
-				us = append(us, w.submit(sweepJob(50, 4, 10), 0))
+				us = append(us, w.submit(arrayJob(50, 4, 10), 0))
 				w.otherLeads(former)
 				w.Run(w.Now + 10*model.Second)
 				// Nothing that ran was lost: only the new job's tasks may have begun.
@@ -106,8 +106,8 @@
 				former := w.leader()
 				token := former.ctl.leading.token
 				former.pauseFor(pause)
-				us = append(us, w.submit(sweepJob(50, 4, 10), 0))
-				cancelled := w.submit(sweepJob(51, 4, 60), 3*model.Second)
+				us = append(us, w.submit(arrayJob(50, 4, 10), 0))
+				cancelled := w.submit(arrayJob(51, 4, 60), 3*model.Second)
 				if pause > ttl+4*model.Second {
 					w.otherLeads(former)
 					if l := w.leader(); l.ctl.leading.token <= token {
--- a/internal/controller/sim_effects_test.go
+++ b/internal/controller/sim_effects_test.go
@@ -11,7 +11,7 @@
 func (n *simNode) sync(from uint64, list bool) {
 	life := n.life
 	m := msgSynced{sent: n.ctl.clock()}
-	if n.blind {
+	if n.syncsLost {
 		n.w.After(syncPatience, func() { n.deliver(life, msgSynced{sent: m.sent, err: state.ErrLost}) })
 		return
 	}
@@ -137,7 +137,7 @@
 	n.w.After(2*model.Millisecond, func() {
 		var m msgPinged
 		for _, o := range n.w.nodes {
-			if o == n || !o.alive || o.paused || o.alone || n.alone {
+			if o == n || !o.alive || o.paused || o.peersCutOff || n.peersCutOff {
 				continue
 			}
 			m.alive++
@@ -160,7 +160,7 @@
 	n.abandon = session
 	o := n
 	if helper != "" {
-		if n.alone {
+		if n.peersCutOff {
 			return
 		}
 		o = n.w.nodes[slices.Index(n.w.Nodes(), helper)]
--- a/internal/controller/sim_network_test.go
+++ b/internal/controller/sim_network_test.go
@@ -19,10 +19,10 @@
 
 func (w *world) Checkin(x *standin.Worker, node string, body []byte, answer func(int, []byte)) {
 	n := w.nodes[slices.Index(w.Nodes(), node)]
-	if w.away[x.ID] == node || w.mute[x.ID] || w.reaches != nil && !w.reaches(x, n) {
+	if w.cutFromNode[x.ID] == node || w.heartbeatsBlocked[x.ID] || w.reaches != nil && !w.reaches(x, n) {
 		return
 	}
-	if w.deaf[x.ID] {
+	if w.responsesLost[x.ID] {
 		answer = func(int, []byte) {}
 	}
 	if w.cut[x.ID] {
@@ -35,9 +35,9 @@
 		return
 	}
 	w.deliverReport(n, body, w.Between(200, 2000+w.lag), answer)
-	if w.copies > 0 && w.Chance(w.copies) {
+	if w.duplicateHeartbeats > 0 && w.Chance(w.duplicateHeartbeats) {
 		to := w.nodes[w.Rng.IntN(len(w.nodes))]
-		w.deliverReport(to, body, w.Between(2*model.Second, copyLate), func(int, []byte) {})
+		w.deliverReport(to, body, w.Between(2*model.Second, duplicateDelay), func(int, []byte) {})
 	}
 	if w.record {
 		w.heard = append(w.heard, func() {
@@ -73,7 +73,7 @@
 				n.deliver(life, msgRelayFailed{})
 				give(a)
 			}
-			if l.alone || n.alone || l.old || !l.alive || w.Chance(0.01) {
+			if l.peersCutOff || n.peersCutOff || l.old || !l.alive || w.Chance(0.01) {
 				w.After(w.Between(0, 2500*model.Millisecond), fail)
 				return
 			}
--- a/internal/controller/sim_node_test.go
+++ b/internal/controller/sim_node_test.go
@@ -20,26 +20,26 @@
 // simNode is a controller in simulated time: the real actor, with scripted
 // peers in the place of sockets.
 type simNode struct {
-	w       *world
-	name    string
-	set     *config.Settings
-	alive   bool
-	life    int
-	ctl     *controller
-	ses     *leadership.Session
-	cut     int
-	late    []func() // held requests
-	workers bool     // workers reach it
-	blind   bool     // its catch-ups get no answer, all else does
-	hidden  bool     // users don't reach it
-	alone   bool     // the other controllers do not reach it, nor it them
-	pending []func() bool
-	abandon uint64 // a session that the session actor is to end
-	old     bool   // it runs the version in production, see upgrade_test.go
-	noCloud bool   // the cloud refuses its requests
-	paused  bool   // the process stands still, see pause_test.go
-	waiting []func()
-	pauseAt func(pausePoint) bool // tells whether the process stops there
+	w           *world
+	name        string
+	set         *config.Settings
+	alive       bool
+	life        int
+	ctl         *controller
+	ses         *leadership.Session
+	cut         int
+	late        []func() // held requests
+	workers     bool     // workers reach it
+	syncsLost   bool     // its catch-ups get no answer, all else does
+	usersCutOff bool     // users don't reach it
+	peersCutOff bool     // the other controllers do not reach it, nor it them
+	pending     []func() bool
+	abandon     uint64 // a session that the session actor is to end
+	old         bool   // it runs the version in production, see upgrade_test.go
+	noCloud     bool   // the cloud refuses its requests
+	paused      bool   // the process stands still, see pause_test.go
+	waiting     []func()
+	pauseAt     func(pausePoint) bool // tells whether the process stops there
 	// intercept takes a transaction away if it returns true.
 	intercept func(msgCommitted) bool
 }
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -44,31 +44,31 @@
 	policy   func(name string) *duty.Policy // the duties file, nil: none
 	cell     *simCell                       // its part among other cells, nil: there are none
 
-	cut     map[string]bool   // machines whose reports wait until the cut ends
-	late    []func(*simNode)  // these reports, to be delivered to a node, or to the one they were sent to (nil)
-	away    map[string]string // machines that can't reach the node
-	deaf    map[string]bool   // machines whose reports arrive, but which hear nothing
-	copies  float64           // chance that a report arrives once more, up to copyLate later
-	repeats float64           // chance that a request to the state service or the cloud is carried out once more
-	relayed int               // reports that were handed on and answered
-	heard   []func()          // every report as it was delivered, if record is set
-	record  bool
-
-	mute        map[string]bool                          // machines that reach no controller
-	reaches     func(x *standin.Worker, n *simNode) bool // whether a worker's network reaches a node; nil: it does
-	lag         model.Micros                             // reports and answers take up to so much longer
-	lateWrites  float64                                  // chance that a transaction gets no answer and is carried out later
-	lateBy      func() model.Micros                      // how much later
-	arrivedLate int                                      // such transactions that came to the state service
-	wroteLate   int                                      // such transactions that changed something
-	closeLooks  bool                                     // users ask at all nodes when they are told anything
-	looked      int                                      // questions so asked that were answered
-	stateLag    model.Micros                             // requests to the state service take up to so much longer
-	begun       []string                                 // the drawn faults that have begun, for failure messages
-}
-
-// copyLate is well over a lease.
-const copyLate = 60 * model.Second
+	cut                 map[string]bool   // machines whose reports wait until the cut ends
+	late                []func(*simNode)  // these reports, to be delivered to a node, or to the one they were sent to (nil)
+	cutFromNode         map[string]string // machines that can't reach the node
+	responsesLost       map[string]bool   // machines whose heartbeats arrive, but which get no response
+	duplicateHeartbeats float64           // chance that a report arrives once more, up to duplicateDelay later
+	repeats             float64           // chance that a request to the state service or the cloud is carried out once more
+	relayed             int               // reports that were handed on and answered
+	heard               []func()          // every report as it was delivered, if record is set
+	record              bool
+
+	heartbeatsBlocked map[string]bool                          // machines that reach no controller
+	reaches           func(x *standin.Worker, n *simNode) bool // whether a worker's network reaches a node; nil: it does
+	lag               model.Micros                             // reports and answers take up to so much longer
+	lateWrites        float64                                  // chance that a transaction gets no answer and is carried out later
+	lateBy            func() model.Micros                      // how much later
+	arrivedLate       int                                      // such transactions that came to the state service
+	wroteLate         int                                      // such transactions that changed something
+	checksEveryNode   bool                                     // users ask at all nodes when they are told anything
+	everyNodeAnswers  int                                      // questions so asked that were answered
+	stateLag          model.Micros                             // requests to the state service take up to so much longer
+	begun             []string                                 // the drawn faults that have begun, for failure messages
+}
+
+// duplicateDelay is well over a lease.
+const duplicateDelay = 60 * model.Second
 
 var simMachineTypes = []model.MachineType{
 	{Name: "small", Cores: 8, MemoryGB: 32, CacheGB: 20, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a", "b"}},
@@ -128,7 +128,7 @@
 
 // newCell is a deployment without controllers that shares time and rules with others.
 func newCell(t *testing.T, sim *standin.Sim, rules *standin.Rules, settings func(name string) *config.Settings, capacity map[string]int) *world {
-	w := &world{Sim: sim, rules: rules, t: t, settings: settings, away: map[string]string{}, deaf: map[string]bool{}, cut: map[string]bool{}, mute: map[string]bool{}}
+	w := &world{Sim: sim, rules: rules, t: t, settings: settings, cutFromNode: map[string]string{}, responsesLost: map[string]bool{}, cut: map[string]bool{}, heartbeatsBlocked: map[string]bool{}}
 	w.state = standin.NewState(w.Sim)
 	ps := settings("").Params.Workers
 	w.cloud = standin.NewCloud(w.Sim, w, w.rules, simMachineTypes, standin.Times{Report: model.Seconds(ps.ReportS), Lease: model.Seconds(ps.LeaseS),
@@ -161,13 +161,13 @@
 	return nil
 }
 
-func sweepJob(i, tasks int, guess float64) *model.Submission {
+func arrayJob(i, tasks int, guess float64) *model.Submission {
 	return &model.Submission{ID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "red", Kind: "sweep", Priority: "standard", Tasks: tasks,
 		Cores: 2, MemoryGB: 4, Image: "img-1", ImageGB: 1, AllowsSpot: true, EstimateS: guess}
 }
 
 func gangJob(i, tasks int, guess float64) *model.Submission {
-	s := sweepJob(i, tasks, guess)
+	s := arrayJob(i, tasks, guess)
 	s.Kind, s.Priority, s.Cores, s.AllowsSpot, s.CheckpointS, s.SaveS, s.Team = "gang", "urgent", 3, false, 5, 1, "blue"
 	return s
 }
--- a/internal/controller/sim_users_test.go
+++ b/internal/controller/sim_users_test.go
@@ -50,7 +50,7 @@
 	}
 	var send func(n *simNode, forwarded bool)
 	send = func(n *simNode, forwarded bool) {
-		if !n.alive || n.hidden && !forwarded {
+		if !n.alive || n.usersCutOff && !forwarded {
 			return
 		}
 		reply := make(chan userapi.Answer, 1)
@@ -83,7 +83,7 @@
 		case 200, 201:
 			u.accepted = true
 			u.w.rules.Tell(u.sub.ID, a.Code, a.Body, asked)
-			u.look()
+			u.checkEveryNode()
 			if u.then != nil {
 				u.then()
 				u.then = nil
@@ -105,7 +105,7 @@
 	u.w.call(nil, 2*model.Second, func(r chan<- userapi.Answer) any { return msgStatusRequest{u.sub.ID, r} }, func(a userapi.Answer) {
 		u.w.rules.Tell(u.sub.ID, a.Code, a.Body, asked)
 		if u.ended == "" && u.w.rules.Ended(u.sub.ID) != "" {
-			u.look()
+			u.checkEveryNode()
 		}
 		if u.ended = u.w.rules.Ended(u.sub.ID); u.ended == "" || u.w.Chance(0.5) {
 			u.w.After(3*model.Second, u.poll)
@@ -121,7 +121,7 @@
 			u.w.After(model.Second, u.withdraw)
 			return
 		}
-		u.look()
+		u.checkEveryNode()
 	})
 }
 
@@ -134,12 +134,12 @@
 	}
 }
 
-// look has the user ask at every node within milliseconds, and repeat the submission
+// checkEveryNode has the user ask at every node within milliseconds, and repeat the submission
 // there, as it was, altered or with a field missing: none may say anything older than
 // what the user was told, nor refuse a job that was accepted.
-func (u *user) look() {
+func (u *user) checkEveryNode() {
 	w := u.w
-	if !w.closeLooks {
+	if !w.checksEveryNode {
 		return
 	}
 	ref := u.sub.ID
@@ -157,7 +157,7 @@
 				w.call(n, 2*model.Second, msg, func(a userapi.Answer) {
 					w.rules.Tell(ref, a.Code, a.Body, asked)
 					if a.Code == 200 {
-						w.looked++
+						w.everyNodeAnswers++
 					}
 				})
 			})
--- a/internal/controller/troubles_test.go
+++ b/internal/controller/troubles_test.go
@@ -28,12 +28,12 @@
 // lease. None is started twice, none is waited for without end, it gets no more
 // work, and it is returned; also when another controller takes over meanwhile,
 // whose token it never sees.
-func TestDeafMachine(t *testing.T) {
+func TestMachineWithoutResponses(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		w := newWorld(t, 21)
-		u := w.submit(sweepJob(1, 12, 50), 0)
+		u := w.submit(arrayJob(1, 12, 50), 0)
 		x := w.running(12)
-		w.deaf[x.ID] = true
+		w.responsesLost[x.ID] = true
 		if takeover {
 			w.leader().crash()
 		}
@@ -45,7 +45,7 @@
 		if l == nil {
 			t.Fatal("nobody leads")
 		}
-		w.submit(sweepJob(2, 30, 5), 0)
+		w.submit(arrayJob(2, 30, 5), 0)
 		w.until(80*model.Second, "it is returned", func() bool {
 			h := l.ctl.leading.block.Machines[x.ID]
 			for _, y := range w.cloud.Workers() {
@@ -62,16 +62,16 @@
 
 // When no machine hears, the fault may be the controller's: they are not all
 // returned, and go on once they hear again.
-func TestWholeFleetIsNotReturnedAsDeaf(t *testing.T) {
+func TestFleetWithoutResponsesIsNotReturned(t *testing.T) {
 	w := newWorld(t, 32)
-	u := w.submit(sweepJob(1, 16, 40), 0)
+	u := w.submit(arrayJob(1, 16, 40), 0)
 	w.running(16)
 	before := w.cloud.Workers()
 	for _, x := range before {
-		w.deaf[x.ID] = true
+		w.responsesLost[x.ID] = true
 	}
 	w.Run(w.Now + 60*model.Second)
-	clear(w.deaf)
+	clear(w.responsesLost)
 	now := w.cloud.Workers()
 	for _, x := range before {
 		if !slices.Contains(now, x) {
@@ -85,12 +85,12 @@
 // Copies of reports come late, from seconds to well over a lease, to any
 // controller, across a takeover and machines that are gone: they revive nothing,
 // and nothing runs twice.
-func TestLateCopiesOfReports(t *testing.T) {
+func TestLateDuplicatesOfHeartbeats(t *testing.T) {
 	w := newWorld(t, 22)
-	w.copies = 0.5
+	w.duplicateHeartbeats = 0.5
 	var us []*user
 	for i := range 8 {
-		us = append(us, w.submit(sweepJob(i, 8, 12), 0))
+		us = append(us, w.submit(arrayJob(i, 8, 12), 0))
 		us = append(us, w.submit(gangJob(20+i, 2, 15), 0))
 	}
 	w.Run(50 * model.Second)
@@ -115,10 +115,10 @@
 
 // A new holder remembers no sequence number. All the reports that machines ever sent, told
 // to it once more, free no binding, start nothing, and show no machine up.
-func TestNewHolderAndOldCopies(t *testing.T) {
+func TestNewHolderIgnoresOldHeartbeats(t *testing.T) {
 	w := newWorld(t, 23)
 	w.record = true
-	w.submit(sweepJob(1, 12, 300), 0)
+	w.submit(arrayJob(1, 12, 300), 0)
 	x := w.running(12)
 	w.Run(w.Now + 5*model.Second)
 	old := w.heard
@@ -166,12 +166,12 @@
 // rule, and a cancellation that it never saw is kept.
 func TestControllerAloneWithItsWorkers(t *testing.T) {
 	w := newWorld(t, 24)
-	w.submit(sweepJob(1, 12, 90), 0)
-	u := w.submit(sweepJob(2, 6, 90), 0)
+	w.submit(arrayJob(1, 12, 90), 0)
+	u := w.submit(arrayJob(2, 6, 90), 0)
 	w.running(18)
 	n := w.leader()
 	n.setCut(dropped)
-	n.alone = true
+	n.peersCutOff = true
 	cut := w.Now
 	u.cancelAt = w.Now + 2*model.Second
 	w.until(n.ctl.auth.Spans.TTL+3*model.Second, "a successor leads", func() bool { l := w.leader(); return l != nil && l != n && l.ctl.leading.ready })
@@ -181,7 +181,7 @@
 	w.until(30*model.Second, "the cancellation is answered", func() bool { return u.ended == "withdrawn" })
 	w.Run(cut + 80*model.Second)
 	n.setCut(open)
-	n.alone = false
+	n.peersCutOff = false
 	w.Run(w.Now + 60*model.Second)
 	w.check()
 	if got := w.rules.Starts; got > 18 {
@@ -197,7 +197,7 @@
 	w.repeats = 0.3
 	var us []*user
 	for i := range 6 {
-		us = append(us, w.submit(sweepJob(i, 8, 20), 0))
+		us = append(us, w.submit(arrayJob(i, 8, 20), 0))
 	}
 	w.running(20)
 	var elections []*state.Txn
@@ -260,7 +260,7 @@
 // new session: they run again, and none twice at once.
 func TestMachineBackAtOnce(t *testing.T) {
 	w := newWorld(t, 26)
-	u := w.submit(sweepJob(1, 12, 20), 0)
+	u := w.submit(arrayJob(1, 12, 20), 0)
 	w.running(12)
 	for range 3 {
 		for _, x := range w.cloud.Workers() {
@@ -281,8 +281,8 @@
 	w.until(10*model.Second, "a leader that knows the machine types", func() bool {
 		return w.leader() != nil && len(w.nodes[0].ctl.view.MachineTypes) > 0 && len(w.nodes[1].ctl.view.MachineTypes) > 0 && len(w.nodes[2].ctl.view.MachineTypes) > 0
 	})
-	first := w.submit(sweepJob(1, 4, 60), 0)
-	cancelled := w.submit(sweepJob(2, 4, 60), 30*model.Second)
+	first := w.submit(arrayJob(1, 4, 60), 0)
+	cancelled := w.submit(arrayJob(2, 4, 60), 30*model.Second)
 	w.running(8)
 	refused, held := 0, 0
 	end := w.Now + 60*model.Second
@@ -300,7 +300,7 @@
 				next++
 				reply := make(chan userapi.Answer, 1)
 				asked := w.Now
-				s := sweepJob(next, 1, 1)
+				s := arrayJob(next, 1, 1)
 				w.rules.Subs[s.ID] = s.Job(0)
 				n.ask(msgSubmit{s.ID, s, nil, reply}, func() bool {
 					select {
@@ -366,7 +366,7 @@
 	w := newWorld(t, 28)
 	var us []*user
 	for i := range 40 {
-		us = append(us, w.submit(sweepJob(i, 1+i%4, 5), 0))
+		us = append(us, w.submit(arrayJob(i, 1+i%4, 5), 0))
 	}
 	w.Run(12 * model.Second)
 	for round := range 3 {
@@ -424,7 +424,7 @@
 	big := gangJob(1, 6, 20)
 	big.SameZone, big.Cores = true, 3
 	ub := w.submit(big, 0)
-	low := sweepJob(2, 3, 10)
+	low := arrayJob(2, 3, 10)
 	low.Priority, low.Cores = "idle", 2
 	ul := w.submit(low, 0)
 	since := w.Now
@@ -454,7 +454,7 @@
 
 // A machine that nobody expected is told the token, and nothing more, until a
 // report bears it: the report may be the copy of one of a machine long gone.
-func TestReportOfOldTokenIsGreetedOnly(t *testing.T) {
+func TestHeartbeatWithOldTokenGetsTokenOnly(t *testing.T) {
 	w := newWorld(t, 30)
 	w.led(5 * model.Second)
 	l := w.leader()
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -170,7 +170,7 @@
 	chosen := w.Rng.IntN(4)
 	add := func(s *model.Submission, then func()) *user {
 		cancel := model.Micros(0)
-		if cancelAfter > 0 && s.ID == sweepJob(first+chosen, 1, 1).ID {
+		if cancelAfter > 0 && s.ID == arrayJob(first+chosen, 1, 1).ID {
 			cancel = cancelAfter
 		}
 		u := w.submit(s, cancel)
@@ -178,7 +178,7 @@
 		us = append(us, u)
 		return u
 	}
-	a, b, c, last := sweepJob(first, 1+w.Rng.IntN(6), 4), sweepJob(first+1, 1+w.Rng.IntN(12), 6), gangJob(first+2, 1+w.Rng.IntN(3), 6), sweepJob(first+3, 2, 3)
+	a, b, c, last := arrayJob(first, 1+w.Rng.IntN(6), 4), arrayJob(first+1, 1+w.Rng.IntN(12), 6), gangJob(first+2, 1+w.Rng.IntN(3), 6), arrayJob(first+3, 2, 3)
 	a.Priority, b.Priority, c.Priority, last.Priority = "idle", "idle", "standard", "urgent"
 	due := 60.0
 	last.DeadlineS = &due
@@ -240,7 +240,7 @@
 	last.old = true
 	last.start()
 	for i := range 8 {
-		w.submit(sweepJob(i, 6, 8), model.Micros(i%3)*10*model.Second)
+		w.submit(arrayJob(i, 6, 8), model.Micros(i%3)*10*model.Second)
 		w.submit(gangJob(20+i, 1+i%3, 8), 0)
 	}
 	seen := map[string]bool{}
@@ -272,7 +272,7 @@
 	last.crash()
 	last.old = false
 	last.start()
-	w.submit(sweepJob(50, 10, 20), 0)
+	w.submit(arrayJob(50, 10, 20), 0)
 	refused := 0
 	w.until(30*model.Second, "something dense is written", func() bool {
 		es, _, err := w.state.List("node-0")
@@ -321,7 +321,7 @@
 		var us []*user
 		for i := range 14 {
 			w.At(w.Between(0, 110*model.Second), func() {
-				s := sweepJob(i, 1+w.Rng.IntN(12), float64(2+w.Rng.IntN(25)))
+				s := arrayJob(i, 1+w.Rng.IntN(12), float64(2+w.Rng.IntN(25)))
 				if w.Chance(0.3) {
 					s = gangJob(i, 1+w.Rng.IntN(4), float64(2+w.Rng.IntN(25)))
 				}
@@ -353,14 +353,14 @@
 			long := w.Between(model.Second, 25*model.Second)
 			w.At(w.Between(10*model.Second, 130*model.Second), func() { fault(w, kind, long) })
 		}
-		w.copies = rapid.SampledFrom([]float64{0, 0.05}).Draw(rt, "copies")
+		w.duplicateHeartbeats = rapid.SampledFrom([]float64{0, 0.05}).Draw(rt, "copies")
 		w.At(160*model.Second, func() {
 			for _, n := range w.nodes {
 				n.setCut(open)
-				n.workers, n.alone = true, false
+				n.workers, n.peersCutOff = true, false
 			}
-			clear(w.deaf)
-			w.copies = 0
+			clear(w.responsesLost)
+			w.duplicateHeartbeats = 0
 			w.rules.Calm = w.Now
 		})
 		w.Run(520 * model.Second)
@@ -389,7 +389,7 @@
 	w.production()
 	var us []*user
 	for i := range 3 {
-		s := sweepJob(i, 400, 25)
+		s := arrayJob(i, 400, 25)
 		s.Cores, s.MemoryGB = 0.05, 0.1
 		us = append(us, w.submit(s, 0))
 	}
@@ -414,7 +414,7 @@
 	}
 	w.After(500*model.Millisecond, func() { w.state.LowerLimits(2, 5, 18) })
 	for i := 10; i < 14; i++ {
-		us = append(us, w.submit(sweepJob(i, 20, 5), 0))
+		us = append(us, w.submit(arrayJob(i, 20, 5), 0))
 	}
 	w.until(300*model.Second, "all is done", func() bool {
 		return !slices.ContainsFunc(us, func(u *user) bool { return u.ended != "done" })
@@ -431,12 +431,12 @@
 	w := newWorld(t, 53)
 	var us []*user
 	for i := range 3 {
-		us = append(us, w.submit(sweepJob(i, 30, 10), 0))
+		us = append(us, w.submit(arrayJob(i, 30, 10), 0))
 	}
 	w.until(60*model.Second, "something runs", func() bool { return w.rules.OnMachine() > 5 })
 	w.state.LowerLimits(2, 4, 20)
 	for i := 10; i < 40; i++ {
-		us = append(us, w.submit(sweepJob(i, 6, 5), 0))
+		us = append(us, w.submit(arrayJob(i, 6, 5), 0))
 	}
 	w.until(400*model.Second, "all is done", func() bool {
 		return !slices.ContainsFunc(us, func(u *user) bool { return u.ended != "done" })
@@ -457,7 +457,7 @@
 	w := newDeployment(t, 54, many, capacity(4, 2))
 	w.production()
 	w.led(10 * model.Second)
-	long := sweepJob(1, 4, 60)
+	long := arrayJob(1, 4, 60)
 	long.Image = strings.Repeat("x", 5000)
 	u := w.submit(long, 0)
 	w.running(4)
