--- a/internal/controller/awaits_test.go
+++ b/internal/controller/awaits_test.go
@@ -48,7 +48,7 @@
 // up to date: another node may have accepted it a moment ago.
 func TestAwaitsWhatWasAccepted(t *testing.T) {
 	w := newWorld(t, 61)
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	w.Run(w.Now + 3*model.Second)
 	service := arrayJob(2, 1, 0)
 	service.Kind = "service"
@@ -87,7 +87,7 @@
 // refused; a list that fits is not.
 func TestManyAwaits(t *testing.T) {
 	w := newDeployment(t, 62, nextSettings, capacity(4, 2))
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	w.Run(w.Now + 3*model.Second)
 	var refs []string
 	for i := range 100 {
@@ -163,7 +163,7 @@
 // is no exception, nor what comes later. What is done stays done.
 func TestCancellationTakesWhatComesAfter(t *testing.T) {
 	w := newDeployment(t, 63, nextSettings, capacity(4, 2))
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	w.Run(w.Now + 3*model.Second)
 	before, first := arrayJob(0, 1, 1), arrayJob(1, 4, 300)
 	w.accept(before)
@@ -181,11 +181,11 @@
 	w.nodes[1].ask(msgSubmit{late.ID, late, nil, lateTold}, nil)
 	u.withdraw()
 	w.until(10*model.Second, "it is cancelled", func() bool { return w.rules.Ended(first.ID) == "withdrawn" })
-	w.led(30 * model.Second)
+	w.waitForLeader(30 * model.Second)
 	w.leader().crash() // and nobody is left to write anything about it
 	w.requireWithdrawnEverywhere(dependents)
 	w.startAll()
-	w.led(30 * model.Second)
+	w.waitForLeader(30 * model.Second)
 	w.until(20*model.Second, "the late one was answered", func() bool { return len(lateTold) == 1 })
 	if a := <-lateTold; a.Code == 201 {
 		if s := w.nodes[2].statusOf(t, late.ID); s != "withdrawn" {
@@ -248,7 +248,7 @@
 // rents nothing.
 func TestWaitingTakesNothing(t *testing.T) {
 	w := newWorld(t, 66)
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	w.Run(w.Now + 3*model.Second)
 	first := arrayJob(0, 2, 60)
 	big := arrayJob(1, 20, 5) // the team's whole limit
@@ -267,7 +267,7 @@
 // The watch of the rules sees what it is there for.
 func TestRulesCatchBreaches(t *testing.T) {
 	w := newWorld(t, 67)
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	w.Run(w.Now + 3*model.Second)
 	broken := func(name string) bool {
 		return slices.ContainsFunc(w.rules.Broken, func(b string) bool { return strings.Contains(b, name) })
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// led waits until somebody leads and has taken over.
-func (w *world) led(limit model.Micros) {
+// waitForLeader waits until somebody leads and has taken over.
+func (w *world) waitForLeader(limit model.Micros) {
 	w.t.Helper()
 	w.until(limit, "somebody leads", func() bool { l := w.leader(); return l != nil && l.ctl.leading.ready })
 }
@@ -59,7 +59,7 @@
 // the same key, under the same grant. It must not bring the old value back.
 func TestOwnLateCommitChangesNothing(t *testing.T) {
 	w := newWorld(t, 4)
-	w.led(5 * model.Second)
+	w.waitForLeader(5 * model.Second)
 	n := w.leader()
 	var held *state.Txn
 	n.intercept = func(m msgCommitted) bool {
@@ -88,7 +88,7 @@
 // nothing, even where the new holder has not written the same keys yet.
 func TestFormerHoldersCommitChangesNothing(t *testing.T) {
 	w := newWorld(t, 14)
-	w.led(5 * model.Second)
+	w.waitForLeader(5 * model.Second)
 	n := w.leader()
 	var held *state.Txn
 	n.intercept = func(m msgCommitted) bool {
@@ -131,7 +131,7 @@
 	n.crash()
 	w.Run(w.Now + 200*model.Millisecond)
 	n.start()
-	w.led(3 * model.Second)
+	w.waitForLeader(3 * model.Second)
 	if now := w.leader().ctl.leading.token; now <= token {
 		t.Fatalf("token %d after %d", now, token)
 	}
@@ -164,7 +164,7 @@
 			return true
 		}
 	}
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	if token := w.leader().ctl.leading.token; lost == 0 || token <= lost {
 		t.Fatalf("leads under token %d, the lost election's was %d", token, lost)
 	}
@@ -298,7 +298,7 @@
 func TestCreditsAcrossATakeover(t *testing.T) {
 	w := newWorld(t, 11)
 	for range 4 {
-		w.led(20 * model.Second)
+		w.waitForLeader(20 * model.Second)
 		n := w.leader()
 		sum := map[string]model.Resources{}
 		for _, g := range n.ctl.view.Grants {
@@ -367,7 +367,7 @@
 // Without authority no worker gets a 200, however early its lease ends.
 func TestNoAnswerToWorkersWithoutAuthority(t *testing.T) {
 	w := newWorld(t, 13)
-	w.led(5 * model.Second)
+	w.waitForLeader(5 * model.Second)
 	n := w.leader()
 	spans := n.ctl.auth.Spans
 	for _, o := range w.nodes {
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -210,18 +210,16 @@
 // repeatHeartbeats has what workers report in the next seconds arrive again at all
 // controllers, as another one leads.
 func (f *faultRun) repeatHeartbeats() {
-	f.record = true
+	f.recordsHeartbeats = true
 	f.After(3*model.Second, func() {
-		old := f.heard
-		f.record, f.heard = false, nil
+		old := f.recordedHeartbeats
+		f.recordsHeartbeats, f.recordedHeartbeats = false, nil
 		if l := f.leader(); l != nil {
 			f.restart(l)
 		}
 		for i := range model.Micros(8) {
 			f.After(i*2*model.Second, func() {
-				for _, repeat := range old {
-					repeat()
-				}
+				repeatAll(old)
 			})
 		}
 	})
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -11,15 +11,15 @@
 // refusedAlone has the state service refuse the leader alone, and jobs cancelled through
 // another controller before long has passed. Now and then an answer is lost on the way:
 // then another seed has to do.
-func refusedAlone(t *testing.T, ts workerTimes, seed uint64, alone bool, long model.Micros) (m *meeting, l *simNode, us []*user, cut model.Micros) {
+func refusedAlone(t *testing.T, ts workerTimes, seed uint64, peersCutOff bool, long model.Micros) (m *meeting, l *simNode, us []*user, cut model.Micros) {
 	for range 5 {
 		m = newMeeting(t, ts, seed)
 		seed += 1000
 		a, b, c := m.load()
 		us = []*user{a, b, c}
-		l = m.leads()
+		l = m.requireLeader()
 		l.setCut(refused)
-		l.peersCutOff, cut = alone, m.Now
+		l.peersCutOff, cut = peersCutOff, m.Now
 		end := m.Now + min(long, 1800*model.Millisecond) - 50*model.Millisecond
 		m.Run(m.Now + 50*model.Millisecond)
 		if m.leader() != l {
@@ -70,11 +70,11 @@
 // outageVariants are what comes on top of the refused leader and the outage.
 var outageVariants = []outageVariant{
 	{name: "plain"},
-	{name: "alone", peersCutOff: true},
+	{name: "peers cut off", peersCutOff: true},
 	{name: "back first", first: true},
 	{name: "hang", hang: true, peersCutOff: true},
-	{name: "mute", heartbeatsBlocked: true, first: true},
-	{name: "blind", syncsLost: true, first: true},
+	{name: "heartbeats blocked", heartbeatsBlocked: true, first: true},
+	{name: "syncs lost", syncsLost: true, first: true},
 }
 
 type outageVariant struct {
@@ -142,7 +142,7 @@
 				s.Awaits = []string{first.sub.ID}
 				next := m.add(s)
 				m.until(20*model.Second, "that which awaits it is accepted", func() bool { return next.accepted })
-				l := m.leads()
+				l := m.requireLeader()
 				m.until(90*model.Second, "starts are on their way", func() bool {
 					j := l.ctl.leading.block.Jobs[first.sub.ID]
 					return j != nil && len(j.Bindings) > m.on(first)
--- a/internal/controller/guest_team_test.go
+++ b/internal/controller/guest_team_test.go
@@ -49,7 +49,7 @@
 // save their progress.
 func TestGuestTeamsHugeSweep(t *testing.T) {
 	w := newDeployment(t, 81, guestSettings, map[string]int{"small/a/false": 4, "small/b/false": 4})
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	began := w.begins()
 	submitted := map[string]model.Micros{}
 	submit := func(after model.Micros, sub *model.Submission, us *[]*user) {
--- a/internal/controller/meeting_world_test.go
+++ b/internal/controller/meeting_world_test.go
@@ -15,8 +15,8 @@
 // meeting is a world in which troubles meet.
 type meeting struct {
 	*world
-	us   []*user
-	next int
+	submitted []*user
+	next      int
 }
 
 // workerTimes are settings of workers, in seconds.
@@ -49,7 +49,7 @@
 
 func (m *meeting) add(s *model.Submission) *user {
 	u := m.submit(s, 0)
-	m.us = append(m.us, u)
+	m.submitted = append(m.submitted, u)
 	return u
 }
 
@@ -90,18 +90,19 @@
 
 func (m *meeting) on(u *user) int { return m.rules.OnMachineOf(u.sub.ID) }
 
-func (m *meeting) ready() *simNode {
+// readyLeader is the controller that leads and has taken over, nil if there is none.
+func (m *meeting) readyLeader() *simNode {
 	if l := m.leader(); l != nil && l.ctl.leading.ready {
 		return l
 	}
 	return nil
 }
 
-// leads waits until somebody leads and has taken over.
-func (m *meeting) leads() *simNode {
+// requireLeader waits until a controller leads and has taken over, and returns it.
+func (m *meeting) requireLeader() *simNode {
 	m.t.Helper()
-	m.led(60 * model.Second)
-	return m.ready()
+	m.waitForLeader(60 * model.Second)
+	return m.readyLeader()
 }
 
 // other is a node that is up and is not n.
@@ -164,7 +165,7 @@
 	m.calm()
 	m.submitArray(3, 5)
 	m.submitGang(2, 5)
-	for _, u := range m.us {
+	for _, u := range m.submitted {
 		if u.sub.Kind == "service" {
 			u.cancelAt = m.Now + 40*model.Second
 		}
@@ -175,7 +176,7 @@
 		m.rules.Room(m.cloud.Workers())
 	}
 	m.check()
-	for _, u := range m.us {
+	for _, u := range m.submitted {
 		if m.rules.Accepted[u.sub.ID] && m.rules.Ended(u.sub.ID) == "" {
 			m.t.Fatalf("%s never ended: %s", u.sub.ID, m.describe())
 		}
@@ -186,7 +187,7 @@
 }
 
 func (m *meeting) allEnded() bool {
-	for _, u := range m.us {
+	for _, u := range m.submitted {
 		if m.rules.Accepted[u.sub.ID] && m.rules.Ended(u.sub.ID) == "" {
 			return false
 		}
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -28,12 +28,12 @@
 	}},
 	{"cancellations while work changes hands", func(m *meeting) {
 		long, gang, _ := m.load()
-		l := m.leads()
+		l := m.requireLeader()
 		l.crash()
 		via := m.other(l)
 		long.cancel(via)
 		m.withdrawn(m.session(), long)
-		if m.ready() != nil {
+		if m.readyLeader() != nil {
 			m.t.Fatal("another leads already")
 		}
 		m.until(60*model.Second, "another leads", func() bool { return m.leader() != nil })
@@ -64,7 +64,7 @@
 		}
 		long.cancel(nil)
 		m.Run(m.Now + 20*model.Second)
-		if l := m.ready(); l != nil {
+		if l := m.readyLeader(); l != nil {
 			m.restart(l, 200*model.Millisecond)
 		}
 		m.Run(m.Now + 20*model.Second)
@@ -86,7 +86,7 @@
 			m.add(low)
 		}
 		m.until(60*model.Second, "there is more work than room", func() bool {
-			l := m.leads()
+			l := m.requireLeader()
 			if l == nil {
 				return false
 			}
@@ -99,21 +99,19 @@
 		m.Run(m.Now + 60*model.Second)
 	}},
 	{"old reports reach every controller as a new leader begins", func(m *meeting) {
-		m.record = true
+		m.recordsHeartbeats = true
 		long, _, _ := m.load()
-		old := m.heard
-		m.record = false
-		l := m.leads()
+		old := m.recordedHeartbeats
+		m.recordsHeartbeats = false
+		l := m.requireLeader()
 		l.crash()
 		long.cancel(m.other(l))
 		m.until(60*model.Second, "a new leader begins", func() bool { return m.leader() != nil })
 		for range 20 {
-			for _, tell := range old {
-				tell()
-			}
+			repeatAll(old)
 			m.Run(m.Now + 100*model.Millisecond)
 		}
-		if len(old) < 20 || m.ready() == nil {
+		if len(old) < 20 || m.readyLeader() == nil {
 			m.t.Fatalf("%d old reports", len(old))
 		}
 	}},
@@ -145,17 +143,17 @@
 		}
 		m.submitArray(6, 10)
 		m.Run(m.Now + m.report())
-		l := m.leads()
+		l := m.requireLeader()
 		l.crash()
 		long.cancel(m.other(l))
 		m.until(60*model.Second, "a new leader has acted", func() bool {
-			n := m.ready()
+			n := m.readyLeader()
 			return n != nil && n.ctl.leading.block.Queued() == 0 && len(n.ctl.leading.block.Machines) > 0
 		})
 		m.Run(m.Now + m.report())
 		late := m.late
 		for _, f := range late {
-			f(m.leads())
+			f(m.requireLeader())
 		}
 		clear(m.cut)
 		if len(late) == 0 {
@@ -187,7 +185,7 @@
 				}
 			}
 		}
-		m.restart(m.leads(), 200*model.Millisecond)
+		m.restart(m.requireLeader(), 200*model.Millisecond)
 		bound[1].cancel(nil)
 		m.Run(m.Now + m.lease())
 		if lost < 2 {
@@ -197,7 +195,7 @@
 	{"a team at its limit, machines that can't be asked, a cancellation, a new leader", func(m *meeting) { atTheLimit(m, "red") }},
 	{"a zone with workers and a controller is cut off for longer than a lease", func(m *meeting) {
 		long, _, service := m.load()
-		l := m.leads()
+		l := m.requireLeader()
 		l.setCut(dropped)
 		l.peersCutOff, l.usersCutOff = true, true
 		m.reaches = func(x *standin.Worker, n *simNode) bool { return (x.Zone == "a") == (n == l) }
@@ -207,7 +205,7 @@
 		service.cancel(via)
 		m.withdrawn(20*model.Second, long, service)
 		m.Run(m.Now + m.lease() + 2*model.Second)
-		if n := m.ready(); n == nil || n == l {
+		if n := m.readyLeader(); n == nil || n == l {
 			m.t.Fatal("no other leads")
 		}
 		m.requireStopped(long, service)
@@ -217,7 +215,7 @@
 		if m.tasksIn("a") == 0 || m.tasksIn("b") == 0 {
 			m.t.Fatal("nothing runs in one of the zones")
 		}
-		l := m.leads()
+		l := m.requireLeader()
 		l.setCut(dropped) // the leader does not hear of the cancellation
 		l.peersCutOff = true
 		long.cancel(m.other(l))
@@ -248,8 +246,8 @@
 		changes := 0
 		for range 4 {
 			m.Run(m.Now + 12*model.Second)
-			if l := m.ready(); l != nil {
-				for _, u := range m.us {
+			if l := m.readyLeader(); l != nil {
+				for _, u := range m.submitted {
 					s := l.ctl.view.Done(u.sub.ID)
 					if n := s.Len(); n > 0 && n < u.sub.Tasks {
 						changes++
@@ -276,9 +274,9 @@
 				unhearing++
 			}
 		}
-		l := m.leads()
+		l := m.requireLeader()
 		l.crash()
-		m.until(60*model.Second, "another leads", func() bool { return m.ready() != nil })
+		m.until(60*model.Second, "another leads", func() bool { return m.readyLeader() != nil })
 		gang.cancel(nil)
 		m.Run(m.Now + m.lease()/2)
 		clear(m.heartbeatsBlocked)
@@ -292,7 +290,7 @@
 	}},
 	{"new machines are up at once while writes lag, and the leader ends", func(m *meeting) {
 		m.cloud.Quick = 1
-		m.led(10 * model.Second)
+		m.waitForLeader(10 * model.Second)
 		m.lateWrites, m.lateBy = 0.5, m.afterNewer
 		long := m.submitArray(12, 200)
 		m.submitGang(3, 30)
@@ -303,7 +301,7 @@
 			}
 			return quick
 		})
-		m.restart(m.leads(), 8*model.Second)
+		m.restart(m.requireLeader(), 8*model.Second)
 		m.submitArray(6, 10)
 		m.Run(m.Now + 30*model.Second)
 		long.cancel(nil)
@@ -333,12 +331,12 @@
 	}},
 	{"a leader alone with its workers and users, cancellations through the new one", func(m *meeting) {
 		long, gang, _ := m.load()
-		l := m.leads()
+		l := m.requireLeader()
 		l.setCut(dropped)
 		l.peersCutOff = true
-		m.until(90*model.Second, "another leads", func() bool { n := m.ready(); return n != nil && n != l })
-		long.cancel(m.ready())
-		gang.cancel(m.ready())
+		m.until(90*model.Second, "another leads", func() bool { n := m.readyLeader(); return n != nil && n != l })
+		long.cancel(m.readyLeader())
+		gang.cancel(m.readyLeader())
 		m.withdrawn(10*model.Second, long, gang)
 		if l.cut != dropped || !l.alive {
 			m.t.Fatal("the old leader is back")
@@ -347,7 +345,7 @@
 	}},
 	{"old reports after newer ones, from earlier sessions and attempts", func(m *meeting) {
 		m.duplicateHeartbeats = 0.6
-		m.record = true
+		m.recordsHeartbeats = true
 		long, _, _ := m.load()
 		for i, x := range m.cloud.Workers() {
 			if i%2 == 0 {
@@ -355,12 +353,10 @@
 			}
 		}
 		m.until(90*model.Second, "it runs again", func() bool { return m.on(long) == 6 })
-		old := m.heard
-		m.record = false
+		old := m.recordedHeartbeats
+		m.recordsHeartbeats = false
 		starts := m.rules.Starts
-		for _, tell := range old {
-			tell()
-		}
+		repeatAll(old)
 		m.Run(m.Now + 3*m.report())
 		if len(old) < 20 || m.on(long) != 6 {
 			m.t.Fatalf("%d old reports, %d tasks, %d starts", len(old), m.on(long), m.rules.Starts-starts)
@@ -405,19 +401,19 @@
 		m.withdrawn(10*model.Second, long, gang)
 		m.submitArray(4, 10)
 		m.Run(m.Now + m.lease()/2)
-		m.restart(m.leads(), 300*model.Millisecond)
+		m.restart(m.requireLeader(), 300*model.Millisecond)
 		m.Run(m.Now + m.lease())
 		m.requireStopped(long, gang)
 	}},
 	{"every team at its limit, cancelled jobs on machines cut off or hanging, a new leader", func(m *meeting) { atTheLimit(m, "red", "blue") }},
 	{"controllers hand over and back, all end, and one returns, also within a second", func(m *meeting) {
 		m.load()
-		first := m.leads()
+		first := m.requireLeader()
 		m.restart(first, 300*model.Millisecond)
-		m.until(60*model.Second, "somebody leads", func() bool { return m.ready() != nil })
-		second := m.leads()
+		m.until(60*model.Second, "somebody leads", func() bool { return m.readyLeader() != nil })
+		second := m.requireLeader()
 		second.setCut(refused)
-		m.until(60*model.Second, "another leads", func() bool { n := m.ready(); return n != nil && n != second })
+		m.until(60*model.Second, "another leads", func() bool { n := m.readyLeader(); return n != nil && n != second })
 		second.setCut(open)
 		m.Run(m.Now + 2*model.Second)
 		m.submitArray(4, 10)
@@ -429,11 +425,11 @@
 			m.restart(n, after)
 		}
 		// Another may have led; its session has to run out.
-		m.until(m.session()+6*model.Second, "the one that is back leads", func() bool { return m.ready() == second })
+		m.until(m.session()+6*model.Second, "the one that is back leads", func() bool { return m.readyLeader() == second })
 		m.Run(m.Now + 15*model.Second)
 	}},
 	{"one-task jobs four a second, a quarter cancelled", func(m *meeting) {
-		m.led(10 * model.Second)
+		m.waitForLeader(10 * model.Second)
 		m.Run(m.Now + 5*model.Second)
 		for i := range 400 {
 			m.Run(m.Now + 250*model.Millisecond)
@@ -442,12 +438,12 @@
 				u.then = func() { u.cancelAt = m.Now + m.Between(0, 8*model.Second) }
 			}
 			if i == 200 {
-				m.restart(m.leads(), 500*model.Millisecond)
+				m.restart(m.requireLeader(), 500*model.Millisecond)
 			}
 		}
 		m.Run(m.Now + 10*model.Second)
 		accepted := 0
-		for _, u := range m.us {
+		for _, u := range m.submitted {
 			if u.accepted {
 				accepted++
 			}
@@ -479,7 +475,7 @@
 		}
 		m.Run(m.Now + 60*model.Second)
 		// Once more, while cancellations wait for others' transactions that get no answer.
-		m.led(60 * model.Second)
+		m.waitForLeader(60 * model.Second)
 		m.lateWrites, m.lateBy = 0.9, m.atOnce
 		for i := range 60 {
 			u := m.submitArray(1+i%3, 3)
@@ -525,13 +521,13 @@
 			m.heartbeatsBlocked[x.ID] = true
 		}
 	}
-	m.restart(m.leads(), model.Second)
+	m.restart(m.requireLeader(), model.Second)
 	for _, u := range cancelled {
 		u.cancel(nil)
 	}
 	m.withdrawn(60*model.Second, cancelled...)
-	m.until(60*model.Second, "a new leader", func() bool { return m.ready() != nil })
-	m.restart(m.leads(), model.Second)
+	m.until(60*model.Second, "a new leader", func() bool { return m.readyLeader() != nil })
+	m.restart(m.requireLeader(), model.Second)
 	m.requireStopped(cancelled...)
 	m.until(150*model.Second, "what waited runs", func() bool {
 		for _, u := range waiting {
--- a/internal/controller/sim_network_test.go
+++ b/internal/controller/sim_network_test.go
@@ -40,8 +40,8 @@
 		to := w.nodes[w.Rng.IntN(len(w.nodes))]
 		w.deliverReport(to, body, w.Between(2*model.Second, duplicateDelay), func(int, []byte) {})
 	}
-	if w.record {
-		w.heard = append(w.heard, func() {
+	if w.recordsHeartbeats {
+		w.recordedHeartbeats = append(w.recordedHeartbeats, func() {
 			for _, n := range w.nodes {
 				w.deliverReport(n, body, 0, func(int, []byte) {})
 			}
@@ -49,6 +49,15 @@
 	}
 }
 
+// repeatAll delivers recorded heartbeats once more, to all controllers.
+func repeatAll(recorded []func()) {
+	for _, deliver := range recorded {
+		deliver()
+	}
+}
+
+// deliverReport has a report arrive at a controller after that time, unless it is down or
+// no worker reaches it. answer gets the response.
 func (w *world) deliverReport(n *simNode, body []byte, after model.Micros, answer func(int, []byte)) {
 	w.After(after, func() {
 		if !n.alive || !n.workers {
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -51,8 +51,8 @@
 	duplicateHeartbeats float64           // chance that a report arrives once more, up to duplicateDelay later
 	repeats             float64           // chance that a request to the state service or the cloud is carried out once more
 	relayed             int               // reports that were handed on and answered
-	heard               []func()          // every report as it was delivered, if record is set
-	record              bool
+	recordedHeartbeats  []func()          // every heartbeat as it was delivered, if recordsHeartbeats is set
+	recordsHeartbeats   bool
 
 	heartbeatsBlocked map[string]bool                          // machines that reach no controller
 	reaches           func(x *standin.Worker, n *simNode) bool // whether a worker's network reaches a node; nil: it does
--- a/internal/controller/troubles_test.go
+++ b/internal/controller/troubles_test.go
@@ -113,12 +113,12 @@
 // to it once more, free no binding, start nothing, and show no machine up.
 func TestNewHolderIgnoresOldHeartbeats(t *testing.T) {
 	w := newWorld(t, 23)
-	w.record = true
+	w.recordsHeartbeats = true
 	w.submit(arrayJob(1, 12, 300), 0)
 	x := w.running(12)
 	w.Run(w.Now + 5*model.Second)
-	old := w.heard
-	w.record = false
+	old := w.recordedHeartbeats
+	w.recordsHeartbeats = false
 	w.leader().crash()
 	x.Die()
 	for _, y := range w.cloud.Workers() {
@@ -135,9 +135,7 @@
 	before, starts := bound(), w.rules.Starts
 	took := w.Now
 	for range 3 {
-		for _, tell := range old {
-			tell()
-		}
+		repeatAll(old)
 		w.Run(w.Now + 3*model.Second)
 	}
 	if w.Now > took+15*model.Second {
@@ -244,7 +242,7 @@
 	for _, n := range w.nodes {
 		n.intercept = nil
 	}
-	w.led(20 * model.Second)
+	w.waitForLeader(20 * model.Second)
 	token := w.leader().ctl.leading.token
 	for _, e := range elections.txns {
 		if res, err := w.state.Commit("", e); err == nil && res.OK {
@@ -471,7 +469,7 @@
 // report bears it: the report may be the copy of one of a machine long gone.
 func TestHeartbeatWithOldTokenGetsTokenOnly(t *testing.T) {
 	w := newWorld(t, 30)
-	w.led(5 * model.Second)
+	w.waitForLeader(5 * model.Second)
 	l := w.leader()
 	reply := make(chan workerAnswer, 1)
 	l.ask(msgHeartbeat{report: simReport("host-000999"), reply: reply}, nil)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -307,7 +307,7 @@
 		n.crash()
 	}
 	w.nodes[0].start()
-	w.led(20 * model.Second)
+	w.waitForLeader(20 * model.Second)
 	if !w.nodes[0].ctl.dense() {
 		t.Error("a leader alone writes the plain form again")
 	}
@@ -470,7 +470,7 @@
 	}
 	w := newDeployment(t, 54, many, capacity(4, 2))
 	w.production()
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	long := arrayJob(1, 4, 60)
 	long.Image = strings.Repeat("x", 5000)
 	u := w.submit(long, 0)
@@ -479,7 +479,7 @@
 		n.restartAs(false)
 	}
 	w.state.LowerLimits(2, 5, 18)
-	w.led(20 * model.Second)
+	w.waitForLeader(20 * model.Second)
 	w.rules.Ask(long.ID)
 	u.withdraw()
 	w.until(10*model.Second, "it is cancelled", func() bool { return w.rules.Ended(long.ID) == "withdrawn" })
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -10,10 +10,11 @@
 	"woadweir/internal/state"
 )
 
-// DutyHistory judges single-holder duties from the logs of the stand-ins alone: from
-// which controller each write came and what it says, not from the conditions under which
-// it was accepted.
+// DutyHistory checks that each duty has one holder at a time. It goes by the logs of the
+// stand-ins alone: from which controller each write came and what it says, not by the
+// conditions under which it was accepted, since these are what is tested.
 type DutyHistory struct {
+	// Broken says which write or call broke a rule, when and how.
 	Broken []string
 
 	holder   map[duty.Name]string
@@ -36,7 +37,8 @@
 	task, attempt uint64
 }
 
-// CheckDuties reads the logs in the order of their times.
+// CheckDuties checks the writes of a State and the calls of a Cloud, each in the order of
+// their times.
 func CheckDuties(writes []Write, calls []CloudCall) *DutyHistory {
 	h := &DutyHistory{holder: map[duty.Name]string{}, token: map[duty.Name]uint64{}, open: map[string]bool{}, returned: map[string]bool{},
 		bound: map[string]map[boundTask]bool{}, intentsFrom: -1}
