--- a/internal/controller/awaits_test.go
+++ b/internal/controller/awaits_test.go
@@ -39,7 +39,7 @@
 }
 
 func awaiting(i int, refs ...string) *model.Submission {
-	s := sweepJob(i, 2, 5)
+	s := arrayJob(i, 2, 5)
 	s.Awaits = refs
 	return s
 }
@@ -48,11 +48,11 @@
 // up to date: another node may have accepted it a moment ago.
 func TestAwaitsWhatWasAccepted(t *testing.T) {
 	w := newWorld(t, 61)
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	w.Run(w.Now + 3*model.Second)
-	service := sweepJob(2, 1, 0)
+	service := arrayJob(2, 1, 0)
 	service.Kind = "service"
-	for i, s := range []*model.Submission{sweepJob(0, 2, 200), service} {
+	for i, s := range []*model.Submission{arrayJob(0, 2, 200), service} {
 		if a := w.nodes[i].submits(s); a.Code != 201 {
 			t.Fatalf("%d %s", a.Code, a.Body)
 		}
@@ -87,11 +87,11 @@
 // refused; a list that fits is not.
 func TestManyAwaits(t *testing.T) {
 	w := newDeployment(t, 62, nextSettings, capacity(4, 2))
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	w.Run(w.Now + 3*model.Second)
 	var refs []string
 	for i := range 100 {
-		s := sweepJob(i, 1, 1)
+		s := arrayJob(i, 1, 1)
 		refs = append(refs, s.ID)
 		n := w.nodes[i%3]
 		w.until(30*model.Second, "accepted", func() bool { return n.submits(s).Code/100 == 2 })
@@ -106,58 +106,86 @@
 	}
 }
 
+// expect has the rules know a job that a test submits itself.
+func (w *world) expect(s *model.Submission) {
+	w.rules.Subs[s.ID], w.rules.Awaits[s.ID] = s.Job(0), s.Awaits
+}
+
+// accept submits a job at random nodes until one accepts it.
+func (w *world) accept(s *model.Submission) {
+	w.t.Helper()
+	w.expect(s)
+	w.until(60*model.Second, "accepted", func() bool { return w.nodes[w.Rng.IntN(3)].submits(s).Code/100 == 2 })
+}
+
+// acceptChainAndFan submits jobs of which each awaits the one before, and others that all
+// await the first, by turns.
+func (w *world) acceptChainAndFan(first string) (refs []string) {
+	w.t.Helper()
+	last := first
+	for i := 10; i < 60; i++ {
+		chained, fanned := awaiting(i, last), awaiting(100+i, first)
+		w.accept(chained)
+		w.accept(fanned)
+		refs = append(refs, chained.ID, fanned.ID)
+		last = chained.ID
+	}
+	return refs
+}
+
+// requireWithdrawnEverywhere checks that all nodes that are up say that jobs are withdrawn.
+func (w *world) requireWithdrawnEverywhere(refs []string) {
+	w.t.Helper()
+	for _, n := range w.nodes {
+		if !n.alive {
+			continue
+		}
+		for _, ref := range refs {
+			if s := n.statusOf(w.t, ref); s != "withdrawn" {
+				w.t.Fatalf("%s says that %s is %s", n.name, ref, s)
+			}
+		}
+	}
+}
+
+// startAll starts the nodes that are not up.
+func (w *world) startAll() {
+	for _, n := range w.nodes {
+		if !n.alive {
+			n.start()
+		}
+	}
+}
+
 // When a job is cancelled, so is all that needs it, on every node at once: there is
 // nothing to be written for it, however many there are and however little the
 // state service bears. What was submitted at the same moment through another node
 // is no exception, nor what comes later. What is done stays done.
 func TestCancellationTakesWhatComesAfter(t *testing.T) {
 	w := newDeployment(t, 63, nextSettings, capacity(4, 2))
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	w.Run(w.Now + 3*model.Second)
-	accept := func(s *model.Submission) {
-		w.rules.Subs[s.ID], w.rules.Awaits[s.ID] = s.Job(0), s.Awaits
-		w.until(60*model.Second, "accepted", func() bool { return w.nodes[w.Rng.IntN(3)].submits(s).Code/100 == 2 })
-	}
-	before, first := sweepJob(0, 1, 1), sweepJob(1, 4, 300)
-	accept(before)
+	before, first := arrayJob(0, 1, 1), arrayJob(1, 4, 300)
+	w.accept(before)
 	first.Awaits = []string{before.ID}
-	accept(first)
-	last := first.ID
-	for i := 10; i < 60; i++ { // a chain, and a fan beside it
-		accept(awaiting(i, last))
-		accept(awaiting(100+i, first.ID))
-		last = awaiting(i).ID
-	}
+	w.accept(first)
+	dependents := w.acceptChainAndFan(first.ID)
+	last := dependents[len(dependents)-2] // of the chain
 	w.until(60*model.Second, "the first runs", func() bool { return w.nodes[0].statusOf(t, first.ID) == "running" })
-	w.state.Fall(2, 5, 3)
+	w.state.LowerLimits(2, 5, 3)
 	u := &user{w: w, sub: first}
 	w.rules.Ask(first.ID)
 	late := awaiting(500, first.ID)
-	w.rules.Subs[late.ID], w.rules.Awaits[late.ID] = late.Job(0), late.Awaits
+	w.expect(late)
 	lateTold := make(chan userapi.Answer, 1)
 	w.nodes[1].ask(msgSubmit{late.ID, late, nil, lateTold}, nil)
 	u.withdraw()
 	w.until(10*model.Second, "it is cancelled", func() bool { return w.rules.Ended(first.ID) == "withdrawn" })
-	w.led(30 * model.Second)
+	w.waitForLeader(30 * model.Second)
 	w.leader().crash() // and nobody is left to write anything about it
-	for _, n := range w.nodes {
-		if !n.alive {
-			continue
-		}
-		for i := 10; i < 60; i++ {
-			for _, ref := range []string{awaiting(i).ID, awaiting(100 + i).ID} {
-				if s := n.statusOf(t, ref); s != "withdrawn" {
-					t.Fatalf("%s says that %s is %s", n.name, ref, s)
-				}
-			}
-		}
-	}
-	for _, n := range w.nodes {
-		if !n.alive {
-			n.start()
-		}
-	}
-	w.led(30 * model.Second)
+	w.requireWithdrawnEverywhere(dependents)
+	w.startAll()
+	w.waitForLeader(30 * model.Second)
 	w.until(20*model.Second, "the late one was answered", func() bool { return len(lateTold) == 1 })
 	if a := <-lateTold; a.Code == 201 {
 		if s := w.nodes[2].statusOf(t, late.ID); s != "withdrawn" {
@@ -207,8 +235,7 @@
 	for range 3 {
 		w.Run(w.Now + 12*model.Second)
 		for _, n := range w.nodes {
-			n.crash()
-			w.After(w.Between(50*model.Millisecond, 3*model.Second), n.start)
+			n.crashFor(w.Between(50*model.Millisecond, 3*model.Second))
 		}
 	}
 	w.until(200*model.Second, "all is done", func() bool {
@@ -221,14 +248,14 @@
 // rents nothing.
 func TestWaitingTakesNothing(t *testing.T) {
 	w := newWorld(t, 66)
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	w.Run(w.Now + 3*model.Second)
-	first := sweepJob(0, 2, 60)
-	big := sweepJob(1, 20, 5) // the team's whole limit
+	first := arrayJob(0, 2, 60)
+	big := arrayJob(1, 20, 5) // the team's whole limit
 	big.Awaits, big.Priority = []string{first.ID}, "critical"
 	w.submit(first, 0).then = func() { w.submit(big, 0) }
 	w.until(30*model.Second, "the first runs", func() bool { return w.rules.OnMachine() == 2 })
-	beside := w.submit(sweepJob(2, 16, 5), 0)
+	beside := w.submit(arrayJob(2, 16, 5), 0)
 	w.until(40*model.Second, "what came later is done", func() bool { return beside.ended == "done" })
 	if s := w.nodes[0].statusOf(t, big.ID); s != "pending" {
 		t.Errorf("what waits is %s", s)
@@ -240,13 +267,13 @@
 // The watch of the rules sees what it is there for.
 func TestRulesCatchBreaches(t *testing.T) {
 	w := newWorld(t, 67)
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	w.Run(w.Now + 3*model.Second)
 	broken := func(name string) bool {
 		return slices.ContainsFunc(w.rules.Broken, func(b string) bool { return strings.Contains(b, name) })
 	}
 	// The service is not told that the second awaits the first.
-	first, second := sweepJob(0, 2, 60), sweepJob(1, 2, 60)
+	first, second := arrayJob(0, 2, 60), arrayJob(1, 2, 60)
 	w.submit(first, 0)
 	w.submit(second, 0)
 	w.rules.Awaits[second.ID] = []string{first.ID}
@@ -255,8 +282,8 @@
 	(&user{w: w, sub: first}).withdraw()
 	w.until(60*model.Second, "orphaned", func() bool { return broken("orphaned") })
 	// Nobody is left to answer, and no trouble is said to be the reason.
-	w.submit(sweepJob(2, 1, 300), 0)
-	w.until(20*model.Second, "it is accepted", func() bool { return w.rules.Accepted[sweepJob(2, 1, 1).ID] })
+	w.submit(arrayJob(2, 1, 300), 0)
+	w.until(20*model.Second, "it is accepted", func() bool { return w.rules.Accepted[arrayJob(2, 1, 1).ID] })
 	w.rules.Calm = w.Now
 	for _, n := range w.nodes {
 		n.crash()
--- a/internal/controller/cells_failures_test.go
+++ b/internal/controller/cells_failures_test.go
@@ -29,13 +29,13 @@
 	l.home = l.cells[0]
 	l.Run(20 * model.Second)
 	for i, team := range []string{"red", "blue"} {
-		s := sweepJob(i, 4, 0) // half of the cell's cores each
+		s := arrayJob(i, 4, 0) // half of the cell's cores each
 		s.Kind, s.Team, s.Cores = "service", team, 4
 		l.fillers = append(l.fillers, l.home.submit(s, 0))
 	}
 	l.Run(l.Now + 15*model.Second)
-	l.home.closeLooks = true
-	s := sweepJob(900, 4, seconds)
+	l.home.checksEveryNode = true
+	s := arrayJob(900, 4, seconds)
 	s.Cores = 4
 	l.user = l.home.submit(s, 0)
 	return l
@@ -132,15 +132,12 @@
 	{"the guest's state service is out", func(l *lentJob) { l.outage(l.guest, 25*model.Second) }},
 	{"home's state service refuses its holder", func(l *lentJob) { l.refuse(l.home) }},
 	{"the guest's state service refuses its holder", func(l *lentJob) { l.refuse(l.guest) }},
-	{"questions do not arrive", func(l *lentJob) { l.link(l.guest, l.home, dropped) }},
+	{"questions do not arrive", func(l *lentJob) { l.dropQuestions() }},
 	{"answers do not arrive", func(l *lentJob) { l.link(l.home, l.guest, dropped) }},
 	{"questions are held", func(l *lentJob) { l.link(l.guest, l.home, holding) }},
 	{"answers are held", func(l *lentJob) { l.link(l.home, l.guest, holding) }},
 	{"cancelled", func(l *lentJob) { l.user.cancel(nil) }},
-	{"cancelled while the link is cut", func(l *lentJob) {
-		l.link(l.guest, l.home, dropped)
-		l.user.cancel(nil)
-	}},
+	{"cancelled while the link is cut", (*lentJob).cancelWithoutQuestions},
 	{"cancelled while answers are held", func(l *lentJob) {
 		l.link(l.home, l.guest, holding)
 		l.user.cancel(nil)
@@ -154,9 +151,9 @@
 		l.user.cancel(nil)
 	}},
 	{"cancelled while the guest's machines hang", func(l *lentJob) { l.hang(); l.user.cancel(nil) }},
-	{"cancelled while the guest's machines are cut off", func(l *lentJob) { l.mute(); l.user.cancel(nil) }},
+	{"cancelled while the guest's machines are cut off", func(l *lentJob) { l.cutOffGuest(); l.user.cancel(nil) }},
 	{"cancelled as the guest's holder ends and the link is cut", func(l *lentJob) {
-		l.link(l.guest, l.home, dropped)
+		l.dropQuestions()
 		l.endHolder(l.guest)
 		l.user.cancel(nil)
 	}},
@@ -199,6 +196,15 @@
 	l.After(longTrouble, func() { l.set(from.cell.name, to.cell.name, open) })
 }
 
+// dropQuestions loses what the guest asks home.
+func (l *lentJob) dropQuestions() { l.link(l.guest, l.home, dropped) }
+
+// cancelWithoutQuestions cancels the job while home does not hear the guest.
+func (l *lentJob) cancelWithoutQuestions() {
+	l.dropQuestions()
+	l.user.cancel(nil)
+}
+
 func (l *lentJob) hang() {
 	for _, x := range l.guest.cloud.Workers() {
 		x.Hang(true)
@@ -206,16 +212,16 @@
 	}
 }
 
-// muteFor is longer than a workers' lease.
-const muteFor = 25 * model.Second
+// cutOffTime is longer than a worker's lease.
+const cutOffTime = 25 * model.Second
 
-func (l *lentJob) mute() { l.cutOff(l.guest) }
+func (l *lentJob) cutOffGuest() { l.cutOff(l.guest) }
 
 // cutOff keeps the machines of a cell from reaching any controller.
 func (l *lentJob) cutOff(w *world) {
 	for _, x := range w.cloud.Workers() {
-		w.mute[x.ID] = true
-		l.After(muteFor, func() { delete(w.mute, x.ID) })
+		w.heartbeatsBlocked[x.ID] = true
+		l.After(cutOffTime, func() { delete(w.heartbeatsBlocked, x.ID) })
 	}
 }
 
@@ -258,10 +264,10 @@
 	name string
 	come func(l *lentJob)
 }{
-	{"cancelled through a sibling while home's holder is blind", func(l *lentJob) {
+	{"cancelled through a sibling while home's holder gets no syncs", func(l *lentJob) {
 		n := l.home.leader()
-		n.blind, n.alone = true, true
-		l.After(60*model.Second, func() { n.blind, n.alone = false, false })
+		n.syncsLost, n.peersCutOff = true, true
+		l.After(60*model.Second, func() { n.syncsLost, n.peersCutOff = false, false })
 		l.user.cancel((&meeting{world: l.home}).other(n))
 	}},
 	{"cancelled as answers are held for seconds", func(l *lentJob) {
@@ -269,7 +275,7 @@
 		l.After(2*model.Second, func() { l.user.cancel(nil) })
 		l.After(16*model.Second, func() {
 			l.set("north", l.guest.cell.name, open)
-			l.link(l.guest, l.home, dropped)
+			l.dropQuestions()
 		})
 	}},
 	{"cancelled as the guest's holder stands still with an answer on its way", func(l *lentJob) {
@@ -279,37 +285,33 @@
 				return
 			}
 			l.watch = nil
-			n.alone = true // or it resigns when it wakes
+			n.peersCutOff = true // or it resigns when it wakes
 			n.pauseFor(6 * model.Second)
-			l.link(l.guest, l.home, dropped)
+			l.dropQuestions()
 			l.After(20*model.Millisecond, func() { l.user.cancel(nil) })
 		}
 	}},
 	{"cancelled as no question arrives and its team asks for all that it may have", func(l *lentJob) {
-		l.link(l.guest, l.home, dropped)
+		l.dropQuestions()
 		l.freeHome()
 		l.user.cancel(nil)
 		l.After(model.Second, func() {
-			s := sweepJob(901, 10, 60)
+			s := arrayJob(901, 10, 60)
 			s.Cores = 4
 			l.home.submit(s, 0)
 		})
 	}},
-	{"cancelled as no question arrives", func(l *lentJob) {
-		l.link(l.guest, l.home, dropped)
-		l.user.cancel(nil)
-	}},
+	{"cancelled as no question arrives", (*lentJob).cancelWithoutQuestions},
 	{"cancelled as no question arrives and the guest's holder ends", func(l *lentJob) {
-		l.link(l.guest, l.home, dropped)
-		l.user.cancel(nil)
+		l.cancelWithoutQuestions()
 		l.endHolder(l.guest)
 	}},
 	{"no question arrives as home has room", func(l *lentJob) {
-		l.link(l.guest, l.home, dropped)
+		l.dropQuestions()
 		l.freeHome()
 	}},
 	{"no question arrives and home's holder ends", func(l *lentJob) {
-		l.link(l.guest, l.home, dropped)
+		l.dropQuestions()
 		l.freeHome()
 		l.endHolder(l.home)
 	}},
@@ -318,12 +320,12 @@
 		l.endHolder(l.home)
 	}},
 	{"home's record of taking back is late", func(l *lentJob) {
-		l.link(l.guest, l.home, dropped)
+		l.dropQuestions()
 		l.freeHome()
 		l.holdTakingBack(8*model.Second, func() { l.set(l.guest.cell.name, "north", open) })
 	}},
 	{"home's record of taking back is lost with its holder", func(l *lentJob) {
-		l.link(l.guest, l.home, dropped)
+		l.dropQuestions()
 		l.freeHome()
 		l.holdTakingBack(0, func() {
 			l.set(l.guest.cell.name, "north", open)
@@ -381,7 +383,7 @@
 				l.reach("all of it runs", func() bool { return l.accepted() && l.rules.OnMachineOf(l.job) == 4 })
 				l.Run(l.Now + 3*model.Second)
 				c.come(l)
-				l.After(cutAfter, l.mute)
+				l.After(cutAfter, l.cutOffGuest)
 				l.Run(l.Now + 120*model.Second)
 				l.verify(t)
 			})
--- a/internal/controller/duties_fleet_test.go
+++ b/internal/controller/duties_fleet_test.go
@@ -28,7 +28,7 @@
 		n.start()
 	}
 	for i := range 40 {
-		s := sweepJob(i, 100, 150)
+		s := arrayJob(i, 100, 150)
 		s.Cores = 8 // a machine each
 		w.At(model.Micros(i)*500*model.Millisecond, func() { w.submit(s, 0) })
 	}
@@ -43,8 +43,7 @@
 	}
 	rented := w.cloud.Rented()
 	old := w.leader()
-	old.crash()
-	w.After(4*model.Second, old.start)
+	old.crashFor(4 * model.Second)
 	w.Run(w.Now + 40*model.Second)
 	if n := w.cloud.Rented(); n > rented+rented/20 {
 		t.Errorf("%d machines before the leader's end, %d after", rented, n)
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// led waits until somebody leads and has taken over.
-func (w *world) led(limit model.Micros) {
+// waitForLeader waits until somebody leads and has taken over.
+func (w *world) waitForLeader(limit model.Micros) {
 	w.t.Helper()
 	w.until(limit, "somebody leads", func() bool { l := w.leader(); return l != nil && l.ctl.leading.ready })
 }
@@ -34,13 +34,13 @@
 func TestTakeoverWithLateCommits(t *testing.T) {
 	w := newWorld(t, 3)
 	for i := range 6 {
-		w.submit(sweepJob(i, 8, 20), 0)
+		w.submit(arrayJob(i, 8, 20), 0)
 	}
 	w.until(40*model.Second, "something runs", func() bool { return w.rules.OnMachine() > 10 })
 	old := w.leader()
 	old.setCut(holding)
 	for i := 6; i < 9; i++ {
-		w.submit(sweepJob(i, 8, 10), 0)
+		w.submit(arrayJob(i, 8, 10), 0)
 	}
 	w.until(14*model.Second, "another leads", func() bool { l := w.leader(); return l != nil && l != old })
 	if old.ctl.auth.IsValid(old.ctl.clock()) {
@@ -59,7 +59,7 @@
 // the same key, under the same grant. It must not bring the old value back.
 func TestOwnLateCommitChangesNothing(t *testing.T) {
 	w := newWorld(t, 4)
-	w.led(5 * model.Second)
+	w.waitForLeader(5 * model.Second)
 	n := w.leader()
 	var held *state.Txn
 	n.intercept = func(m msgCommitted) bool {
@@ -72,7 +72,7 @@
 		w.After(commitTimeout, func() { n.deliver(life, m) })
 		return true
 	}
-	u := w.submit(sweepJob(1, 6, 15), 0)
+	u := w.submit(arrayJob(1, 6, 15), 0)
 	w.until(60*model.Second, "it runs", func() bool { return w.rules.OnMachine() == 6 })
 	if res, err := w.state.Commit(n.name, held); err != nil || res.OK {
 		t.Fatalf("a late copy is carried out: %v, %v", held, err)
@@ -86,9 +86,9 @@
 
 // A former holder's transaction that is carried out after the takeover changes
 // nothing, even where the new holder has not written the same keys yet.
-func TestFormerHoldersCommitIsShutOut(t *testing.T) {
+func TestFormerHoldersCommitChangesNothing(t *testing.T) {
 	w := newWorld(t, 14)
-	w.led(5 * model.Second)
+	w.waitForLeader(5 * model.Second)
 	n := w.leader()
 	var held *state.Txn
 	n.intercept = func(m msgCommitted) bool {
@@ -98,7 +98,7 @@
 		held = m.txn
 		return true
 	}
-	u := w.submit(sweepJob(1, 6, 15), 0)
+	u := w.submit(arrayJob(1, 6, 15), 0)
 	w.until(60*model.Second, "a binding is on its way", func() bool { return held != nil })
 	n.crash()
 	w.state.Refused[n.name] = false
@@ -123,7 +123,7 @@
 func TestRestartWithinTheSession(t *testing.T) {
 	w := newWorld(t, 5)
 	for i := range 4 {
-		w.submit(sweepJob(i, 8, 25), 0)
+		w.submit(arrayJob(i, 8, 25), 0)
 	}
 	w.until(40*model.Second, "something runs", func() bool { return w.rules.OnMachine() > 10 })
 	n := w.leader()
@@ -131,7 +131,7 @@
 	n.crash()
 	w.Run(w.Now + 200*model.Millisecond)
 	n.start()
-	w.led(3 * model.Second)
+	w.waitForLeader(3 * model.Second)
 	if now := w.leader().ctl.leading.token; now <= token {
 		t.Fatalf("token %d after %d", now, token)
 	}
@@ -166,7 +166,7 @@
 			return true
 		}
 	}
-	w.led(10 * model.Second)
+	w.waitForLeader(10 * model.Second)
 	if token := w.leader().ctl.leading.token; lost == 0 || token <= lost {
 		t.Fatalf("leads under token %d, the lost election's was %d", token, lost)
 	}
@@ -178,7 +178,7 @@
 	w := newWorld(t, 7)
 	w.until(5*model.Second, "a leader that knows the machine types", func() bool { return len(w.nodes[0].ctl.view.MachineTypes) > 0 })
 	w.Run(w.Now + model.Second)
-	s := sweepJob(1, 3, 5)
+	s := arrayJob(1, 3, 5)
 	w.rules.Subs[s.ID] = s.Job(0)
 	w.nodes[0].ask(msgSubmit{s.ID, s, nil, make(chan userapi.Answer, 1)}, nil)
 	w.until(model.Second, "it is accepted", func() bool { return w.state.Has("job/" + s.ID) })
@@ -198,13 +198,13 @@
 // An ended job is never accepted again, also by a node that does not know it.
 func TestEndedJobIsNotRunAgain(t *testing.T) {
 	w := newWorld(t, 8)
-	u := w.submit(sweepJob(1, 2, 2), 0)
+	u := w.submit(arrayJob(1, 2, 2), 0)
 	w.until(60*model.Second, "done", func() bool { return u.ended == "done" })
 	n := w.nodes[1]
 	n.ctl.view = state.NewView() // a node that knows nothing
 	n.ctl.view.MachineTypes, n.ctl.sync.needsList = simMachineTypes, true
 	reply := make(chan userapi.Answer, 1)
-	n.ask(msgSubmit{"j-000001", sweepJob(1, 2, 2), nil, reply}, nil)
+	n.ask(msgSubmit{"j-000001", arrayJob(1, 2, 2), nil, reply}, nil)
 	w.until(2*model.Second, "an answer", func() bool { return len(reply) == 1 })
 	if a := <-reply; a.Code != 200 || !strings.Contains(string(a.Body), "done") {
 		t.Fatalf("answered %d %s", a.Code, a.Body)
@@ -215,12 +215,23 @@
 	}
 }
 
+// answerAtOnce asks a node for what it has to refuse, and fails if it holds the request.
+func (n *simNode) answerAtOnce(msg func(chan<- userapi.Answer) any) userapi.Answer {
+	n.w.t.Helper()
+	reply := make(chan userapi.Answer, 1)
+	n.ask(msg(reply), nil)
+	if len(reply) != 1 {
+		n.w.t.Fatal("a request that can't be served is held")
+	}
+	return <-reply
+}
+
 // An outage of the state service that outlasts the session: nobody acts in it,
 // what runs goes on as long as the workers' leases last, and everything is
 // finished afterwards. Submissions are refused at once.
 func TestOutageLongerThanASession(t *testing.T) {
 	w := newWorld(t, 9)
-	u := w.submit(sweepJob(1, 8, 60), 0)
+	u := w.submit(arrayJob(1, 8, 60), 0)
 	w.until(40*model.Second, "it runs", func() bool { return w.rules.OnMachine() == 8 })
 	w.state.SetOutage(true)
 	w.Run(w.Now + 13*model.Second)
@@ -230,12 +241,8 @@
 	if w.rules.OnMachine() != 8 {
 		t.Fatal("running tasks were lost in a short outage")
 	}
-	reply := make(chan userapi.Answer, 1)
-	w.nodes[1].ask(msgSubmit{"j-000002", sweepJob(2, 1, 1), nil, reply}, nil)
-	if len(reply) != 1 {
-		t.Fatal("a submission that can't be taken is held")
-	}
-	if a := <-reply; a.Code != 503 || a.RetryAfter == 0 {
+	a := w.nodes[1].answerAtOnce(func(r chan<- userapi.Answer) any { return msgSubmit{"j-000002", arrayJob(2, 1, 1), nil, r} })
+	if a.Code != 503 || a.RetryAfter == 0 {
 		t.Fatalf("answered %d, Retry-After %d", a.Code, a.RetryAfter)
 	}
 	if !w.nodes[1].ctl.healthy() {
@@ -252,19 +259,15 @@
 
 // One node alone gets 503s: a sibling answers its users, and if it led, another
 // takes over.
-func TestLoneRefusal(t *testing.T) {
+func TestRefusedNode(t *testing.T) {
 	w := newWorld(t, 10)
-	w.submit(sweepJob(1, 4, 30), 0)
+	w.submit(arrayJob(1, 4, 30), 0)
 	w.until(40*model.Second, "it runs", func() bool { return w.rules.OnMachine() == 4 })
 	n := w.leader()
 	n.setCut(refused)
 	w.Run(w.Now + 3*model.Second)
-	reply := make(chan userapi.Answer, 1)
-	n.ask(msgStatusRequest{"j-000001", reply}, nil)
-	if len(reply) != 1 {
-		t.Fatal("a poll that can't be answered is held")
-	}
-	if a := <-reply; a.Code != 503 || a.Helper == "" || a.Helper == n.name {
+	a := n.answerAtOnce(func(r chan<- userapi.Answer) any { return msgStatusRequest{"j-000001", r} })
+	if a.Code != 503 || a.Helper == "" || a.Helper == n.name {
 		t.Fatalf("answered %+v, want a sibling named", a)
 	}
 	w.until(3*model.Second, "another leads, long before the session runs out",
@@ -278,9 +281,9 @@
 
 // A leader that no worker reaches any more hands over to a sibling that they do
 // reach, before their leases run out.
-func TestDesertedLeaderResigns(t *testing.T) {
+func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	w := newWorld(t, 15)
-	w.submit(sweepJob(1, 12, 60), 0)
+	w.submit(arrayJob(1, 12, 60), 0)
 	w.until(40*model.Second, "it runs", func() bool { return w.rules.OnMachine() == 12 })
 	n := w.leader()
 	n.workers = false
@@ -297,7 +300,7 @@
 func TestCreditsAcrossATakeover(t *testing.T) {
 	w := newWorld(t, 11)
 	for range 4 {
-		w.led(20 * model.Second)
+		w.waitForLeader(20 * model.Second)
 		n := w.leader()
 		sum := map[string]model.Resources{}
 		for _, g := range n.ctl.view.Grants {
@@ -324,7 +327,7 @@
 	n := w.nodes[0]
 	n.setCut(refused)
 	for i := range 4 {
-		w.submit(sweepJob(i, 4, 5), 0)
+		w.submit(arrayJob(i, 4, 5), 0)
 	}
 	w.Run(w.Now + 30*model.Second)
 	n.setCut(open)
@@ -346,7 +349,7 @@
 	w := newWorld(t, 16)
 	var us []*user
 	for i := range 2 {
-		s := sweepJob(i, 100_000, 1)
+		s := arrayJob(i, 100_000, 1)
 		s.Cores, s.MemoryGB, s.Team, s.ImageGB = 0.001, 0.001, "red", 0.1
 		us = append(us, w.submit(s, 0))
 	}
@@ -366,7 +369,7 @@
 // Without authority no worker gets a 200, however early its lease ends.
 func TestNoAnswerToWorkersWithoutAuthority(t *testing.T) {
 	w := newWorld(t, 13)
-	w.led(5 * model.Second)
+	w.waitForLeader(5 * model.Second)
 	n := w.leader()
 	leaseTimes := n.ctl.auth.Times
 	for _, o := range w.nodes {
@@ -413,7 +416,7 @@
 	}
 	accept := func(i int) (code int) {
 		reply := make(chan userapi.Answer, 1)
-		s := sweepJob(i, 1, 5)
+		s := arrayJob(i, 1, 5)
 		n.ask(msgSubmit{s.ID, s, nil, reply}, nil)
 		for range 30 {
 			w.Run(w.Now + 10*model.Millisecond)
@@ -438,28 +441,13 @@
 func TestQueuedCancellationMeetsTheEnd(t *testing.T) {
 	for seed := range uint64(5) {
 		w := newWorld(t, 60+seed)
-		u := w.submit(sweepJob(1, 2, 8), 0)
+		u := w.submit(arrayJob(1, 2, 8), 0)
 		w.until(60*model.Second, "it runs", func() bool { return w.rules.OnMachine() == 2 })
 		n := w.nodes[0]
 		if n == w.leader() {
 			n = w.nodes[1]
 		}
-		blocked := true
-		var lanes []msgCommitted
-		n.intercept = func(m msgCommitted) bool {
-			if blocked && m.lane >= laneUsers {
-				lanes = append(lanes, m)
-				return true
-			}
-			return false
-		}
-		for i := range userLanes {
-			s := sweepJob(10+i, 1, 1)
-			n.ask(msgSubmit{s.ID, s, nil, make(chan userapi.Answer, 1)}, nil)
-		}
-		if len(lanes) != userLanes {
-			t.Fatalf("%d transactions on their way", len(lanes))
-		}
+		release := n.blockUserLanes()
 		w.Run(w.Now + 6*model.Second) // of eight
 		reply := make(chan userapi.Answer, 1)
 		w.rules.Ask(u.sub.ID)
@@ -468,11 +456,7 @@
 			_, ended := n.ctl.view.Final(u.sub.ID)
 			return ended && len(n.ctl.userWrites.queue) > 0
 		})
-		blocked = false
-		for _, m := range lanes {
-			m.err = state.ErrLost
-			n.deliver(n.life, m)
-		}
+		release()
 		w.until(3*model.Second, "the cancellation is answered", func() bool { return len(reply) == 1 })
 		if a := <-reply; a.Code != 200 || !strings.Contains(string(a.Body), "done") {
 			t.Errorf("seed %d: the cancellation of a done job is answered %d %s", seed, a.Code, a.Body)
@@ -486,3 +470,32 @@
 		w.check()
 	}
 }
+
+// blockUserLanes fills all lanes for users' transactions of a node with submissions that get
+// no answer, until the returned function is called.
+func (n *simNode) blockUserLanes() (release func()) {
+	n.w.t.Helper()
+	blocked := true
+	var lanes []msgCommitted
+	n.intercept = func(m msgCommitted) bool {
+		if blocked && m.lane >= laneUsers {
+			lanes = append(lanes, m)
+			return true
+		}
+		return false
+	}
+	for i := range userLanes {
+		s := arrayJob(10+i, 1, 1)
+		n.ask(msgSubmit{s.ID, s, nil, make(chan userapi.Answer, 1)}, nil)
+	}
+	if len(lanes) != userLanes {
+		n.w.t.Fatalf("%d transactions on their way", len(lanes))
+	}
+	return func() {
+		blocked = false
+		for _, m := range lanes {
+			m.err = state.ErrLost
+			n.deliver(n.life, m)
+		}
+	}
+}
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -24,32 +24,32 @@
 		if n := m.rules.OnMachine(); n != 0 || m.leader() != nil {
 			m.t.Fatalf("%d tasks are on machines without a lease", n)
 		}
-		m.over(long)
+		m.requireStopped(long)
 	}},
 	{"cancellations while work changes hands", func(m *meeting) {
 		long, gang, _ := m.load()
-		l := m.leads()
+		l := m.requireLeader()
 		l.crash()
 		via := m.other(l)
 		long.cancel(via)
 		m.withdrawn(m.session(), long)
-		if m.ready() != nil {
+		if m.readyLeader() != nil {
 			m.t.Fatal("another leads already")
 		}
 		m.until(60*model.Second, "another leads", func() bool { return m.leader() != nil })
 		gang.cancel(m.other(m.leader()))
 		m.withdrawn(10*model.Second, gang)
-		m.over(long, gang)
+		m.requireStopped(long, gang)
 	}},
 	{"transactions carried out late, after newer ones", func(m *meeting) {
 		long, gang, _ := m.load()
 		m.lateWrites, m.lateBy = 0.4, m.afterNewer
-		m.sweep(8, 10)
-		m.gang(3, 10)
+		m.submitArray(8, 10)
+		m.submitGang(3, 10)
 		long.cancel(nil)
 		m.Run(m.Now + 15*model.Second)
 		m.restart(m.nodes[0], 300*model.Millisecond)
-		m.sweep(8, 10)
+		m.submitArray(8, 10)
 		gang.cancel(nil)
 		m.Run(m.Now + 30*model.Second)
 		if m.arrivedLate < 10 {
@@ -60,33 +60,33 @@
 		long, _, _ := m.load()
 		m.lateWrites, m.lateBy = 0.5, m.atOnce
 		for range 6 {
-			m.sweep(2, 5)
+			m.submitArray(2, 5)
 		}
 		long.cancel(nil)
 		m.Run(m.Now + 20*model.Second)
-		if l := m.ready(); l != nil {
+		if l := m.readyLeader(); l != nil {
 			m.restart(l, 200*model.Millisecond)
 		}
 		m.Run(m.Now + 20*model.Second)
-		if m.wroteLate < 5 || m.looked < 50 {
-			m.t.Fatalf("%d transactions without an answer, %d looks", m.wroteLate, m.looked)
+		if m.wroteLate < 5 || m.everyNodeAnswers < 50 {
+			m.t.Fatalf("%d transactions without an answer, %d looks", m.wroteLate, m.everyNodeAnswers)
 		}
 	}},
 	{"more work than room, urgent and not, over slow links", func(m *meeting) {
 		m.load()
 		m.lag = 1500 * model.Millisecond
 		for i := range 6 {
-			m.sweep(12, 15)
-			u := m.gang(3, 15)
+			m.submitArray(12, 15)
+			u := m.submitGang(3, 15)
 			if i%2 == 0 {
 				u.then = func() { u.cancelAt = m.Now + 10*model.Second }
 			}
-			low := sweepJob(200+i, 8, 10)
+			low := arrayJob(200+i, 8, 10)
 			low.Priority = "idle"
 			m.add(low)
 		}
 		m.until(60*model.Second, "there is more work than room", func() bool {
-			l := m.leads()
+			l := m.requireLeader()
 			if l == nil {
 				return false
 			}
@@ -99,28 +99,26 @@
 		m.Run(m.Now + 60*model.Second)
 	}},
 	{"old reports reach every controller as a new leader begins", func(m *meeting) {
-		m.record = true
+		m.recordsHeartbeats = true
 		long, _, _ := m.load()
-		old := m.heard
-		m.record = false
-		l := m.leads()
+		old := m.recordedHeartbeats
+		m.recordsHeartbeats = false
+		l := m.requireLeader()
 		l.crash()
 		long.cancel(m.other(l))
 		m.until(60*model.Second, "a new leader begins", func() bool { return m.leader() != nil })
 		for range 20 {
-			for _, tell := range old {
-				tell()
-			}
+			repeatAll(old)
 			m.Run(m.Now + 100*model.Millisecond)
 		}
-		if len(old) < 20 || m.ready() == nil {
+		if len(old) < 20 || m.readyLeader() == nil {
 			m.t.Fatalf("%d old reports", len(old))
 		}
 	}},
 	{"an answer is held up for seconds, and the machine then goes on", func(m *meeting) {
 		long, gang, _ := m.load()
 		m.lag = 3500 * model.Millisecond
-		m.sweep(8, 10)
+		m.submitArray(8, 10)
 		m.Run(m.Now + m.report())
 		hung := 0
 		for i, x := range m.cloud.Workers() {
@@ -136,26 +134,26 @@
 		if hung < 3 {
 			m.t.Fatalf("%d machines hung", hung)
 		}
-		m.over(long, gang)
+		m.requireStopped(long, gang)
 	}},
 	{"a report is held back until a new leader has acted", func(m *meeting) {
 		long, _, _ := m.load()
 		for i, x := range m.cloud.Workers() {
 			m.cut[x.ID] = i%2 == 0
 		}
-		m.sweep(6, 10)
+		m.submitArray(6, 10)
 		m.Run(m.Now + m.report())
-		l := m.leads()
+		l := m.requireLeader()
 		l.crash()
 		long.cancel(m.other(l))
 		m.until(60*model.Second, "a new leader has acted", func() bool {
-			n := m.ready()
+			n := m.readyLeader()
 			return n != nil && n.ctl.leading.block.Queued() == 0 && len(n.ctl.leading.block.Machines) > 0
 		})
 		m.Run(m.Now + m.report())
 		late := m.late
 		for _, f := range late {
-			f(m.leads())
+			f(m.requireLeader())
 		}
 		clear(m.cut)
 		if len(late) == 0 {
@@ -167,7 +165,7 @@
 		yard := "a"
 		var bound []*user
 		for i := range 3 {
-			s := sweepJob(200+i, 6, 60)
+			s := arrayJob(200+i, 6, 60)
 			if i == 2 {
 				s = gangJob(202, 3, 60)
 				s.SameZone = true
@@ -187,7 +185,7 @@
 				}
 			}
 		}
-		m.restart(m.leads(), 200*model.Millisecond)
+		m.restart(m.requireLeader(), 200*model.Millisecond)
 		bound[1].cancel(nil)
 		m.Run(m.Now + m.lease())
 		if lost < 2 {
@@ -197,34 +195,34 @@
 	{"a team at its limit, machines that can't be asked, a cancellation, a new leader", func(m *meeting) { atTheLimit(m, "red") }},
 	{"a zone with workers and a controller is cut off for longer than a lease", func(m *meeting) {
 		long, _, service := m.load()
-		l := m.leads()
+		l := m.requireLeader()
 		l.setCut(dropped)
-		l.alone, l.hidden = true, true
+		l.peersCutOff, l.usersCutOff = true, true
 		m.reaches = func(x *standin.Worker, n *simNode) bool { return (x.Zone == "a") == (n == l) }
 		via := m.other(l)
-		m.sweep(4, 10)
+		m.submitArray(4, 10)
 		long.cancel(via)
 		service.cancel(via)
 		m.withdrawn(20*model.Second, long, service)
 		m.Run(m.Now + m.lease() + 2*model.Second)
-		if n := m.ready(); n == nil || n == l {
+		if n := m.readyLeader(); n == nil || n == l {
 			m.t.Fatal("no other leads")
 		}
-		m.over(long, service)
+		m.requireStopped(long, service)
 	}},
 	{"the zone of all controllers is cut off for longer than a lease, right after a cancellation", func(m *meeting) {
 		long, gang, service := m.load()
 		if m.tasksIn("a") == 0 || m.tasksIn("b") == 0 {
 			m.t.Fatal("nothing runs in one of the zones")
 		}
-		l := m.leads()
+		l := m.requireLeader()
 		l.setCut(dropped) // the leader does not hear of the cancellation
-		l.alone = true
+		l.peersCutOff = true
 		long.cancel(m.other(l))
 		m.withdrawn(10*model.Second, long)
 		for _, n := range m.nodes {
 			n.setCut(dropped)
-			n.hidden = true
+			n.usersCutOff = true
 		}
 		m.reaches = func(x *standin.Worker, _ *simNode) bool { return x.Zone == "a" }
 		m.Run(m.Now + 2*model.Second)
@@ -233,7 +231,7 @@
 		if n := m.tasksIn("b"); n > 0 {
 			m.t.Fatalf("%d tasks in the other zone outlive their leases", n)
 		}
-		m.over(long)
+		m.requireStopped(long)
 		m.calm()
 		// What ended there goes on, a report and its start after the takeover.
 		m.until(3*m.report()+10*model.Second, "replicas and gang run again", func() bool {
@@ -243,13 +241,13 @@
 	{"jobs of two or three tasks end far apart across a change of leader", func(m *meeting) {
 		m.cloud.Run = func(*model.Job) model.Micros { return m.Between(2*model.Second, 50*model.Second) }
 		for i := range 8 {
-			m.sweep(2+i%2, 20)
+			m.submitArray(2+i%2, 20)
 		}
 		changes := 0
 		for range 4 {
 			m.Run(m.Now + 12*model.Second)
-			if l := m.ready(); l != nil {
-				for _, u := range m.us {
+			if l := m.readyLeader(); l != nil {
+				for _, u := range m.submitted {
 					s := l.ctl.view.Done(u.sub.ID)
 					if n := s.Len(); n > 0 && n < u.sub.Tasks {
 						changes++
@@ -269,33 +267,33 @@
 			switch {
 			case x.Tasks() == 0:
 			case i%3 == 0:
-				m.mute[x.ID] = true
+				m.heartbeatsBlocked[x.ID] = true
 				unreached++
 			case i%3 == 1:
-				m.deaf[x.ID] = true
+				m.responsesLost[x.ID] = true
 				unhearing++
 			}
 		}
-		l := m.leads()
+		l := m.requireLeader()
 		l.crash()
-		m.until(60*model.Second, "another leads", func() bool { return m.ready() != nil })
+		m.until(60*model.Second, "another leads", func() bool { return m.readyLeader() != nil })
 		gang.cancel(nil)
 		m.Run(m.Now + m.lease()/2)
-		clear(m.mute)
+		clear(m.heartbeatsBlocked)
 		m.Run(m.Now + m.lease())
 		long.cancel(m.other(l)) // not at the node that is away: its users are not answered for 5 s
 		if unreached == 0 || unhearing == 0 {
 			m.t.Fatal("no such machines")
 		}
 		m.withdrawn(10*model.Second, long, gang)
-		m.over(long, gang)
+		m.requireStopped(long, gang)
 	}},
 	{"new machines are up at once while writes lag, and the leader ends", func(m *meeting) {
 		m.cloud.Quick = 1
-		m.led(10 * model.Second)
+		m.waitForLeader(10 * model.Second)
 		m.lateWrites, m.lateBy = 0.5, m.afterNewer
-		long := m.sweep(12, 200)
-		m.gang(3, 30)
+		long := m.submitArray(12, 200)
+		m.submitGang(3, 30)
 		quick := false
 		m.until(90*model.Second, "a new machine has work", func() bool {
 			for _, x := range m.cloud.Workers() {
@@ -303,8 +301,8 @@
 			}
 			return quick
 		})
-		m.restart(m.leads(), 8*model.Second)
-		m.sweep(6, 10)
+		m.restart(m.requireLeader(), 8*model.Second)
+		m.submitArray(6, 10)
 		m.Run(m.Now + 30*model.Second)
 		long.cancel(nil)
 		m.Run(m.Now + 10*model.Second)
@@ -329,25 +327,25 @@
 		l.setCut(open)
 		m.state.SetOutage(false)
 		m.withdrawn(60*model.Second, long, gang, service)
-		m.over(long, gang, service)
+		m.requireStopped(long, gang, service)
 	}},
 	{"a leader alone with its workers and users, cancellations through the new one", func(m *meeting) {
 		long, gang, _ := m.load()
-		l := m.leads()
+		l := m.requireLeader()
 		l.setCut(dropped)
-		l.alone = true
-		m.until(90*model.Second, "another leads", func() bool { n := m.ready(); return n != nil && n != l })
-		long.cancel(m.ready())
-		gang.cancel(m.ready())
+		l.peersCutOff = true
+		m.until(90*model.Second, "another leads", func() bool { n := m.readyLeader(); return n != nil && n != l })
+		long.cancel(m.readyLeader())
+		gang.cancel(m.readyLeader())
 		m.withdrawn(10*model.Second, long, gang)
 		if l.cut != dropped || !l.alive {
 			m.t.Fatal("the old leader is back")
 		}
-		m.over(long, gang)
+		m.requireStopped(long, gang)
 	}},
 	{"old reports after newer ones, from earlier sessions and attempts", func(m *meeting) {
-		m.copies = 0.6
-		m.record = true
+		m.duplicateHeartbeats = 0.6
+		m.recordsHeartbeats = true
 		long, _, _ := m.load()
 		for i, x := range m.cloud.Workers() {
 			if i%2 == 0 {
@@ -355,12 +353,10 @@
 			}
 		}
 		m.until(90*model.Second, "it runs again", func() bool { return m.on(long) == 6 })
-		old := m.heard
-		m.record = false
+		old := m.recordedHeartbeats
+		m.recordsHeartbeats = false
 		starts := m.rules.Starts
-		for _, tell := range old {
-			tell()
-		}
+		repeatAll(old)
 		m.Run(m.Now + 3*m.report())
 		if len(old) < 20 || m.on(long) != 6 {
 			m.t.Fatalf("%d old reports, %d tasks, %d starts", len(old), m.on(long), m.rules.Starts-starts)
@@ -371,7 +367,7 @@
 		tokens := map[uint64]bool{}
 		end := m.Now + 120*model.Second
 		for i := 0; m.Now < end; i++ {
-			m.sweep(2, 5)
+			m.submitArray(2, 5)
 			switch l := m.leader(); {
 			case l == nil:
 			case i%3 == 0:
@@ -398,29 +394,29 @@
 	{"workers reach no controller", func(m *meeting) {
 		long, gang, _ := m.load()
 		for i, x := range m.cloud.Workers() {
-			m.mute[x.ID] = i%3 != 2
+			m.heartbeatsBlocked[x.ID] = i%3 != 2
 		}
 		long.cancel(nil)
 		gang.cancel(nil)
 		m.withdrawn(10*model.Second, long, gang)
-		m.sweep(4, 10)
+		m.submitArray(4, 10)
 		m.Run(m.Now + m.lease()/2)
-		m.restart(m.leads(), 300*model.Millisecond)
+		m.restart(m.requireLeader(), 300*model.Millisecond)
 		m.Run(m.Now + m.lease())
-		m.over(long, gang)
+		m.requireStopped(long, gang)
 	}},
 	{"every team at its limit, cancelled jobs on machines cut off or hanging, a new leader", func(m *meeting) { atTheLimit(m, "red", "blue") }},
 	{"controllers hand over and back, all end, and one returns, also within a second", func(m *meeting) {
 		m.load()
-		first := m.leads()
+		first := m.requireLeader()
 		m.restart(first, 300*model.Millisecond)
-		m.until(60*model.Second, "somebody leads", func() bool { return m.ready() != nil })
-		second := m.leads()
+		m.until(60*model.Second, "somebody leads", func() bool { return m.readyLeader() != nil })
+		second := m.requireLeader()
 		second.setCut(refused)
-		m.until(60*model.Second, "another leads", func() bool { n := m.ready(); return n != nil && n != second })
+		m.until(60*model.Second, "another leads", func() bool { n := m.readyLeader(); return n != nil && n != second })
 		second.setCut(open)
 		m.Run(m.Now + 2*model.Second)
-		m.sweep(4, 10)
+		m.submitArray(4, 10)
 		for i, n := range m.nodes {
 			after := m.session() + model.Micros(8+i)*model.Second
 			if n == second {
@@ -429,25 +425,25 @@
 			m.restart(n, after)
 		}
 		// Another may have led; its session has to run out.
-		m.until(m.session()+6*model.Second, "the one that is back leads", func() bool { return m.ready() == second })
+		m.until(m.session()+6*model.Second, "the one that is back leads", func() bool { return m.readyLeader() == second })
 		m.Run(m.Now + 15*model.Second)
 	}},
 	{"one-task jobs four a second, a quarter cancelled", func(m *meeting) {
-		m.led(10 * model.Second)
+		m.waitForLeader(10 * model.Second)
 		m.Run(m.Now + 5*model.Second)
 		for i := range 400 {
 			m.Run(m.Now + 250*model.Millisecond)
-			u := m.sweep(1, 4)
+			u := m.submitArray(1, 4)
 			if i%4 == 0 {
 				u.then = func() { u.cancelAt = m.Now + m.Between(0, 8*model.Second) }
 			}
 			if i == 200 {
-				m.restart(m.leads(), 500*model.Millisecond)
+				m.restart(m.requireLeader(), 500*model.Millisecond)
 			}
 		}
 		m.Run(m.Now + 10*model.Second)
 		accepted := 0
-		for _, u := range m.us {
+		for _, u := range m.submitted {
 			if u.accepted {
 				accepted++
 			}
@@ -464,9 +460,9 @@
 			if u == nil || !u.accepted {
 				return
 			}
-			u.look()
+			u.checkEveryNode()
 			m.After(m.Between(0, 400*model.Millisecond), func() {
-				u.look()
+				u.checkEveryNode()
 				if m.rules.Ended(ref) == "" {
 					met++
 					u.cancel(nil)
@@ -474,15 +470,15 @@
 			})
 		}
 		for i := range 12 {
-			u := m.sweep(1+i%3, 5)
+			u := m.submitArray(1+i%3, 5)
 			byRef[u.sub.ID] = u
 		}
 		m.Run(m.Now + 60*model.Second)
 		// Once more, while cancellations wait for others' transactions that get no answer.
-		m.led(60 * model.Second)
+		m.waitForLeader(60 * model.Second)
 		m.lateWrites, m.lateBy = 0.9, m.atOnce
 		for i := range 60 {
-			u := m.sweep(1+i%3, 3)
+			u := m.submitArray(1+i%3, 3)
 			byRef[u.sub.ID] = u
 			m.Run(m.Now + 150*model.Millisecond)
 		}
@@ -499,7 +495,7 @@
 	var cancelled, waiting []*user
 	for i, team := range teams {
 		most := int(m.rules.Teams[team].Limit.Cores / 2000)
-		s := sweepJob(300+i, most, 400)
+		s := arrayJob(300+i, most, 400)
 		s.Team = team
 		cancelled = append(cancelled, m.add(s))
 	}
@@ -512,7 +508,7 @@
 		return true
 	})
 	for i, team := range teams {
-		s := sweepJob(310+i, 6, 10)
+		s := arrayJob(310+i, 6, 10)
 		s.Team = team
 		waiting = append(waiting, m.add(s))
 	}
@@ -522,17 +518,17 @@
 			x.Hang(true)
 			m.After(m.lease()*3/4, func() { x.Hang(false) })
 		case 1:
-			m.mute[x.ID] = true
+			m.heartbeatsBlocked[x.ID] = true
 		}
 	}
-	m.restart(m.leads(), model.Second)
+	m.restart(m.requireLeader(), model.Second)
 	for _, u := range cancelled {
 		u.cancel(nil)
 	}
 	m.withdrawn(60*model.Second, cancelled...)
-	m.until(60*model.Second, "a new leader", func() bool { return m.ready() != nil })
-	m.restart(m.leads(), model.Second)
-	m.over(cancelled...)
+	m.until(60*model.Second, "a new leader", func() bool { return m.readyLeader() != nil })
+	m.restart(m.requireLeader(), model.Second)
+	m.requireStopped(cancelled...)
 	m.until(150*model.Second, "what waited runs", func() bool {
 		for _, u := range waiting {
 			if m.rules.Ended(u.sub.ID) != "done" {
@@ -551,7 +547,7 @@
 					t.Parallel()
 					m := newMeeting(t, ts, 1000+uint64(i)*100+seed)
 					c.run(m)
-					m.served()
+					m.requireServed()
 				})
 			}
 		}
--- a/internal/controller/sim_network_test.go
+++ b/internal/controller/sim_network_test.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"woadweir/internal/core/model"
+	"woadweir/internal/core/shard"
 	"woadweir/internal/standin"
 	"woadweir/internal/workerapi"
 )
@@ -19,10 +20,10 @@
 
 func (w *world) Checkin(x *standin.Worker, node string, body []byte, answer func(int, []byte)) {
 	n := w.nodes[slices.Index(w.Nodes(), node)]
-	if w.away[x.ID] == node || w.mute[x.ID] || w.reaches != nil && !w.reaches(x, n) {
+	if w.cutFromNode[x.ID] == node || w.heartbeatsBlocked[x.ID] || w.reaches != nil && !w.reaches(x, n) {
 		return
 	}
-	if w.deaf[x.ID] {
+	if w.responsesLost[x.ID] {
 		answer = func(int, []byte) {}
 	}
 	if w.cut[x.ID] {
@@ -35,12 +36,12 @@
 		return
 	}
 	w.deliverReport(n, body, w.Between(200, 2000+w.lag), answer)
-	if w.copies > 0 && w.Chance(w.copies) {
+	if w.duplicateHeartbeats > 0 && w.Chance(w.duplicateHeartbeats) {
 		to := w.nodes[w.Rng.IntN(len(w.nodes))]
-		w.deliverReport(to, body, w.Between(2*model.Second, copyLate), func(int, []byte) {})
+		w.deliverReport(to, body, w.Between(2*model.Second, duplicateDelay), func(int, []byte) {})
 	}
-	if w.record {
-		w.heard = append(w.heard, func() {
+	if w.recordsHeartbeats {
+		w.recordedHeartbeats = append(w.recordedHeartbeats, func() {
 			for _, n := range w.nodes {
 				w.deliverReport(n, body, 0, func(int, []byte) {})
 			}
@@ -48,6 +49,15 @@
 	}
 }
 
+// repeatAll delivers recorded heartbeats once more, to all controllers.
+func repeatAll(recorded []func()) {
+	for _, deliver := range recorded {
+		deliver()
+	}
+}
+
+// deliverReport has a report arrive at a controller after that time, unless it is down or
+// no worker reaches it. answer gets the response.
 func (w *world) deliverReport(n *simNode, body []byte, after model.Micros, answer func(int, []byte)) {
 	w.After(after, func() {
 		if !n.alive || !n.workers {
@@ -67,36 +77,45 @@
 				give(a)
 				return
 			}
-			l := w.nodes[slices.Index(w.Nodes(), a.relay)]
-			life := n.life
-			fail := func() {
-				n.deliver(life, msgRelayFailed{})
-				give(a)
-			}
-			if l.alone || n.alone || l.old || !l.alive || w.Chance(0.01) {
-				w.After(w.Between(0, 2500*model.Millisecond), fail)
-				return
-			}
-			answered := false
-			w.After(2500*model.Millisecond, func() {
-				if !answered {
-					answered = true
-					fail()
-				}
-			})
+			w.relayReport(n, r, a, give)
+		})
+	})
+}
+
+// simRelayTimeout is how long a controller waits for the one that it relays a report to.
+const simRelayTimeout = 2500 * model.Millisecond
+
+// relayReport carries a report on to the controller that an answer names. give gets that
+// one's answer, or the first one if relaying fails.
+func (w *world) relayReport(n *simNode, r *shard.Heartbeat, a workerAnswer, give func(workerAnswer)) {
+	l := w.nodes[slices.Index(w.Nodes(), a.relay)]
+	life := n.life
+	fail := func() {
+		n.deliver(life, msgRelayFailed{})
+		give(a)
+	}
+	if l.peersCutOff || n.peersCutOff || l.old || !l.alive || w.Chance(0.01) {
+		w.After(w.Between(0, simRelayTimeout), fail)
+		return
+	}
+	answered := false
+	w.After(simRelayTimeout, func() {
+		if !answered {
+			answered = true
+			fail()
+		}
+	})
+	w.After(w.Between(200, 2000), func() {
+		l.handsOver(msgHeartbeat{report: r, relayed: true}, func(b workerAnswer) {
 			w.After(w.Between(200, 2000), func() {
-				l.handsOver(msgHeartbeat{report: r, relayed: true}, func(b workerAnswer) {
-					w.After(w.Between(200, 2000), func() {
-						if answered || n.life != life {
-							return
-						}
-						answered = true
-						if b.code == 200 {
-							w.relayed++
-						}
-						give(b)
-					})
-				})
+				if answered || n.life != life {
+					return
+				}
+				answered = true
+				if b.code == 200 {
+					w.relayed++
+				}
+				give(b)
 			})
 		})
 	})
--- a/internal/controller/sim_node_test.go
+++ b/internal/controller/sim_node_test.go
@@ -20,26 +20,26 @@
 // simNode is a controller in simulated time: the real actor, with scripted
 // peers in the place of sockets.
 type simNode struct {
-	w       *world
-	name    string
-	set     *config.Settings
-	alive   bool
-	life    int
-	ctl     *controller
-	ses     *leadership.Session
-	cut     int
-	late    []func() // held requests
-	workers bool     // workers reach it
-	blind   bool     // its catch-ups get no answer, all else does
-	hidden  bool     // users don't reach it
-	alone   bool     // the other controllers do not reach it, nor it them
-	pending []func() bool
-	abandon uint64 // a session that the session actor is to end
-	old     bool   // it runs the version in production, see upgrade_test.go
-	noCloud bool   // the cloud refuses its requests
-	paused  bool   // the process stands still, see pause_test.go
-	waiting []func()
-	pauseAt func(pausePoint) bool // tells whether the process stops there
+	w           *world
+	name        string
+	set         *config.Settings
+	alive       bool
+	life        int
+	ctl         *controller
+	ses         *leadership.Session
+	cut         int
+	late        []func() // held requests
+	workers     bool     // workers reach it
+	syncsLost   bool     // its catch-ups get no answer, all else does
+	usersCutOff bool     // users don't reach it
+	peersCutOff bool     // the other controllers do not reach it, nor it them
+	pending     []func() bool
+	abandon     uint64 // a session that the session actor is to end
+	old         bool   // it runs the version in production, see upgrade_test.go
+	noCloud     bool   // the cloud refuses its requests
+	paused      bool   // the process stands still, see pause_test.go
+	waiting     []func()
+	pauseAt     func(pausePoint) bool // tells whether the process stops there
 	// intercept takes a transaction away if it returns true.
 	intercept func(msgCommitted) bool
 }
@@ -76,6 +76,12 @@
 	n.alive, n.pending = false, nil
 }
 
+// crashFor ends a controller, and starts it again after that time.
+func (n *simNode) crashFor(down model.Micros) {
+	n.crash()
+	n.w.After(down, n.start)
+}
+
 func (n *simNode) tick(life int) {
 	if !n.alive || n.life != life {
 		return
@@ -119,37 +125,9 @@
 		return
 	}
 	n.ses.Sending(n.ctl.clock())
-	var r leadership.Reply
-	key := "node/" + n.name
-	do := func() (res *state.Result) {
-		err := error(nil)
-		switch call.Kind {
-		case leadership.CallRead:
-			var e *state.Entry
-			if e, err = n.w.state.Get(n.name, key); err == nil {
-				r.Revision, r.LeaseID = e.Revision, e.LeaseID
-			}
-		case leadership.CallRevoke:
-			err = n.w.state.End(n.name, call.LeaseID)
-		case leadership.CallGrant:
-			r.LeaseID, err = n.w.state.Grant(n.name, n.ctl.auth.Times.TTL)
-		case leadership.CallPut:
-			res, err = n.w.state.Commit(n.name, &state.Txn{Conditions: []state.Condition{{Path: key, Revision: call.Revision}},
-				Then: []state.Op{{Set: key, Value: n.nodeRecord(call.LeaseID), LeaseID: call.LeaseID}}})
-			if err == nil && !res.OK {
-				r.Outcome = leadership.Conflict
-			}
-		case leadership.CallRenew:
-			err = n.w.state.Touch(n.name, call.LeaseID)
-		}
-		if err == state.ErrMissing {
-			r.Outcome = leadership.Missing
-		} else if err != nil {
-			r.Outcome = leadership.Unclear
-		}
-		return res
-	}
-	back, lost := func() { n.sessionReply(r, life) }, func() { n.sessionReply(leadership.Reply{Outcome: leadership.Unclear}, life) }
+	r := new(leadership.Reply)
+	do := func() *state.Result { return n.carryOut(call, r) }
+	back, lost := func() { n.sessionReply(*r, life) }, func() { n.sessionReply(leadership.Reply{Outcome: leadership.Unclear}, life) }
 	if call.Kind == leadership.CallPut {
 		n.transact(do, back, lost, 2*model.Second)
 		return
@@ -157,6 +135,38 @@
 	n.request(func() func() { do(); return back }, lost, 2*model.Second)
 }
 
+// carryOut is a call of the session at the state service, with its reply. It returns the
+// result if the call is a transaction.
+func (n *simNode) carryOut(call leadership.Call, r *leadership.Reply) (res *state.Result) {
+	key := "node/" + n.name
+	err := error(nil)
+	switch call.Kind {
+	case leadership.CallRead:
+		var e *state.Entry
+		if e, err = n.w.state.Get(n.name, key); err == nil {
+			r.Revision, r.LeaseID = e.Revision, e.LeaseID
+		}
+	case leadership.CallRevoke:
+		err = n.w.state.End(n.name, call.LeaseID)
+	case leadership.CallGrant:
+		r.LeaseID, err = n.w.state.Grant(n.name, n.ctl.auth.Times.TTL)
+	case leadership.CallPut:
+		res, err = n.w.state.Commit(n.name, &state.Txn{Conditions: []state.Condition{{Path: key, Revision: call.Revision}},
+			Then: []state.Op{{Set: key, Value: n.nodeRecord(call.LeaseID), LeaseID: call.LeaseID}}})
+		if err == nil && !res.OK {
+			r.Outcome = leadership.Conflict
+		}
+	case leadership.CallRenew:
+		err = n.w.state.Touch(n.name, call.LeaseID)
+	}
+	if err == state.ErrMissing {
+		r.Outcome = leadership.Missing
+	} else if err != nil {
+		r.Outcome = leadership.Unclear
+	}
+	return res
+}
+
 func (n *simNode) nodeRecord(session uint64) state.NodeRecord {
 	r := state.NodeRecord{Session: session, Layout: state.Layout(n.ctl.op.Spill != nil), Duties: n.ctl.duties.candidate}
 	if n.old {
--- a/internal/controller/troubles_test.go
+++ b/internal/controller/troubles_test.go
@@ -28,12 +28,12 @@
 // lease. None is started twice, none is waited for without end, it gets no more
 // work, and it is returned; also when another controller takes over meanwhile,
 // whose token it never sees.
-func TestDeafMachine(t *testing.T) {
+func TestMachineWithoutResponses(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		w := newWorld(t, 21)
-		u := w.submit(sweepJob(1, 12, 50), 0)
+		u := w.submit(arrayJob(1, 12, 50), 0)
 		x := w.running(12)
-		w.deaf[x.ID] = true
+		w.responsesLost[x.ID] = true
 		if takeover {
 			w.leader().crash()
 		}
@@ -45,7 +45,7 @@
 		if l == nil {
 			t.Fatal("nobody leads")
 		}
-		w.submit(sweepJob(2, 30, 5), 0)
+		w.submit(arrayJob(2, 30, 5), 0)
 		w.until(80*model.Second, "it is returned", func() bool {
 			h := l.ctl.leading.block.Machines[x.ID]
 			for _, y := range w.cloud.Workers() {
@@ -62,16 +62,16 @@
 
 // When no machine hears, the fault may be the controller's: they are not all
 // returned, and go on once they hear again.
-func TestWholeFleetIsNotReturnedAsDeaf(t *testing.T) {
+func TestFleetWithoutResponsesIsNotReturned(t *testing.T) {
 	w := newWorld(t, 32)
-	u := w.submit(sweepJob(1, 16, 40), 0)
+	u := w.submit(arrayJob(1, 16, 40), 0)
 	w.running(16)
 	before := w.cloud.Workers()
 	for _, x := range before {
-		w.deaf[x.ID] = true
+		w.responsesLost[x.ID] = true
 	}
 	w.Run(w.Now + 60*model.Second)
-	clear(w.deaf)
+	clear(w.responsesLost)
 	now := w.cloud.Workers()
 	for _, x := range before {
 		if !slices.Contains(now, x) {
@@ -85,22 +85,18 @@
 // Copies of reports come late, from seconds to well over a lease, to any
 // controller, across a takeover and machines that are gone: they revive nothing,
 // and nothing runs twice.
-func TestLateCopiesOfReports(t *testing.T) {
+func TestLateDuplicatesOfHeartbeats(t *testing.T) {
 	w := newWorld(t, 22)
-	w.copies = 0.5
+	w.duplicateHeartbeats = 0.5
 	var us []*user
 	for i := range 8 {
-		us = append(us, w.submit(sweepJob(i, 8, 12), 0))
+		us = append(us, w.submit(arrayJob(i, 8, 12), 0))
 		us = append(us, w.submit(gangJob(20+i, 2, 15), 0))
 	}
 	w.Run(50 * model.Second)
 	w.leader().crash()
 	w.Run(w.Now + 20*model.Second)
-	for _, n := range w.nodes {
-		if !n.alive {
-			n.start()
-		}
-	}
+	w.startAll()
 	w.Run(400 * model.Second)
 	w.check()
 	for _, u := range us {
@@ -115,14 +111,14 @@
 
 // A new holder remembers no sequence number. All the reports that machines ever sent, told
 // to it once more, free no binding, start nothing, and show no machine up.
-func TestNewHolderAndOldCopies(t *testing.T) {
+func TestNewHolderIgnoresOldHeartbeats(t *testing.T) {
 	w := newWorld(t, 23)
-	w.record = true
-	w.submit(sweepJob(1, 12, 300), 0)
+	w.recordsHeartbeats = true
+	w.submit(arrayJob(1, 12, 300), 0)
 	x := w.running(12)
 	w.Run(w.Now + 5*model.Second)
-	old := w.heard
-	w.record = false
+	old := w.recordedHeartbeats
+	w.recordsHeartbeats = false
 	w.leader().crash()
 	x.Die()
 	for _, y := range w.cloud.Workers() {
@@ -139,9 +135,7 @@
 	before, starts := bound(), w.rules.Starts
 	took := w.Now
 	for range 3 {
-		for _, tell := range old {
-			tell()
-		}
+		repeatAll(old)
 		w.Run(w.Now + 3*model.Second)
 	}
 	if w.Now > took+15*model.Second {
@@ -166,12 +160,12 @@
 // rule, and a cancellation that it never saw is kept.
 func TestControllerAloneWithItsWorkers(t *testing.T) {
 	w := newWorld(t, 24)
-	w.submit(sweepJob(1, 12, 90), 0)
-	u := w.submit(sweepJob(2, 6, 90), 0)
+	w.submit(arrayJob(1, 12, 90), 0)
+	u := w.submit(arrayJob(2, 6, 90), 0)
 	w.running(18)
 	n := w.leader()
 	n.setCut(dropped)
-	n.alone = true
+	n.peersCutOff = true
 	cut := w.Now
 	u.cancelAt = w.Now + 2*model.Second
 	w.until(n.ctl.auth.Times.TTL+3*model.Second, "a successor leads", func() bool { l := w.leader(); return l != nil && l != n && l.ctl.leading.ready })
@@ -181,7 +175,7 @@
 	w.until(30*model.Second, "the cancellation is answered", func() bool { return u.ended == "withdrawn" })
 	w.Run(cut + 80*model.Second)
 	n.setCut(open)
-	n.alone = false
+	n.peersCutOff = false
 	w.Run(w.Now + 60*model.Second)
 	w.check()
 	if got := w.rules.Starts; got > 18 {
@@ -189,6 +183,43 @@
 	}
 }
 
+// elections are the transactions by which controllers tried to lead.
+type elections struct{ txns []*state.Txn }
+
+// crashInElections has every other election carried out while the process ends before it
+// gets the answer, and starts again at once.
+func (w *world) crashInElections() *elections {
+	seen := new(elections)
+	for _, n := range w.nodes {
+		n.intercept = func(m msgCommitted) bool {
+			if m.lane != laneElection {
+				return false
+			}
+			seen.txns = append(seen.txns, m.txn)
+			if len(seen.txns)%2 == 0 {
+				return false
+			}
+			_, _ = w.state.Commit(n.name, m.txn) // whatever comes of it
+			n.crashFor(w.Between(10*model.Millisecond, 300*model.Millisecond))
+			return true
+		}
+	}
+	return seen
+}
+
+func (w *world) requireOneLeaderAtMost() {
+	w.t.Helper()
+	leaders := 0
+	for _, n := range w.nodes {
+		if n.alive && n.ctl.leading != nil && n.ctl.auth.IsValid(n.ctl.clock()) {
+			leaders++
+		}
+	}
+	if leaders > 1 {
+		w.t.Fatalf("%d lead", leaders)
+	}
+}
+
 // Controllers that are back within a fraction of a second, in the middle of
 // elections, while requests of their former selves are carried out once more
 // long afterwards: one leads at a time, and nothing is forgotten or run twice.
@@ -197,47 +228,23 @@
 	w.repeats = 0.3
 	var us []*user
 	for i := range 6 {
-		us = append(us, w.submit(sweepJob(i, 8, 20), 0))
+		us = append(us, w.submit(arrayJob(i, 8, 20), 0))
 	}
 	w.running(20)
-	var elections []*state.Txn
-	for _, n := range w.nodes {
-		n.intercept = func(m msgCommitted) bool {
-			if m.lane == laneElection {
-				elections = append(elections, m.txn)
-				// It is carried out, but the process is gone before it hears of it.
-				if len(elections)%2 == 1 {
-					_, _ = w.state.Commit(n.name, m.txn) // whatever comes of it
-					n.crash()
-					w.After(w.Between(10*model.Millisecond, 300*model.Millisecond), n.start)
-					return true
-				}
-			}
-			return false
-		}
-	}
+	elections := w.crashInElections()
 	for range 5 {
 		if l := w.leader(); l != nil {
-			l.crash()
-			w.After(w.Between(10*model.Millisecond, 300*model.Millisecond), l.start)
+			l.crashFor(w.Between(10*model.Millisecond, 300*model.Millisecond))
 		}
 		w.Run(w.Now + 3*model.Second)
-		leaders := 0
-		for _, n := range w.nodes {
-			if n.alive && n.ctl.leading != nil && n.ctl.auth.IsValid(n.ctl.clock()) {
-				leaders++
-			}
-		}
-		if leaders > 1 {
-			t.Fatalf("%d lead", leaders)
-		}
+		w.requireOneLeaderAtMost()
 	}
 	for _, n := range w.nodes {
 		n.intercept = nil
 	}
-	w.led(20 * model.Second)
+	w.waitForLeader(20 * model.Second)
 	token := w.leader().ctl.leading.token
-	for _, e := range elections {
+	for _, e := range elections.txns {
 		if res, err := w.state.Commit("", e); err == nil && res.OK {
 			t.Fatalf("a former election is carried out: %v, %v", res, err)
 		}
@@ -245,14 +252,7 @@
 	if now := w.leader().ctl.leading.token; now != token {
 		t.Fatalf("token %d after %d", now, token)
 	}
-	w.until(200*model.Second, "all is done", func() bool {
-		for _, u := range us {
-			if u.ended != "done" {
-				return false
-			}
-		}
-		return true
-	})
+	w.until(200*model.Second, "all is done", func() bool { return allDone(us) })
 	w.check()
 }
 
@@ -260,7 +260,7 @@
 // new session: they run again, and none twice at once.
 func TestMachineBackAtOnce(t *testing.T) {
 	w := newWorld(t, 26)
-	u := w.submit(sweepJob(1, 12, 20), 0)
+	u := w.submit(arrayJob(1, 12, 20), 0)
 	w.running(12)
 	for range 3 {
 		for _, x := range w.cloud.Workers() {
@@ -272,6 +272,77 @@
 	w.check()
 }
 
+// overload is a time in which far more is submitted than can be taken.
+type overload struct {
+	*world
+	end             model.Micros
+	next            int // the number of the last job
+	refused         int // submissions that were refused
+	heldBack        int // those of them whose answer took long
+	asked, answered int // questions about a job that was accepted before
+}
+
+// flood submits 400 jobs a second at each controller; 25 changes a second may be made.
+func (o *overload) flood() {
+	if o.Now >= o.end {
+		return
+	}
+	for _, n := range o.nodes {
+		if !n.alive {
+			continue
+		}
+		for range 20 {
+			o.submitTo(n)
+		}
+	}
+	o.After(50*model.Millisecond, o.flood)
+}
+
+func (o *overload) submitTo(n *simNode) {
+	o.next++
+	reply := make(chan userapi.Answer, 1)
+	asked := o.Now
+	s := arrayJob(o.next, 1, 1)
+	o.rules.Subs[s.ID] = s.Job(0)
+	n.ask(msgSubmit{s.ID, s, nil, reply}, func() bool {
+		select {
+		case a := <-reply:
+			o.rules.Tell(s.ID, a.Code, a.Body, asked)
+			o.countRefusal(a, asked)
+			return true
+		default:
+			return false
+		}
+	})
+}
+
+func (o *overload) countRefusal(a userapi.Answer, asked model.Micros) {
+	if a.Code != 429 && a.Code != 503 {
+		return
+	}
+	o.refused++
+	if a.RetryAfter == 0 {
+		o.t.Fatalf("refused with %d without a time to come back", a.Code)
+	}
+	if o.Now > asked+2*model.Second {
+		o.heldBack++
+	}
+}
+
+// ask asks about a job twice a second.
+func (o *overload) ask(job *user) {
+	if o.Now >= o.end {
+		return
+	}
+	o.asked++
+	o.call(nil, 2*model.Second, func(r chan<- userapi.Answer) any { return msgStatusRequest{job.sub.ID, r} }, func(a userapi.Answer) {
+		if a.Code == 200 {
+			o.answered++
+		}
+	})
+	o.After(500*model.Millisecond, func() { o.ask(job) })
+}
+
 // While far more is submitted than can be taken, what is refused is refused at
 // once with when to come back, every question about an accepted job is answered,
 // cancellations go through, and what was accepted runs: also right after a
@@ -281,77 +352,20 @@
 	w.until(10*model.Second, "a leader that knows the machine types", func() bool {
 		return w.leader() != nil && len(w.nodes[0].ctl.view.MachineTypes) > 0 && len(w.nodes[1].ctl.view.MachineTypes) > 0 && len(w.nodes[2].ctl.view.MachineTypes) > 0
 	})
-	first := w.submit(sweepJob(1, 4, 60), 0)
-	cancelled := w.submit(sweepJob(2, 4, 60), 30*model.Second)
+	first := w.submit(arrayJob(1, 4, 60), 0)
+	cancelled := w.submit(arrayJob(2, 4, 60), 30*model.Second)
 	w.running(8)
-	refused, held := 0, 0
-	end := w.Now + 60*model.Second
-	next := 1000
-	var flood func()
-	flood = func() {
-		if w.Now >= end {
-			return
-		}
-		for _, n := range w.nodes {
-			if !n.alive {
-				continue
-			}
-			for range 20 { // 400 a second at each, 25 changes a second may be made
-				next++
-				reply := make(chan userapi.Answer, 1)
-				asked := w.Now
-				s := sweepJob(next, 1, 1)
-				w.rules.Subs[s.ID] = s.Job(0)
-				n.ask(msgSubmit{s.ID, s, nil, reply}, func() bool {
-					select {
-					case a := <-reply:
-						w.rules.Tell(s.ID, a.Code, a.Body, asked)
-						if a.Code == 429 || a.Code == 503 {
-							refused++
-							if a.RetryAfter == 0 {
-								t.Fatalf("refused with %d without a time to come back", a.Code)
-							}
-							if w.Now > asked+2*model.Second {
-								held++
-							}
-						}
-						return true
-					default:
-						return false
-					}
-				})
-			}
-		}
-		w.After(50*model.Millisecond, flood)
-	}
-	w.After(0, flood)
-	w.At(w.Now+20*model.Second, func() {
-		l := w.leader()
-		l.crash()
-		w.After(4*model.Second, l.start)
-	})
-	answered, asked := 0, 0
-	var ask func()
-	ask = func() {
-		if w.Now >= end {
-			return
-		}
-		asked++
-		w.call(nil, 2*model.Second, func(r chan<- userapi.Answer) any { return msgStatusRequest{first.sub.ID, r} }, func(a userapi.Answer) {
-			if a.Code == 200 {
-				answered++
-			}
-		})
-		w.After(500*model.Millisecond, ask)
-	}
-	ask()
-	w.Run(end)
+	o := &overload{world: w, end: w.Now + 60*model.Second, next: 1000}
+	w.After(0, o.flood)
+	w.At(w.Now+20*model.Second, func() { w.leader().crashFor(4 * model.Second) })
+	o.ask(first)
+	w.Run(o.end)
 	// A few wait for a transaction whose answer got lost.
-	if refused < 1000 || held*1000 > refused {
-		t.Errorf("%d refused, %d of them held back", refused, held)
+	if o.refused < 1000 || o.heldBack*1000 > o.refused {
+		t.Errorf("%d refused, %d of them held back", o.refused, o.heldBack)
 	}
-	if answered < asked*8/10 {
-		t.Errorf("%d of %d questions answered", answered, asked)
+	if o.answered < o.asked*8/10 {
+		t.Errorf("%d of %d questions answered", o.answered, o.asked)
 	}
 	if cancelled.ended != "withdrawn" {
 		t.Errorf("the cancelled job is %q", cancelled.ended)
@@ -366,13 +380,12 @@
 	w := newWorld(t, 28)
 	var us []*user
 	for i := range 40 {
-		us = append(us, w.submit(sweepJob(i, 1+i%4, 5), 0))
+		us = append(us, w.submit(arrayJob(i, 1+i%4, 5), 0))
 	}
 	w.Run(12 * model.Second)
 	for round := range 3 {
 		for _, n := range w.nodes {
-			n.crash()
-			w.After(w.Between(50*model.Millisecond, 4*model.Second), n.start)
+			n.crashFor(w.Between(50*model.Millisecond, 4*model.Second))
 		}
 		w.Run(w.Now + model.Second*model.Micros(4+round))
 	}
@@ -424,7 +437,7 @@
 	big := gangJob(1, 6, 20)
 	big.SameZone, big.Cores = true, 3
 	ub := w.submit(big, 0)
-	low := sweepJob(2, 3, 10)
+	low := arrayJob(2, 3, 10)
 	low.Priority, low.Cores = "idle", 2
 	ul := w.submit(low, 0)
 	since := w.Now
@@ -454,9 +467,9 @@
 
 // A machine that nobody expected is told the token, and nothing more, until a
 // report bears it: the report may be the copy of one of a machine long gone.
-func TestReportOfOldTokenIsGreetedOnly(t *testing.T) {
+func TestHeartbeatWithOldTokenGetsTokenOnly(t *testing.T) {
 	w := newWorld(t, 30)
-	w.led(5 * model.Second)
+	w.waitForLeader(5 * model.Second)
 	l := w.leader()
 	reply := make(chan workerAnswer, 1)
 	l.ask(msgHeartbeat{report: simReport("host-000999"), reply: reply}, nil)
