--- a/cmd/cellbench/main.go
+++ b/cmd/cellbench/main.go
@@ -188,12 +188,12 @@
 	}
 }
 
-// homePatience is how long records of spilling may take to go after the last job.
-const homePatience = 60 * time.Second
+// drainTimeout is how long records of spilling may take to go after the last job.
+const drainTimeout = 60 * time.Second
 
 // waitHome waits until no record of spilling is left.
 func waitHome(world *lab.World, cells []*lab.Cell) {
-	for until := time.Now().Add(homePatience); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
+	for until := time.Now().Add(drainTimeout); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
 		left := 0
 		for _, cell := range cells {
 			left += cell.Keys("spill/")
--- a/cmd/woadweir/duties.go
+++ b/cmd/woadweir/duties.go
@@ -12,8 +12,8 @@
 	"woadweir/internal/state"
 )
 
-// statusPatience is how long the state service may take for each answer.
-const statusPatience = 5 * model.Second
+// statusTimeout is how long the state service may take for each answer.
+const statusTimeout = 5 * model.Second
 
 type dutiesCmd struct{ files }
 
@@ -22,7 +22,7 @@
 	if err != nil {
 		return badSettings{err}
 	}
-	statuses, err := state.NewClient(s.Services.State).Duties(statusPatience)
+	statuses, err := state.NewClient(s.Services.State).Duties(statusTimeout)
 	if err != nil {
 		return err
 	}
--- a/cmd/woadweir/spills.go
+++ b/cmd/woadweir/spills.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		return badSettings{err}
 	}
-	list, err := state.NewClient(s.Services.State).Spills(statusPatience)
+	list, err := state.NewClient(s.Services.State).Spills(statusTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/controller/cells.go
+++ b/internal/controller/cells.go
@@ -58,8 +58,8 @@
 	err    error
 }
 
-// cellPatience is how long a call to another cell may take.
-const cellPatience = 2 * time.Second
+// cellTimeout is how long a call to another cell may take.
+const cellTimeout = 2 * time.Second
 
 // cellIO sends the calls to other cells, each in a goroutine of its own.
 type cellIO struct {
@@ -82,7 +82,7 @@
 
 func (x *cellIO) offer(m msgOffered) {
 	go func() {
-		ctx, cancel := context.WithTimeout(x.io.ctx, cellPatience)
+		ctx, cancel := context.WithTimeout(x.io.ctx, cellTimeout)
 		defer cancel()
 		m.err = spill.ErrUnreachable
 		if client := x.clients[m.cell]; client != nil {
@@ -97,7 +97,7 @@
 
 func (x *cellIO) renew(m msgRenewed) {
 	go func() {
-		ctx, cancel := context.WithTimeout(x.io.ctx, cellPatience)
+		ctx, cancel := context.WithTimeout(x.io.ctx, cellTimeout)
 		defer cancel()
 		m.err = spill.ErrUnreachable
 		if client := x.clients[m.home]; client != nil {
--- a/internal/controller/hosting_offers.go
+++ b/internal/controller/hosting_offers.go
@@ -11,7 +11,7 @@
 // Limits of the jobs that are taken in.
 const (
 	maxUnbegun        = 4                 // jobs taken in the hope of machines, not yet begun
-	ownPatience       = 5 * model.Second  // own work that waits for so long keeps others' out
+	ownWorkMaxWait       = 5 * model.Second  // own work that waits for so long keeps others' out
 	offerRetryPause   = 10 * model.Second // after which a refused cell may ask again
 	cloudRefusalPause = 60 * model.Second // a cloud that refused so long ago may have machines again
 )
@@ -88,7 +88,7 @@
 	if offer.Token != 0 {
 		return spill.NotRefused, "" // it was asked before
 	}
-	if block.OwnWorkWaits(ownPatience, c.now) {
+	if block.OwnWorkWaits(ownWorkMaxWait, c.now) {
 		return spill.Busy, ""
 	}
 	if !s.canServe(offer, spec) {
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -153,7 +153,7 @@
 	if s.policy == nil || !s.policy.Knows(lending.Record.Cell) {
 		return true
 	}
-	return s.l.block.RoomSoonFor(job.Job, s.roomWanted(job), s.l.c.now) && !s.l.block.OwnWorkWaits(ownPatience, s.l.c.now)
+	return s.l.block.RoomSoonFor(job.Job, s.roomWanted(job), s.l.c.now) && !s.l.block.OwnWorkWaits(ownWorkMaxWait, s.l.c.now)
 }
 
 // takeBack has a job come home. Nothing of it is bound here before that is durable.
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -32,7 +32,7 @@
 		l.releaseMachine(machine, "idle")
 	}
 	for _, machine := range out.Drain {
-		l.block.Vacate(machine, c.now)
+		l.block.Drain(machine, c.now)
 	}
 	if out.Unplaced > 0 {
 		l.schedule.runSoon()
@@ -95,7 +95,7 @@
 		l.recentSizes.note(job, now)
 		if !job.AllowsSpot {
 			in.OrdinaryPriority = min(in.OrdinaryPriority, job.Priority)
-			in.OrdinaryPatience = max(in.OrdinaryPatience, world.Estimates.MaxWait(job))
+			in.OrdinaryMaxWait = max(in.OrdinaryMaxWait, world.Estimates.MaxWait(job))
 			in.Spread = in.Spread || job.Spread
 		}
 		if len(job.Waiting) == 0 || now < job.NotBefore {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -10,7 +10,7 @@
 const (
 	sweepGap         = 500 * model.Millisecond
 	silenceMargin    = 5 * model.Second  // beyond a lease's expiry, before a lost machine is released
-	minBootPatience  = 60 * model.Second // even a machine that boots fast gets this long
+	minBootLimit  = 60 * model.Second // even a machine that boots fast gets this long
 	unreachableShare = 4                 // one part of the fleet in so many may be unreachable
 )
 
@@ -57,8 +57,8 @@
 	if machine.Up || machineType == nil || len(machine.Bindings) > 0 {
 		return false
 	}
-	bootPatience := model.Seconds(machineType.BootS * l.provisioner.Params.FailedAfterBoots)
-	return silence > max(bootPatience, minBootPatience)
+	bootLimit := model.Seconds(machineType.BootS * l.provisioner.Params.FailedAfterBoots)
+	return silence > max(bootLimit, minBootLimit)
 }
 
 // fewUnreachable reports whether few machines do not receive our answers. When many
--- a/internal/controller/sim_node_test.go
+++ b/internal/controller/sim_node_test.go
@@ -190,8 +190,8 @@
 
 // request carries a request to the state service: it takes time, and may be
 // lost, refused, or held and carried out late. do carries it out and returns
-// what brings the answer; lost is called when patience is over.
-func (n *simNode) request(do func() func(), lost func(), patience model.Micros) {
+// what brings the answer; lost is called when timeout is over.
+func (n *simNode) request(do func() func(), lost func(), timeout model.Micros) {
 	w, answered := n.w, false
 	give := func(f func()) {
 		if !answered {
@@ -199,7 +199,7 @@
 			f()
 		}
 	}
-	w.After(patience, func() { give(lost) })
+	w.After(timeout, func() { give(lost) })
 	there := w.Between(model.Millisecond, 6*model.Millisecond+w.stateLag)
 	if w.repeats > 0 && w.Chance(w.repeats) {
 		w.After(w.Between(there, 40*model.Second), func() { do() })
@@ -229,10 +229,10 @@
 
 // transact is request for a transaction: it may get no answer and be carried out
 // later, after newer ones.
-func (n *simNode) transact(do func() *state.Result, back, lost func(), patience model.Micros) {
+func (n *simNode) transact(do func() *state.Result, back, lost func(), timeout model.Micros) {
 	w := n.w
 	if w.lateWrites == 0 || n.cut != open || !w.Chance(w.lateWrites) {
-		n.request(func() func() { do(); return back }, lost, patience)
+		n.request(func() func() { do(); return back }, lost, timeout)
 		return
 	}
 	w.After(w.lateBy(), func() {
@@ -242,7 +242,7 @@
 			w.wroteLate++
 		}
 	})
-	w.After(patience, lost)
+	w.After(timeout, lost)
 }
 
 // How long after it was sent a transaction without an answer is carried out.
--- a/internal/controller/sim_users_test.go
+++ b/internal/controller/sim_users_test.go
@@ -41,7 +41,7 @@
 }
 
 // call asks a node, any one if it is nil; f gets code 0 if there is no answer.
-func (w *world) call(to *simNode, patience model.Micros, msg func(chan<- userapi.Answer) any, f func(userapi.Answer)) {
+func (w *world) call(to *simNode, timeout model.Micros, msg func(chan<- userapi.Answer) any, f func(userapi.Answer)) {
 	answered := false
 	give := func(a userapi.Answer) {
 		if !answered {
@@ -49,7 +49,7 @@
 			f(a)
 		}
 	}
-	w.After(patience, func() { give(userapi.Answer{}) })
+	w.After(timeout, func() { give(userapi.Answer{}) })
 	if to == nil {
 		to = w.nodes[w.Rng.IntN(len(w.nodes))]
 	}
--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -53,9 +53,9 @@
 	// OrdinaryPriority is the lowest priority of unfinished jobs that need ordinary
 	// machines. Work of lower priority that may use spot machines yields to them.
 	OrdinaryPriority model.Priority
-	// OrdinaryPatience is how long at most such a job waits before others are stopped to
+	// OrdinaryMaxWait is how long at most such a job waits before others are stopped to
 	// make room for it.
-	OrdinaryPatience model.Micros
+	OrdinaryMaxWait model.Micros
 	// Spread tells that some of these jobs have to be spread over zones.
 	Spread bool
 	// CloudOK tells that the cloud answers: what can't be rented again is kept.
--- a/internal/core/autoscaler/autoscaler_test.go
+++ b/internal/core/autoscaler/autoscaler_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// Homeless placeholders and waiting tasks rent: the fewest machines of the
+// Unplaced placeholders and waiting tasks rent: the fewest machines of the
 // lowest price, one call per type and round; what is on its way counts.
 func TestRenting(t *testing.T) {
 	l := New(Defaults())
@@ -196,7 +196,7 @@
 	in := input(0, machines...)
 	in.OrdinarySizes = []model.Resources{{Cores: 5000}}
 	in.FlexibleSizes = []model.Resources{{Cores: 5000}}
-	in.OrdinaryPriority, in.OrdinaryPatience = model.HighPriority, 5*sec
+	in.OrdinaryPriority, in.OrdinaryMaxWait = model.HighPriority, 5*sec
 	return in
 }
 
@@ -229,7 +229,7 @@
 	need := model.Resources{Cores: 5000}
 	ordinary := func(patience model.Micros) (n int) {
 		in := mixed(flexible(flexible(machine("h1", "box", model.Resources{}), need), need))
-		in.OrdinaryPatience = patience
+		in.OrdinaryMaxWait = patience
 		in.Waiting = []Demand{production(1, need)}
 		for _, r := range New(Defaults()).Round(in).Rent {
 			if !r.Spot {
--- a/internal/core/autoscaler/candidates.go
+++ b/internal/core/autoscaler/candidates.go
@@ -57,7 +57,7 @@
 // room is idle would have one more ordinary machine rented, at several times the price of
 // the spot machine that it could have had.
 func (m *candidateMachine) openPreemptible(in *Input) {
-	fasterThanBoot := in.OrdinaryPatience < model.Seconds(in.MachineTypes[m.offer.MachineType].BootS)
+	fasterThanBoot := in.OrdinaryMaxWait < model.Seconds(in.MachineTypes[m.offer.MachineType].BootS)
 	for _, binding := range m.machine.Bindings {
 		job := binding.Job
 		if fasterThanBoot && job.AllowsSpot && job.Kind != model.Gang && job.Priority < in.OrdinaryPriority {
--- a/internal/core/shard/bindings.go
+++ b/internal/core/shard/bindings.go
@@ -235,9 +235,9 @@
 // arrived: workers send them at every interval, with a jitter of a quarter of it.
 func (s *State) ReportOverdue() model.Micros { return s.Params.Report*5/4 + model.Second }
 
-// Vacate stops the tasks on a machine so that they start again on others, and the
+// Drain stops the tasks on a machine so that they start again on others, and the
 // machine can be returned to the cloud.
-func (s *State) Vacate(m *model.Machine, now model.Micros) {
+func (s *State) Drain(m *model.Machine, now model.Micros) {
 	m.Draining = true
 	for _, b := range m.Bindings {
 		s.stop(b, s.stopGrace(s.Jobs[b.ID.Job], b.Job.SaveTime+model.Second), "moved to other machines", now)
--- a/internal/core/shard/bindings_test.go
+++ b/internal/core/shard/bindings_test.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// A machine that is vacated gets nothing new, and what is on it begins anew elsewhere once
+// A machine that is drained gets nothing new, and what is on it begins anew elsewhere once
 // it is gone from there, never before.
 func TestVacateMovesWithProof(t *testing.T) {
 	s := newTestState(5)
@@ -163,7 +163,7 @@
 	w.says(3*sec, 5, running(s, "h1")...)
 	other := newWorker(s, "h2", "box", "a")
 	other.says(3*sec, 5)
-	s.Vacate(s.Machines["h1"], 4*sec)
+	s.Drain(s.Machines["h1"], 4*sec)
 	if _, cs := w.says(5*sec, 5, running(s, "h1")...); len(cs) != 1 || cs[0].Op != StopTask {
 		t.Fatalf("commands %v, want a stop", cs)
 	}
@@ -174,6 +174,6 @@
 	b := s.Machines["h1"].Bindings[model.TaskID{Job: "j-1"}]
 	w.says(6*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Exited, Cause: CauseStopped})
 	if len(s.Machines["h1"].Bindings) != 0 || len(s.Machines["h2"].Bindings) != 1 {
-		t.Errorf("%d tasks on the vacated machine, %d on the other", len(s.Machines["h1"].Bindings), len(s.Machines["h2"].Bindings))
+		t.Errorf("%d tasks on the drained machine, %d on the other", len(s.Machines["h1"].Bindings), len(s.Machines["h2"].Bindings))
 	}
 }
