--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -5,7 +5,6 @@
 
 	"woadweir/internal/core/model"
 	"woadweir/internal/core/shard"
-	"woadweir/internal/state"
 	"woadweir/internal/userapi"
 )
 
@@ -37,7 +36,7 @@
 // still occupy on machines. If the whole submission does not fit into a value, as when
 // the limit was larger at its acceptance, the other fields are left out.
 func (c *controller) cancelledRecord(submission *model.Submission) shard.JobRecord {
-	record := shard.JobRecord{Spec: submission, End: state.Cancelled}
+	record := shard.JobRecord{Spec: submission, End: model.JobCancelled}
 	if !c.fits(record) {
 		reduced := *submission
 		reduced.Class, reduced.Image, reduced.MachineTypes, reduced.Awaits = "-", "-", nil, nil
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -463,7 +463,7 @@
 		}
 		for _, o := range w.nodes {
 			w.Run(w.Now + model.Second)
-			if end, _ := o.ctl.view.Final(u.sub.ID); end != state.Done {
+			if end, _ := o.ctl.view.Final(u.sub.ID); end != model.JobDone {
 				t.Errorf("seed %d: %s says %q of a done job", seed, o.name, end)
 			}
 		}
--- a/internal/controller/hosting_offers.go
+++ b/internal/controller/hosting_offers.go
@@ -11,7 +11,7 @@
 // Limits of the jobs that are taken in.
 const (
 	maxUnbegun        = 4                 // jobs taken in the hope of machines, not yet begun
-	ownWorkMaxWait       = 5 * model.Second  // own work that waits for so long keeps others' out
+	ownWorkMaxWait    = 5 * model.Second  // own work that waits for so long keeps others' out
 	offerRetryPause   = 10 * model.Second // after which a refused cell may ask again
 	cloudRefusalPause = 60 * model.Second // a cloud that refused so long ago may have machines again
 )
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -10,7 +10,7 @@
 const (
 	sweepGap         = 500 * model.Millisecond
 	silenceMargin    = 5 * model.Second  // beyond a lease's expiry, before a lost machine is released
-	minBootLimit  = 60 * model.Second // even a machine that boots fast gets this long
+	minBootLimit     = 60 * model.Second // even a machine that boots fast gets this long
 	unreachableShare = 4                 // one part of the fleet in so many may be unreachable
 )
 
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -5,7 +5,6 @@
 
 	"woadweir/internal/core/model"
 	"woadweir/internal/core/shard"
-	"woadweir/internal/state"
 	"woadweir/internal/userapi"
 )
 
@@ -50,7 +49,7 @@
 		c.refuseUnlessKnown(m, http.StatusUnprocessableEntity, reason)
 		return
 	}
-	if !c.fits(shard.JobRecord{Spec: m.submission, End: state.Cancelled}) {
+	if !c.fits(shard.JobRecord{Spec: m.submission, End: model.JobCancelled}) {
 		c.refuseUnlessKnown(m, http.StatusUnprocessableEntity, "too large")
 		return
 	}
--- a/internal/controller/user_writes.go
+++ b/internal/controller/user_writes.go
@@ -24,9 +24,6 @@
 	cancellationBytes = 600
 )
 
-// statusPending is the status of a job that was just accepted.
-const statusPending = "pending"
-
 // userWrite is an acceptance or a cancellation of a job that waits to be made durable.
 type userWrite struct {
 	jobID      string
@@ -204,9 +201,9 @@
 		op := m.txn.Then[i]
 		c.view.Put(op.Set, op.Value, m.res.Revision)
 		if w.isCancellation() {
-			w.answer(userapi.Accepted(http.StatusOK, w.jobID, state.Cancelled))
+			w.answer(userapi.Accepted(http.StatusOK, w.jobID, model.JobCancelled))
 		} else {
-			w.answer(userapi.Accepted(http.StatusCreated, w.jobID, statusPending))
+			w.answer(userapi.Accepted(http.StatusCreated, w.jobID, model.JobPending))
 		}
 		c.jobChanged(w.jobID)
 	}
--- a/internal/core/model/failures.go
+++ b/internal/core/model/failures.go
@@ -89,18 +89,18 @@
 
 // NoteFailure records a failure of a job's tasks on the machine. Several tasks of one
 // job that fail in the same report are one failure.
-func (h *Machine) NoteFailure(job string, at Micros) {
+func (m *Machine) NoteFailure(job string, at Micros) {
 	failure := TaskFailure{Job: job, At: at}
-	if slices.Contains(h.FailuresInRow, failure) {
+	if slices.Contains(m.FailuresInRow, failure) {
 		return
 	}
-	h.FailuresInRow = append(h.FailuresInRow, failure)
-	if n := len(h.FailuresInRow); n > maxFailuresInRow {
-		h.FailuresInRow = h.FailuresInRow[n-maxFailuresInRow:]
+	m.FailuresInRow = append(m.FailuresInRow, failure)
+	if n := len(m.FailuresInRow); n > maxFailuresInRow {
+		m.FailuresInRow = m.FailuresInRow[n-maxFailuresInRow:]
 	}
 }
 
 // ForgetFailures drops the failures of a job that turned out to be at fault itself.
-func (h *Machine) ForgetFailures(job string) {
-	h.FailuresInRow = slices.DeleteFunc(h.FailuresInRow, func(f TaskFailure) bool { return f.Job == job })
+func (m *Machine) ForgetFailures(job string) {
+	m.FailuresInRow = slices.DeleteFunc(m.FailuresInRow, func(f TaskFailure) bool { return f.Job == job })
 }
--- /dev/null
+++ b/internal/core/model/submission.go
@@ -0,0 +1,188 @@
+package model
+
+import (
+	"encoding/json"
+	"errors"
+	"math"
+	"slices"
+	"strings"
+)
+
+// Words of the wire for kinds of jobs and priorities.
+var (
+	jobKinds   = map[string]JobKind{"sweep": Array, "gang": Gang, "service": Service}
+	priorities = map[string]Priority{"idle": LowPriority, "standard": NormalPriority, "urgent": HighPriority, "critical": ProductionPriority}
+)
+
+// Submission is a job in its wire form, as users post it and as it is stored. The json
+// tags are the protocol's words.
+type Submission struct {
+	ID           string   `json:"ref"`
+	Class        string   `json:"jobclass"`
+	Team         string   `json:"owner"`
+	Kind         string   `json:"shape"`
+	Priority     string   `json:"rank"`
+	Tasks        int      `json:"pieces"`
+	Cores        float64  `json:"cores"`
+	GPUs         float64  `json:"gpus"`
+	MemoryGB     float64  `json:"memoryGb"`
+	Image        string   `json:"bundle"`
+	ImageGB      float64  `json:"imageGb"`
+	MachineTypes []string `json:"builds,omitempty"`
+	Zone         *string  `json:"yard,omitempty"`
+	SameZone     bool     `json:"samePlace,omitempty"`
+	Spread       bool     `json:"apart,omitempty"`
+	AllowsSpot   bool     `json:"loaners,omitempty"`
+	EstimateS    float64  `json:"guessS"`
+	CheckpointS  float64  `json:"keepsakeS"`
+	SaveS        float64  `json:"stowS"`
+	DeadlineS    *float64 `json:"dueS,omitempty"`
+	// Awaits lists the jobs that have to be done before any task of this one starts,
+	// each once.
+	Awaits []string `json:"awaits,omitempty"`
+	// AcceptedMs is the time of day of acceptance; it is ours, not the user's.
+	AcceptedMs int64 `json:"atMs,omitempty"`
+}
+
+// required lists the fields that may be neither missing nor null.
+var required = []string{"ref", "jobclass", "owner", "shape", "rank", "pieces", "cores", "gpus", "memoryGb",
+	"bundle", "imageGb", "samePlace", "apart", "loaners", "guessS", "keepsakeS", "stowS"}
+
+// ParseSubmission reads a user's POST body. Any error means 400. The ref is
+// returned as soon as it could be read, so that a known job can be recognised
+// whatever else its repeated submission says.
+func ParseSubmission(body []byte) (sub *Submission, ref string, err error) {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(body, &fields); err != nil {
+		return nil, "", err
+	}
+	if fields == nil {
+		return nil, "", errors.New("not an object")
+	}
+	if raw, ok := fields["ref"]; ok {
+		if json.Unmarshal(raw, &ref) != nil || !ValidJobID(ref) {
+			ref = ""
+		}
+	}
+	for _, f := range required {
+		if raw, ok := fields[f]; !ok || string(raw) == "null" {
+			return nil, ref, &FieldError{f, "is missing"}
+		}
+	}
+	sub = new(Submission)
+	if err := json.Unmarshal(body, sub); err != nil {
+		return nil, ref, err
+	}
+	sub.AcceptedMs = 0
+	return sub, ref, sub.check()
+}
+
+// DecodeSubmission reads and checks a submission as it is stored, and as one cell sends
+// it to another.
+func DecodeSubmission(raw []byte) (*Submission, error) {
+	sub := new(Submission)
+	if err := json.Unmarshal(raw, sub); err != nil {
+		return nil, err
+	}
+	return sub, sub.check()
+}
+
+// ValidJobID tells whether s has the form of a job id and can be part of a key.
+func ValidJobID(s string) bool {
+	rest, ok := strings.CutPrefix(s, "j-")
+	if !ok || rest == "" || len(rest) > 64 {
+		return false
+	}
+	for _, c := range rest {
+		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_') {
+			return false
+		}
+	}
+	return true
+}
+
+// FieldError says what is wrong with a field of a submission.
+type FieldError struct {
+	Field   string // its name on the wire
+	Problem string
+}
+
+func (e *FieldError) Error() string { return e.Field + " " + e.Problem }
+
+// maxAmount bounds every amount and duration of a submission.
+const maxAmount = 1e9
+
+const outOfRange = "is out of range"
+
+// check returns the first thing that is wrong with a submission, and removes what Awaits
+// names more than once.
+func (s *Submission) check() error {
+	if !ValidJobID(s.ID) {
+		return &FieldError{"ref", "is not a job id"}
+	}
+	if err := s.checkKind(); err != nil {
+		return err
+	}
+	if err := s.checkAmounts(); err != nil {
+		return err
+	}
+	if err := s.checkAwaits(); err != nil {
+		return err
+	}
+	if s.MachineTypes != nil && len(s.MachineTypes) == 0 {
+		return &FieldError{"builds", "is empty"}
+	}
+	return nil
+}
+
+func (s *Submission) checkKind() error {
+	if _, ok := jobKinds[s.Kind]; !ok {
+		return &FieldError{"shape", "is not known"}
+	}
+	if _, ok := priorities[s.Priority]; !ok {
+		return &FieldError{"rank", "is not known"}
+	}
+	if s.Tasks < 1 || s.Tasks > MaxTasks {
+		return &FieldError{"pieces", outOfRange}
+	}
+	if s.Class == "" || s.Team == "" || s.Image == "" {
+		return &FieldError{"jobclass, owner and bundle", "must not be empty"}
+	}
+	return nil
+}
+
+func (s *Submission) checkAmounts() error {
+	amounts := map[string]float64{
+		"cores":     s.Cores,
+		"gpus":      s.GPUs,
+		"memoryGb":  s.MemoryGB,
+		"imageGb":   s.ImageGB,
+		"guessS":    s.EstimateS,
+		"keepsakeS": s.CheckpointS,
+		"stowS":     s.SaveS,
+	}
+	for name, amount := range amounts {
+		if amount < 0 || amount > maxAmount || math.IsNaN(amount) {
+			return &FieldError{name, outOfRange}
+		}
+	}
+	if s.DeadlineS != nil && (*s.DeadlineS < 0 || *s.DeadlineS > maxAmount) {
+		return &FieldError{"dueS", outOfRange}
+	}
+	return nil
+}
+
+func (s *Submission) checkAwaits() error {
+	seen := make(map[string]bool, len(s.Awaits))
+	for _, jobID := range s.Awaits {
+		if !ValidJobID(jobID) {
+			return &FieldError{"awaits:", "not a job id"}
+		}
+	}
+	s.Awaits = slices.DeleteFunc(s.Awaits, func(jobID string) bool {
+		again := seen[jobID]
+		seen[jobID] = true
+		return again
+	})
+	return nil
+}
--- a/internal/core/shard/records.go
+++ b/internal/core/shard/records.go
@@ -69,9 +69,6 @@
 	AtMs int64 `json:"atMs,omitempty"`
 }
 
-// jobDone is the end of a job whose tasks are all done.
-const jobDone = "done"
-
 // The prefixes of the names of the entries of bundles.
 const (
 	MachineEntry = "host/"
--- a/internal/core/shard/writes.go
+++ b/internal/core/shard/writes.go
@@ -151,7 +151,7 @@
 		s.pendingEnds = s.pendingEnds[1:]
 		if job := s.Jobs[jobID]; job != nil && job.Ended == "" {
 			txn.bytesLeft -= maxEndBytes
-			record := JobRecord{End: jobDone, Tasks: job.Tasks}
+			record := JobRecord{End: model.JobDone, Tasks: job.Tasks}
 			txn.writes = append(txn.writes, &Write{Key: jobKeyPrefix + jobID, Slot: noSlot, Value: record})
 		}
 	}
@@ -263,7 +263,7 @@
 	for i := range writes {
 		write := &writes[i]
 		if write.Slot == noSlot {
-			s.EndJob(strings.TrimPrefix(write.Key, jobKeyPrefix), jobDone, now)
+			s.EndJob(strings.TrimPrefix(write.Key, jobKeyPrefix), model.JobDone, now)
 			continue
 		}
 		entries := make([]string, 0, len(write.versions))
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -8,9 +8,6 @@
 	"woadweir/internal/core/model"
 )
 
-// statusWithdrawn is a cancelled job's status, as users are told it.
-const statusWithdrawn = "withdrawn"
-
 // Rules checks the invariants that hold under every failure. It learns from the workers what
 // is on machines, and from the users what they asked for and were answered.
 type Rules struct {
@@ -105,7 +102,7 @@
 			r.broken("quota: %v uses %v", a, r.used[a])
 		}
 	}
-	if r.told[j.ID] == statusWithdrawn {
+	if r.told[j.ID] == model.JobCancelled {
 		r.CancelledStarts++
 	}
 	if r.overdue(j.ID) {
@@ -137,7 +134,7 @@
 // overdue tells that a user was told of a job's cancellation so long ago that none of
 // its tasks may be on a machine any more.
 func (r *Rules) overdue(ref string) bool {
-	return r.told[ref] == statusWithdrawn && r.sim.Now > r.toldAt[ref]+r.Cancel
+	return r.told[ref] == model.JobCancelled && r.sim.Now > r.toldAt[ref]+r.Cancel
 }
 
 // Check checks what is on machines now: a task that never leaves would not be
@@ -258,14 +255,14 @@
 			r.broken("not_done: %s", ref)
 		}
 		return true
-	case statusWithdrawn:
+	case model.JobCancelled:
 		if !r.cancellationAsked(ref) {
 			r.broken("went_back: %s withdrawn unasked", ref)
 		}
 		return true
 	}
 	r.before(ref, func(earlier string) {
-		if at, ok := r.toldAt[earlier]; ok && r.told[earlier] == statusWithdrawn && asked > at+r.Cancel {
+		if at, ok := r.toldAt[earlier]; ok && r.told[earlier] == model.JobCancelled && asked > at+r.Cancel {
 			r.broken("orphaned: %s is %s after %s was withdrawn", ref, status, earlier)
 		}
 	})
--- a/internal/standin/rules_test.go
+++ b/internal/standin/rules_test.go
@@ -50,7 +50,7 @@
 	s.accept()
 	s.sim.Run(s.sim.Now + 1)
 	s.Ask(s.job.ID)
-	s.tell(s.job.ID, 200, statusWithdrawn, s.sim.Now)
+	s.tell(s.job.ID, 200, model.JobCancelled, s.sim.Now)
 }
 
 // later lets time pass.
--- a/internal/state/dependencies.go
+++ b/internal/state/dependencies.go
@@ -2,12 +2,6 @@
 
 import "woadweir/internal/core/model"
 
-// The ends of a job, as they are stored and as users see them.
-const (
-	Done      = "done"
-	Cancelled = "withdrawn"
-)
-
 // dependencies is a job's place among the jobs that it awaits and those that await it.
 // All of it follows from stored records, so every controller computes the same after any
 // failure: a job that depends on a cancelled one is cancelled as soon as that end is
@@ -76,7 +70,7 @@
 	for _, awaitedID := range job.Submission.Awaits {
 		awaited := v.job(awaitedID)
 		switch {
-		case awaited.End == Done:
+		case awaited.End == model.JobDone:
 			job.dependencyDone(awaited, v.Revisions[JobKey(awaitedID)])
 		case awaited.End != "" || awaited.dependencyCancelled:
 			job.dependencyCancelled = true
@@ -110,7 +104,7 @@
 
 // jobEnded applies a job's end, written at a revision, to the jobs that depend on it.
 func (v *View) jobEnded(job *JobView, revision uint64) {
-	if job.End != Done {
+	if job.End != model.JobDone {
 		v.cancelDependents(job)
 		return
 	}
--- a/internal/state/dependencies_test.go
+++ b/internal/state/dependencies_test.go
@@ -25,11 +25,11 @@
 }
 
 func done(jobID string, atMs int64) put {
-	return put{jobID, shard.JobRecord{End: Done, Tasks: 1, AtMs: atMs}}
+	return put{jobID, shard.JobRecord{End: model.JobDone, Tasks: 1, AtMs: atMs}}
 }
 
 func cancelledJob(p put) put {
-	p.rec.End = Cancelled
+	p.rec.End = model.JobCancelled
 	return p
 }
 
@@ -124,7 +124,7 @@
 	}
 	fan.puts(spec("j-last", all...), done("j-first", 1))
 	for i := range n {
-		if end, _ := chain.Final(idOf(i)); i >= n/2 && end != Cancelled || i < n/2 && end != Done {
+		if end, _ := chain.Final(idOf(i)); i >= n/2 && end != model.JobCancelled || i < n/2 && end != model.JobDone {
 			t.Fatalf("%d of the chain is %q", i, end)
 		}
 		if !fan.Jobs[idOf(i)].Ready() || fan.Jobs["j-last"].Ready() {
--- a/internal/state/view.go
+++ b/internal/state/view.go
@@ -9,12 +9,6 @@
 	"woadweir/internal/spill"
 )
 
-// The statuses of a job that has not ended, as users see them.
-const (
-	statusPending = "pending"
-	statusRunning = "running"
-)
-
 // JobView is what the view knows of a job.
 type JobView struct {
 	Submission *model.Submission // nil once it is done
@@ -185,7 +179,7 @@
 
 func (v *View) setJobEnd(jobID string, job *JobView, record *shard.JobRecord) {
 	job.End, job.endMs = record.End, record.AtMs
-	if record.End == Done {
+	if record.End == model.JobDone {
 		job.EndTasks = record.Tasks
 	}
 	tasks := record.Tasks
@@ -256,12 +250,12 @@
 	finished := v.Done(jobID)
 	done = finished.Len()
 	if bound := v.bound[jobID]; bound > 0 {
-		return statusRunning, done, bound, true
+		return model.JobRunning, done, bound, true
 	}
 	if lent := v.LentOut[jobID]; lent != nil && lent.State == spill.Lent && lent.Running > 0 {
-		return statusRunning, done, lent.Running, true
+		return model.JobRunning, done, lent.Running, true
 	}
-	return statusPending, done, 0, true
+	return model.JobPending, done, 0, true
 }
 
 // Final tells a job's end if it is known: the recorded one, or that it is cancelled
@@ -274,7 +268,7 @@
 	case job.End != "":
 		return job.End, true
 	case job.dependencyCancelled && job.Submission != nil:
-		return Cancelled, true
+		return model.JobCancelled, true
 	}
 	return "", false
 }
--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -50,7 +50,7 @@
 		if !ok {
 			continue
 		}
-		r.Tasks = append(r.Tasks, shard.TaskStatus{ID: id, Attempt: p.Try, Status: model.StatusOf(p.Status), Cause: exitCauseOf(p.Cause), Stored: p.Stored})
+		r.Tasks = append(r.Tasks, shard.TaskStatus{ID: id, Attempt: p.Try, Status: taskStatuses[p.Status], Cause: exitCauseOf(p.Cause), Stored: p.Stored})
 	}
 	return r, nil
 }
@@ -121,3 +121,13 @@
 	}
 	return b
 }
+
+// taskStatuses maps the wire's words for the state of a task. Any other word is taken as
+// not reported.
+var taskStatuses = map[string]model.Status{
+	"pulling":   model.Fetching,
+	"gathering": model.WaitingForGang,
+	"running":   model.Running,
+	"saving":    model.Saving,
+	"ended":     model.Exited,
+}
