--- a/internal/cellrpc/cellrpc.go
+++ b/internal/cellrpc/cellrpc.go
@@ -117,7 +117,7 @@
 	return status.Error(codes.Unavailable, err.Error())
 }
 
-// Client calls one other cell, at whichever of its controllers holds the block.
+// Client calls one other cell, at whichever of its controllers holds the shard.
 type Client struct {
 	cell        string
 	mu          sync.Mutex
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -15,15 +15,15 @@
 // writeBindings makes the scheduler's changes durable, one transaction at a time.
 func (l *leader) writeBindings() {
 	c := l.c
-	if !c.lanes.free(laneBindings, c.now) || l.resync || l.block.Queued() == 0 {
+	if !c.lanes.free(laneBindings, c.now) || l.resync || l.shard.Queued() == 0 {
 		return
 	}
 	limit := min(c.limits.TxnOps, c.budget.Left(c.now))
 	if limit < 1 {
 		return
 	}
-	l.block.Params.Dense = c.dense()
-	writes := l.block.Writes(limit, maxTxnBytes)
+	l.shard.Params.Dense = c.dense()
+	writes := l.shard.Writes(limit, maxTxnBytes)
 	if len(writes) == 0 {
 		return
 	}
@@ -44,7 +44,7 @@
 	for _, w := range writes {
 		key := w.Key
 		if key == "" {
-			key = state.BundleKey(blockName, w.Slot)
+			key = state.BundleKey(shardName, w.Slot)
 		}
 		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: l.c.view.Revisions[key]})
 		txn.Then = append(txn.Then, state.Op{Set: key, Value: w.Value})
@@ -60,14 +60,14 @@
 		l.bindingsFailed(m)
 	case m.res.OK:
 		c.view.Apply(m.txn, m.res.Revision)
-		l.block.Committed(m.writes, c.now)
+		l.shard.Committed(m.writes, c.now)
 	default:
 		slog.Info("conflict", "keys", m.res.Failed)
 		if m.lostGrant() {
 			c.stepDown(reasonGrantLost)
 			return
 		}
-		l.block.Retry(m.writes, false)
+		l.shard.Retry(m.writes, false)
 		l.needSync()
 	}
 }
@@ -78,10 +78,10 @@
 	slog.Debug("commit", "err", m.err)
 	if errors.Is(m.err, state.ErrTooBig) {
 		l.c.lowerStateLimits(m.err)
-		l.block.Params.MaxValue = l.c.maxValue()
-		l.block.RetryTooLarge(m.writes)
+		l.shard.Params.MaxValue = l.c.maxValue()
+		l.shard.RetryTooLarge(m.writes)
 	} else {
-		l.block.Retry(m.writes, !state.NotExecuted(m.err))
+		l.shard.Retry(m.writes, !state.NotExecuted(m.err))
 	}
 	if l.c.writeFailed(m) {
 		l.needSync()
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -247,7 +247,7 @@
 	l := newLentJob(t, 13, defaultRight, 30)
 	l.user.sub.Priority = "critical"
 	l.reach("runs", l.runsAtGuest)
-	if p := l.guest.leader().ctl.leading.block.Jobs[l.job]; p == nil || p.Priority != model.LowPriority {
+	if p := l.guest.leader().ctl.leading.shard.Jobs[l.job]; p == nil || p.Priority != model.LowPriority {
 		t.Errorf("the lent job is %+v", p)
 	}
 	own := arrayJob(950, 8, 10)
--- a/internal/controller/cells_world_test.go
+++ b/internal/controller/cells_world_test.go
@@ -136,7 +136,7 @@
 // simCells carries a controller's calls to other cells.
 type simCells struct{ n *simNode }
 
-// call asks the controllers of a cell in turn until one that holds the block answers; done
+// call asks the controllers of a cell in turn until one that holds the shard answers; done
 // is called once, with no answer after the patience.
 func (s *simCells) call(cell string, request any, send func(n *simNode, answer func(any, error)), done func(any, error)) {
 	x, home := s.n.w.cell.cells, s.n.w
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -80,7 +80,7 @@
 	return state.LeaderRecord{Node: c.set.NodeName, Session: c.session, Duties: c.duties.wanted()}
 }
 
-// fullCredit is each team's whole limit: the leader owns the only block.
+// fullCredit is each team's whole limit: the leader owns the only shard.
 func (c *controller) fullCredit() map[string]model.Resources {
 	credit := map[string]model.Resources{}
 	for name, team := range c.teams {
@@ -126,7 +126,7 @@
 		return false
 	}
 	up := 0
-	for _, m := range l.block.Machines {
+	for _, m := range l.shard.Machines {
 		if m.Up && !m.Lost && !m.Deleting {
 			up++
 		}
--- a/internal/controller/failing_jobs_test.go
+++ b/internal/controller/failing_jobs_test.go
@@ -11,8 +11,8 @@
 	quarantined := map[string]bool{}
 	var watch func()
 	watch = func() {
-		if l := w.leader(); l != nil && l.ctl.leading != nil && l.ctl.leading.block != nil {
-			for _, m := range l.ctl.leading.block.Machines {
+		if l := w.leader(); l != nil && l.ctl.leading != nil && l.ctl.leading.shard != nil {
+			for _, m := range l.ctl.leading.shard.Machines {
 				if m.Quarantined {
 					quarantined[m.ID] = true
 				}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -381,7 +381,7 @@
 	w.Run(w.Now + leaseTimes.TTL + model.Second)
 	reply := make(chan workerAnswer, 1)
 	r := simReport("host-z")
-	n.ask(msgHeartbeat{report: r, reply: reply}, nil)
+	n.ask(msgHeartbeat{heartbeat: r, reply: reply}, nil)
 	if a := <-reply; a.code == 200 {
 		t.Fatal("a worker was answered without authority")
 	}
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -136,7 +136,7 @@
 		return
 	}
 	reply := make(chan workerAnswer, 1)
-	a, ok := ask(f.mail, msgHeartbeat{report: heartbeat, reply: reply}, reply, heartbeatTimeout)
+	a, ok := ask(f.mail, msgHeartbeat{heartbeat: heartbeat, reply: reply}, reply, heartbeatTimeout)
 	if !ok {
 		writeAnswer(rc, userapi.Error(http.StatusServiceUnavailable, "busy", 1))
 		return
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -144,7 +144,7 @@
 				m.until(20*model.Second, "that which awaits it is accepted", func() bool { return next.accepted })
 				l := m.requireLeader()
 				m.until(90*model.Second, "starts are on their way", func() bool {
-					j := l.ctl.leading.block.Jobs[first.sub.ID]
+					j := l.ctl.leading.shard.Jobs[first.sub.ID]
 					return j != nil && len(j.Bindings) > m.on(first)
 				})
 				l.setCut(refused)
--- a/internal/controller/guest_team_test.go
+++ b/internal/controller/guest_team_test.go
@@ -30,7 +30,7 @@
 	var look func()
 	look = func() {
 		if l := w.leader(); l != nil && l.ctl.leading.ready {
-			for ref, js := range l.ctl.leading.block.Jobs {
+			for ref, js := range l.ctl.leading.shard.Jobs {
 				if js.HasRun && began[ref] == 0 {
 					began[ref] = w.Now
 				}
--- a/internal/controller/hosting.go
+++ b/internal/controller/hosting.go
@@ -17,22 +17,22 @@
 // jobOf is the job that the key of a guest's record names.
 func jobOf(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// takeIn makes a lent job known to the block, without a right to run it.
+// takeIn makes a lent job known to the shard, without a right to run it.
 func (s *spiller) takeIn(key string) {
 	l := s.l
 	record := l.c.view.LentIn[key]
 	jobID := jobOf(key)
-	if job := l.block.Jobs[jobID]; job != nil && job.HomeCell != record.Home {
+	if job := l.shard.Jobs[jobID]; job != nil && job.HomeCell != record.Home {
 		// A job of this cell or of another by that name became known a moment before: nothing
 		// of this one is here, and home takes it back as it is not asked for it.
 		s.want(key, spillChange{})
 		return
 	}
 	s.hostings[key] = spill.NewHosting(record, l.c.now)
-	if l.block.Jobs[jobID] == nil {
+	if l.shard.Jobs[jobID] == nil {
 		guest := record.Spec.Job(l.c.view.Revisions[key])
 		guest.Priority = model.LowPriority // this cell's own work comes first
-		l.block.AddGuest(guest, record.Home, model.SetOf(record.Done), l.c.now)
+		l.shard.AddGuest(guest, record.Home, model.SetOf(record.Done), l.c.now)
 	}
 }
 
@@ -52,9 +52,9 @@
 	}
 }
 
-// guestJob is the block's job that a record stands for, nil if it is gone or another's.
+// guestJob is the shard's job that a record stands for, nil if it is gone or another's.
 func (s *spiller) guestJob(key string) *model.JobState {
-	job := s.l.block.Jobs[jobOf(key)]
+	job := s.l.shard.Jobs[jobOf(key)]
 	if job == nil || job.HomeCell != s.hostings[key].Home {
 		return nil
 	}
@@ -63,7 +63,7 @@
 
 // isGuest tells whether a job's name stands for one that another cell has lent.
 func (s *spiller) isGuest(jobID string) bool {
-	if job := s.l.block.Jobs[jobID]; job != nil {
+	if job := s.l.shard.Jobs[jobID]; job != nil {
 		return job.HomeCell != ""
 	}
 	for key := range s.hostings {
@@ -89,11 +89,11 @@
 		}
 		switch hosting.Phase(s.withhold(), s.l.c.now) {
 		case spill.MayRun:
-			s.l.block.Resume(job)
+			s.l.shard.Resume(job)
 		case spill.Withheld:
 			job.Suspended = true
 		case spill.Stopped:
-			s.l.block.Suspend(job, "no right to run it for "+hosting.Home, s.l.c.now)
+			s.l.shard.Suspend(job, "no right to run it for "+hosting.Home, s.l.c.now)
 		}
 		if len(job.Bindings) > 0 {
 			hosting.Begun()
@@ -107,7 +107,7 @@
 	if len(s.hostings) == 0 {
 		return false
 	}
-	machine := s.l.block.Machines[machineID]
+	machine := s.l.shard.Machines[machineID]
 	if machine == nil {
 		return false
 	}
@@ -128,7 +128,7 @@
 		bound := job != nil && len(job.Bindings) > 0
 		if hosting.IsOver() || s.orphaned(hosting) {
 			if job != nil {
-				l.block.EndJob(jobID, "over", l.c.now)
+				l.shard.EndJob(jobID, "over", l.c.now)
 			}
 			if !bound && (hosting.Forgettable() || s.orphaned(hosting)) {
 				s.want(key, spillChange{})
--- a/internal/controller/hosting_offers.go
+++ b/internal/controller/hosting_offers.go
@@ -58,7 +58,7 @@
 
 // whyNot tells why a job is not taken, and more about it for logs.
 func (s *spiller) whyNot(offer *spill.Offer) (spill.Refusal, string) {
-	c, block, jobID := s.l.c, s.l.block, offer.Spec.ID
+	c, jobID := s.l.c, offer.Spec.ID
 	key := spill.InKey(offer.Home, jobID)
 	if !s.enabled() || !s.policy.Knows(offer.Home) {
 		return spill.Disabled, "not set up to take jobs of " + offer.Home
@@ -88,7 +88,7 @@
 	if offer.Token != 0 {
 		return spill.NotRefused, "" // it was asked before
 	}
-	if block.OwnWorkWaits(ownWorkMaxWait, c.now) {
+	if s.l.shard.OwnWorkWaits(ownWorkMaxWait, c.now) {
 		return spill.Busy, ""
 	}
 	if !s.canServe(offer, spec) {
@@ -105,7 +105,7 @@
 // stale tells that an earlier lending of a job is not gone yet, or that a later one than
 // that under the token is known.
 func (s *spiller) stale(key string, token uint64) bool {
-	if job := s.l.block.Jobs[jobOf(key)]; job != nil && job.HomeCell != "" {
+	if job := s.l.shard.Jobs[jobOf(key)]; job != nil && job.HomeCell != "" {
 		return true
 	}
 	hosting := s.hostings[key]
@@ -126,7 +126,7 @@
 	if spec.Kind == model.Gang {
 		minTasks = spec.Tasks
 	}
-	if !s.l.block.WithinLimit(spec, minTasks) {
+	if !s.l.shard.WithinLimit(spec, minTasks) {
 		return false
 	}
 	unbegun := 0
@@ -138,7 +138,7 @@
 	if unbegun >= maxUnbegun {
 		return false
 	}
-	if s.l.block.RoomFor(spec, s.roomWanted(job), float64(c.op.ExtraCapacityRate)) {
+	if s.l.shard.RoomFor(spec, s.roomWanted(job), float64(c.op.ExtraCapacityRate)) {
 		return true
 	}
 	return s.l.cloudHealth.healthy() && s.mayRentFor(spec)
@@ -147,7 +147,7 @@
 // mayRentFor tells whether the cloud may have a machine for a job: it has not refused all
 // that fit a moment ago.
 func (s *spiller) mayRentFor(spec *model.Job) bool {
-	for name, machineType := range s.l.block.MachineTypes {
+	for name, machineType := range s.l.shard.MachineTypes {
 		if !spec.Request.Fits(machineType.Size()) {
 			continue
 		}
--- a/internal/controller/hosting_renewals.go
+++ b/internal/controller/hosting_renewals.go
@@ -103,7 +103,7 @@
 			continue
 		}
 		if job := s.guestJob(key); job != nil && job.Ended == "" {
-			s.l.block.Confirm(job, verdict.Confirmed)
+			s.l.shard.Confirm(job, verdict.Confirmed)
 		}
 		hosting.Heard(verdict, m.renewal.Jobs[i].Returned, m.sent, m.answer.Age)
 	}
--- a/internal/controller/intent_results.go
+++ b/internal/controller/intent_results.go
@@ -28,7 +28,7 @@
 	}
 	for _, machineID := range ret.Machines {
 		l.inventory.pendingDeletions[machineID] = deletionSent
-		if machine := l.block.Machines[machineID]; machine != nil {
+		if machine := l.shard.Machines[machineID]; machine != nil {
 			machine.Deleting = true
 		} else {
 			// Nothing is bound to it, and nothing may be: its reports are not answered.
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -18,7 +18,7 @@
 	resync bool   // a transaction failed: none before a synchronization of the view
 
 	// Scheduling.
-	block            *shard.State // the scheduler
+	shard            *shard.State // the scheduler
 	placement        placementRounds
 	pendingResponses []pendingResponse
 	sweepAt          model.Micros // when timeouts were last looked for
@@ -57,23 +57,23 @@
 // wrote: the new grant has fenced off their transactions.
 func (l *leader) takeOver() {
 	c := l.c
-	l.block = shard.New(l.schedulerParams(), l.token)
-	l.block.Log = logEvent
-	l.block.SetMachineTypes(c.view.MachineTypes)
+	l.shard = shard.New(l.schedulerParams(), l.token)
+	l.shard.Log = logEvent
+	l.shard.SetMachineTypes(c.view.MachineTypes)
 	l.spill.takeOver()
 	for jobID := range c.view.Jobs {
 		l.jobChanged(jobID)
 	}
 	c.view.Machines(l.restoreMachine)
-	slots, names := c.view.Bundles(blockName)
+	slots, names := c.view.Bundles(shardName)
 	for i, slot := range slots {
-		l.block.LoadSlot(slot, names[i])
+		l.shard.LoadSlot(slot, names[i])
 	}
-	l.block.StopSuperseded()
+	l.shard.StopSuperseded()
 	l.spill.afterRestore()
 	l.takeOverIntents()
 	l.ready = true
-	slog.Info("took over", "token", l.token, "machines", len(l.block.Machines), "jobs", len(l.block.Jobs))
+	slog.Info("took over", "token", l.token, "machines", len(l.shard.Machines), "jobs", len(l.shard.Jobs))
 }
 
 func (l *leader) schedulerParams() shard.Params {
@@ -96,15 +96,15 @@
 
 // restoreMachine adds a machine with the tasks bound to it from its record.
 func (l *leader) restoreMachine(machineID string, record *shard.MachineRecord) {
-	machine := l.block.AddMachine(machineID, record.MachineType, record.Zone, record.Spot, l.c.now)
+	machine := l.shard.AddMachine(machineID, record.MachineType, record.Zone, record.Spot, l.c.now)
 	machine.Stored = true
 	for jobID, tasks := range record.Tasks {
-		job := l.block.Jobs[jobID]
+		job := l.shard.Jobs[jobID]
 		if job == nil {
 			continue // it has ended, so none of its tasks is on any machine
 		}
 		for _, task := range tasks {
-			l.block.Restore(job, int(task[0]), task[1], machine)
+			l.shard.Restore(job, int(task[0]), task[1], machine)
 		}
 	}
 }
@@ -126,9 +126,9 @@
 	if job == nil || l.spill.isGuest(jobID) {
 		return // unknown, or it begins once the job of that name lent by another cell is gone
 	}
-	if scheduled := l.block.Jobs[jobID]; scheduled != nil {
+	if scheduled := l.shard.Jobs[jobID]; scheduled != nil {
 		if job.End != "" {
-			l.block.EndJob(jobID, job.End, l.c.now)
+			l.shard.EndJob(jobID, job.End, l.c.now)
 		} else {
 			scheduled.Priority, scheduled.Deadline = job.EffectivePriority()
 		}
@@ -139,7 +139,7 @@
 		return
 	}
 	age := model.Micros(max(0, l.c.wall()-job.ReadyMs())) * model.Millisecond
-	l.block.AddJob(job.Job(), l.c.view.Done(jobID), job.End, l.c.now, age)
+	l.shard.AddJob(job.Job(), l.c.view.Done(jobID), job.End, l.c.now, age)
 	l.spill.jobAdded(jobID)
 	l.schedule.runSoon()
 }
@@ -161,7 +161,7 @@
 		return
 	}
 	if l.due(&l.sweepAt, sweepGap) {
-		l.block.Tick(c.now)
+		l.shard.Tick(c.now)
 		l.releaseUnusableMachines()
 	}
 	l.takeOutcomes()
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -18,7 +18,7 @@
 // suspendedAsLent is why nothing of a lent job is bound here, as logged.
 const suspendedAsLent = "lent to another cell"
 
-// jobAdded keeps a job that is lent from being bound when the block learns of it.
+// jobAdded keeps a job that is lent from being bound when the shard learns of it.
 func (s *spiller) jobAdded(jobID string) {
 	if record := s.l.c.view.LentOut[jobID]; record != nil && record.State != spill.Home {
 		s.keepHome(jobID)
@@ -27,11 +27,11 @@
 
 // keepHome has nothing of a job bound here.
 func (s *spiller) keepHome(jobID string) {
-	job := s.l.block.Jobs[jobID]
+	job := s.l.shard.Jobs[jobID]
 	if job == nil || job.Ended != "" {
 		return
 	}
-	s.l.block.Suspend(job, suspendedAsLent, s.l.c.now)
+	s.l.shard.Suspend(job, suspendedAsLent, s.l.c.now)
 }
 
 // reservation is what counts towards a team's limit for a job that is lent.
@@ -47,14 +47,14 @@
 		return
 	}
 	s.reserved[jobID] = reservation{record.Team, record.Reserved()}
-	s.l.block.Reserve(record.Team, record.Reserved())
+	s.l.shard.Reserve(record.Team, record.Reserved())
 }
 
 // release ends a reservation.
 func (s *spiller) release(jobID string) {
 	if r, reserved := s.reserved[jobID]; reserved {
 		delete(s.reserved, jobID)
-		s.l.block.Release(r.team, r.amount)
+		s.l.shard.Release(r.team, r.amount)
 	}
 }
 
@@ -83,8 +83,8 @@
 	}
 	delete(s.lendings, jobID)
 	s.release(jobID)
-	if job := l.block.Jobs[jobID]; job != nil && job.HomeCell == "" {
-		l.block.Resume(job)
+	if job := l.shard.Jobs[jobID]; job != nil && job.HomeCell == "" {
+		l.shard.Resume(job)
 		l.schedule.runSoon()
 	}
 }
@@ -99,7 +99,7 @@
 		}
 	}
 	for _, jobID := range sortedKeys(s.lendings) {
-		lending, job := s.lendings[jobID], s.l.block.Jobs[jobID]
+		lending, job := s.lendings[jobID], s.l.shard.Jobs[jobID]
 		if job == nil || job.EndPending || job.Ended != "" || lending.Record.State != spill.Lent {
 			continue
 		}
@@ -122,7 +122,7 @@
 func (s *spiller) recallOne() {
 	looked := 0
 	for _, jobID := range sortedKeys(s.lendings) {
-		lending, job := s.lendings[jobID], s.l.block.Jobs[jobID]
+		lending, job := s.lendings[jobID], s.l.shard.Jobs[jobID]
 		if job == nil || job.EndPending || job.Ended != "" || lending.Running() || lending.Recalled() {
 			continue
 		}
@@ -153,7 +153,7 @@
 	if s.policy == nil || !s.policy.Knows(lending.Record.Cell) {
 		return true
 	}
-	return s.l.block.RoomSoonFor(job.Job, s.roomWanted(job), s.l.c.now) && !s.l.block.OwnWorkWaits(ownWorkMaxWait, s.l.c.now)
+	return s.l.shard.RoomSoonFor(job.Job, s.roomWanted(job), s.l.c.now) && !s.l.shard.OwnWorkWaits(ownWorkMaxWait, s.l.c.now)
 }
 
 // takeBack has a job come home. Nothing of it is bound here before that is durable.
--- a/internal/controller/lending_offers.go
+++ b/internal/controller/lending_offers.go
@@ -17,7 +17,7 @@
 // call goes on beside the actor, so it gets a set of finished tasks of its own.
 func (s *spiller) offer(jobID, cell string, token uint64) {
 	c := s.l.c
-	job, view := s.l.block.Jobs[jobID], c.view.Jobs[jobID]
+	job, view := s.l.shard.Jobs[jobID], c.view.Jobs[jobID]
 	if c.cells == nil || job == nil || view == nil || view.Submission == nil || s.policy == nil {
 		return
 	}
@@ -64,7 +64,7 @@
 // the record is durable.
 func (s *spiller) lend(jobID, cell string, workerLease model.Micros) {
 	c := s.l.c
-	job := s.l.block.Jobs[jobID]
+	job := s.l.shard.Jobs[jobID]
 	if !s.enabled() || job == nil || !s.mayLend(job) || !s.policy.Knows(cell) {
 		return
 	}
@@ -79,7 +79,7 @@
 	}
 	record := spill.OutRecord{
 		Cell:          cell,
-		Token:         s.l.block.NextAttempt(),
+		Token:         s.l.shard.NextAttempt(),
 		State:         spill.Lent,
 		SinceMs:       c.wall(),
 		LeaseUs:       int64(s.policy.Lease),
--- a/internal/controller/lending_renewals.go
+++ b/internal/controller/lending_renewals.go
@@ -29,10 +29,10 @@
 		}
 		return verdict
 	}
-	record, lending, job := c.view.LentOut[report.Job], s.lendings[report.Job], s.l.block.Jobs[report.Job]
+	record, lending, job := c.view.LentOut[report.Job], s.lendings[report.Job], s.l.shard.Jobs[report.Job]
 	if job != nil && job.HomeCell == "" {
-		s.l.block.CompleteElsewhere(job, report.Done, report.Complete, c.now)
-		verdict.Confirmed = s.l.block.StoredDone(job)
+		s.l.shard.CompleteElsewhere(job, report.Done, report.Complete, c.now)
+		verdict.Confirmed = s.l.shard.StoredDone(job)
 	}
 	switch {
 	case record != nil && record.State == spill.Unreadable:
--- a/internal/controller/lending_search.go
+++ b/internal/controller/lending_search.go
@@ -36,14 +36,14 @@
 // is none among the oldest few.
 func (s *spiller) oldestWithoutRoom() string {
 	var jobs []*model.JobState
-	for _, job := range s.l.block.Jobs {
+	for _, job := range s.l.shard.Jobs {
 		if s.mayLend(job) {
 			jobs = append(jobs, job)
 		}
 	}
 	slices.SortFunc(jobs, func(a, b *model.JobState) int { return cmp.Compare(a.AcceptedRevision, b.AcceptedRevision) })
 	for _, job := range jobs[:min(len(jobs), maxJobsSearched)] {
-		if !s.l.block.RoomSoonFor(job.Job, s.roomWanted(job), s.l.c.now) {
+		if !s.l.shard.RoomSoonFor(job.Job, s.roomWanted(job), s.l.c.now) {
 			return job.ID
 		}
 	}
@@ -99,7 +99,7 @@
 		return false
 	case job.Deadline > 0 && job.ReadySince+job.Deadline < c.now+minLeasesLeft*s.policy.Lease:
 		return false
-	case !s.l.block.WithinLimit(job.Job, job.Tasks):
+	case !s.l.shard.WithinLimit(job.Job, job.Tasks):
 		return false
 	}
 	if _, pending := s.changes[spill.OutKey(job.ID)]; pending {
--- a/internal/controller/machine_list.go
+++ b/internal/controller/machine_list.go
@@ -41,15 +41,15 @@
 			l.noteListed(entry, m.sent)
 		}
 	}
-	l.inventory.countMisses(l.block.Machines, listed)
+	l.inventory.countMisses(l.shard.Machines, listed)
 }
 
 // noteListed takes one machine of a list that was requested at that time. It adds one to
 // the fleet whose rental got no answer.
 func (l *leader) noteListed(entry *cloud.Machine, requested model.Micros) {
-	machine := l.block.Machines[entry.ID]
+	machine := l.shard.Machines[entry.ID]
 	if machine == nil {
-		machine = l.block.AddMachine(entry.ID, entry.MachineType, entry.Zone, entry.Spot, l.c.now)
+		machine = l.shard.AddMachine(entry.ID, entry.MachineType, entry.Zone, entry.Spot, l.c.now)
 		machine.RentedAt = requested - model.Seconds(entry.HeldS)
 		slog.Info("listed", "machine", entry.ID, "type", entry.MachineType, "status", entry.Status)
 	}
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -29,7 +29,7 @@
 		l.writeMachineTypes(m.machineTypes)
 	}
 	if l.ready {
-		l.block.SetMachineTypes(m.machineTypes)
+		l.shard.SetMachineTypes(m.machineTypes)
 		l.schedule.runSoon()
 	}
 }
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -91,7 +91,7 @@
 				return false
 			}
 			waiting := 0
-			for _, j := range l.ctl.leading.block.Jobs {
+			for _, j := range l.ctl.leading.shard.Jobs {
 				waiting += len(j.Waiting)
 			}
 			return waiting > 20
@@ -148,7 +148,7 @@
 		long.cancel(m.other(l))
 		m.until(60*model.Second, "a new leader has acted", func() bool {
 			n := m.readyLeader()
-			return n != nil && n.ctl.leading.block.Queued() == 0 && len(n.ctl.leading.block.Machines) > 0
+			return n != nil && n.ctl.leading.shard.Queued() == 0 && len(n.ctl.leading.shard.Machines) > 0
 		})
 		m.Run(m.Now + m.report())
 		late := m.late
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -35,8 +35,8 @@
 	msgHealthCheck struct{ reply chan<- bool }
 	// msgHeartbeat is a worker's heartbeat.
 	msgHeartbeat struct {
-		report *shard.Heartbeat
-		reply  chan<- workerAnswer
+		heartbeat *shard.Heartbeat
+		reply     chan<- workerAnswer
 		// relayed tells that a sibling has relayed it.
 		relayed bool
 	}
--- a/internal/controller/placement_rounds.go
+++ b/internal/controller/placement_rounds.go
@@ -42,12 +42,12 @@
 // faster than rounds can be run: a round then serves many of them.
 func (l *leader) place() {
 	c, rounds := l.c, &l.placement
-	if !l.block.NeedsPlacement || !l.due(&rounds.lastAt, rounds.interval) {
+	if !l.shard.NeedsPlacement || !l.due(&rounds.lastAt, rounds.interval) {
 		return
 	}
 	preempt := l.due(&rounds.lastPreemptionAt, rounds.preemptionInterval)
 	start := c.clock()
-	l.block.Place(c.now, preempt)
+	l.shard.Place(c.now, preempt)
 	rounds.took(c.clock()-start, preempt, c.set.Params.Quota.Cores)
 	l.schedule.runSoon()
 }
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -16,7 +16,7 @@
 func (l *leader) provision() {
 	c := l.c
 	l.schedule.started(c.now, model.Seconds(float64(c.op.LoopPeriodS)))
-	if len(l.block.MachineTypes) == 0 || l.inventory.listsSeen == 0 {
+	if len(l.shard.MachineTypes) == 0 || l.inventory.listsSeen == 0 {
 		// Before the first list it may seem that nothing is rented.
 		l.schedule.runSoon()
 		return
@@ -32,7 +32,7 @@
 		l.releaseMachine(machine, "idle")
 	}
 	for _, machine := range out.Drain {
-		l.block.Drain(machine, c.now)
+		l.shard.Drain(machine, c.now)
 	}
 	if out.Unplaced > 0 {
 		l.schedule.runSoon()
@@ -41,7 +41,7 @@
 
 // markSurplus marks exactly these machines as surplus.
 func (l *leader) markSurplus(surplus []*model.Machine) {
-	for _, machine := range l.block.Machines {
+	for _, machine := range l.shard.Machines {
 		machine.Surplus = false
 	}
 	for _, machine := range surplus {
@@ -51,12 +51,12 @@
 
 // provisioningInput collects what a round of the autoscaler looks at.
 func (l *leader) provisioningInput() *autoscaler.Input {
-	world := l.block.World(l.c.now)
+	world := l.shard.World(l.c.now)
 	world.Sort()
 	in := &autoscaler.Input{
 		Now:              l.c.now,
 		Machines:         world.Machines,
-		MachineTypes:     l.block.MachineTypes,
+		MachineTypes:     l.shard.MachineTypes,
 		CloudOK:          l.cloudHealth.healthy(),
 		OrdinaryPriority: model.ProductionPriority,
 	}
@@ -76,7 +76,7 @@
 				MachineType: rental.MachineType,
 				Zone:        rental.Zone,
 				Spot:        rental.Spot,
-				Size:        l.block.MachineTypes[rental.MachineType].Size(),
+				Size:        l.shard.MachineTypes[rental.MachineType].Size(),
 				RentedAt:    l.c.now,
 				EmptySince:  l.c.now,
 			})
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -170,7 +170,7 @@
 // handleHeartbeat answers a worker's heartbeat, which the leader alone can take.
 func (c *controller) handleHeartbeat(m msgHeartbeat) {
 	leads := c.leading != nil
-	machineID := m.report.Machine
+	machineID := m.heartbeat.Machine
 	if leads && !m.relayed {
 		if sibling := c.relay.target(machineID, &c.siblings, c.now); sibling != "" {
 			m.reply <- redirectTo(sibling)
@@ -203,7 +203,7 @@
 		return http.StatusBadRequest, userapi.Error(http.StatusBadRequest, err.Error(), 0).Body
 	}
 	reply := make(chan workerAnswer, 1)
-	a, ok := ask(f.mail, msgHeartbeat{report: heartbeat, reply: reply, relayed: true}, reply, relayTimeout)
+	a, ok := ask(f.mail, msgHeartbeat{heartbeat: heartbeat, reply: reply, relayed: true}, reply, relayTimeout)
 	if !ok {
 		a = workerUnavailable()
 	}
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -29,7 +29,7 @@
 // servedMachines is the number of machines whose heartbeats the leader has got and
 // answered lately.
 func (w *world) servedMachines() (n int) {
-	for _, m := range w.leader().ctl.leading.block.Machines {
+	for _, m := range w.leader().ctl.leading.shard.Machines {
 		if m.Up && m.ReceivesAnswers && w.Now-m.LastHeartbeat < 10*model.Second {
 			n++
 		}
@@ -119,7 +119,7 @@
 		t.Errorf("%d of 20 tasks are left, another leads: %v", n, w.leader() != l)
 	}
 	for _, x := range ws {
-		if m := l.ctl.leading.block.Machines[x.ID]; m.Lost || w.Now-m.LastHeartbeat > 8*model.Second {
+		if m := l.ctl.leading.shard.Machines[x.ID]; m.Lost || w.Now-m.LastHeartbeat > 8*model.Second {
 			t.Errorf("%s was heard %.1f s ago", x.ID, (w.Now - m.LastHeartbeat).Seconds())
 		}
 	}
--- a/internal/controller/responses.go
+++ b/internal/controller/responses.go
@@ -24,12 +24,12 @@
 // handleHeartbeat takes a worker's heartbeat. The response may wait a moment for
 // bindings that the heartbeat made possible.
 func (l *leader) handleHeartbeat(m msgHeartbeat) {
-	machineID := m.report.Machine
+	machineID := m.heartbeat.Machine
 	if l.inventory.isDeleted(machineID) {
 		m.reply <- workerUnavailable()
 		return
 	}
-	switch l.block.ApplyHeartbeat(m.report, l.c.now) {
+	switch l.shard.ApplyHeartbeat(m.heartbeat, l.c.now) {
 	case shard.Stale:
 		m.reply <- workerUnavailable()
 		return
@@ -62,27 +62,27 @@
 // bindings to become durable, for the placement round that may give it some, or for the
 // right to run lent tasks.
 func (l *leader) shouldDelay(machineID string) bool {
-	if l.block.Pending(machineID) || l.spill.withheld(machineID) {
+	if l.shard.Pending(machineID) || l.spill.withheld(machineID) {
 		return true
 	}
-	machine := l.block.Machines[machineID]
-	return l.block.NeedsPlacement && machine != nil && machine.HasNews
+	machine := l.shard.Machines[machineID]
+	return l.shard.NeedsPlacement && machine != nil && machine.HasNews
 }
 
 // respond sends a machine its commands, unless a newer heartbeat of it has come since or
 // this controller may not command it any more.
 func (l *leader) respond(m msgHeartbeat) {
-	machine := l.block.Machines[m.report.Machine]
+	machine := l.shard.Machines[m.heartbeat.Machine]
 	l.spill.applyRights()
-	if l.spill.withheld(m.report.Machine) {
+	if l.spill.withheld(m.heartbeat.Machine) {
 		m.reply <- workerUnavailable()
 		return
 	}
-	if machine == nil || machine.Incarnation != m.report.Incarnation || machine.Sequence != m.report.Sequence || machine.Deleting || !l.c.auth.IsValid(l.c.now) {
+	if machine == nil || machine.Incarnation != m.heartbeat.Incarnation || machine.Sequence != m.heartbeat.Sequence || machine.Deleting || !l.c.auth.IsValid(l.c.now) {
 		m.reply <- workerUnavailable()
 		return
 	}
-	m.reply <- workerAnswer{code: http.StatusOK, body: workerapi.Answer(l.token, l.block.Commands(m.report, l.c.now))}
+	m.reply <- workerAnswer{code: http.StatusOK, body: workerapi.Answer(l.token, l.shard.Commands(m.heartbeat, l.c.now))}
 }
 
 // answerPending sends the responses that need not wait any more, or all of them.
@@ -92,7 +92,7 @@
 	}
 	waiting := l.pendingResponses[:0]
 	for _, pending := range l.pendingResponses {
-		if !all && l.shouldDelay(pending.msg.report.Machine) && l.c.now < pending.until {
+		if !all && l.shouldDelay(pending.msg.heartbeat.Machine) && l.c.now < pending.until {
 			waiting = append(waiting, pending)
 			continue
 		}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -17,7 +17,7 @@
 // releaseUnusableMachines releases machines that are of no use, and sends deletions.
 func (l *leader) releaseUnusableMachines() {
 	fewUnreachable := l.fewUnreachable()
-	for _, machine := range l.block.Machines {
+	for _, machine := range l.shard.Machines {
 		if reason := l.unusableReason(machine, fewUnreachable); reason != "" {
 			l.releaseMachine(machine, reason)
 		}
@@ -36,11 +36,11 @@
 		return ""
 	case machine.Failed:
 		return "failed"
-	case l.goneFromLists(machine) && silence > l.block.ReportOverdue():
+	case l.goneFromLists(machine) && silence > l.shard.ReportOverdue():
 		return "not listed any more"
-	case machine.Up && machine.Lost && silence > l.block.LeaseExpiry()+silenceMargin:
+	case machine.Up && machine.Lost && silence > l.shard.LeaseExpiry()+silenceMargin:
 		return "silent"
-	case fewUnreachable && l.block.Unreachable(machine, now):
+	case fewUnreachable && l.shard.Unreachable(machine, now):
 		return "does not hear"
 	case machine.Draining && len(machine.Bindings) == 0:
 		return "not wanted"
@@ -53,7 +53,7 @@
 // neverBooted reports whether a machine has been silent since it was rented for far
 // longer than machines of its type take to boot.
 func (l *leader) neverBooted(machine *model.Machine, silence model.Micros) bool {
-	machineType := l.block.MachineTypes[machine.MachineType]
+	machineType := l.shard.MachineTypes[machine.MachineType]
 	if machine.Up || machineType == nil || len(machine.Bindings) > 0 {
 		return false
 	}
@@ -66,12 +66,12 @@
 // all would be worse than any of it.
 func (l *leader) fewUnreachable() bool {
 	unreachable := 0
-	for _, machine := range l.block.Machines {
+	for _, machine := range l.shard.Machines {
 		if machine.UnansweredSince != 0 {
 			unreachable++
 		}
 	}
-	return unreachable <= max(1, len(l.block.Machines)/unreachableShare)
+	return unreachable <= max(1, len(l.shard.Machines)/unreachableShare)
 }
 
 // releaseMachine decides that a machine is deleted. There is no way back: a deletion
@@ -122,6 +122,6 @@
 // machineDeleted takes a confirmed deletion.
 func (l *leader) machineDeleted(machineID string) {
 	l.inventory.confirmDeletion(machineID, l.c.now)
-	l.block.MachineDeleted(machineID, "deleted", l.c.now)
+	l.shard.MachineDeleted(machineID, "deleted", l.c.now)
 	slog.Info("deleted", "machine", machineID)
 }
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -82,7 +82,7 @@
 func (l *leader) addRentedMachines(machineIDs []string, offer autoscaler.Offer) {
 	for _, machineID := range machineIDs {
 		if !l.inventory.isDeleted(machineID) {
-			l.block.AddMachine(machineID, offer.MachineType, offer.Zone, offer.Spot, l.c.now)
+			l.shard.AddMachine(machineID, offer.MachineType, offer.Zone, offer.Spot, l.c.now)
 		}
 	}
 }
--- a/internal/controller/sim_network_test.go
+++ b/internal/controller/sim_network_test.go
@@ -67,7 +67,7 @@
 		if err != nil {
 			panic(err)
 		}
-		n.handsOver(msgHeartbeat{report: r}, func(a workerAnswer) {
+		n.handsOver(msgHeartbeat{heartbeat: r}, func(a workerAnswer) {
 			back := w.Between(200, 2000+w.lag)
 			if w.Chance(0.01) {
 				back = 5 * model.Second // too late for the worker
@@ -106,7 +106,7 @@
 		}
 	})
 	w.After(w.Between(200, 2000), func() {
-		l.handsOver(msgHeartbeat{report: r, relayed: true}, func(b workerAnswer) {
+		l.handsOver(msgHeartbeat{heartbeat: r, relayed: true}, func(b workerAnswer) {
 			w.After(w.Between(200, 2000), func() {
 				if answered || n.life != life {
 					return
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -178,7 +178,7 @@
 	for _, n := range w.nodes {
 		s += fmt.Sprintf("%s: alive %v, session %d, holds %v, busy %v, syncing %v", n.name, n.alive, n.ctl.session, n.ctl.auth.IsValid(n.ctl.clock()), n.ctl.lanes.busy, n.ctl.sync.inProgress)
 		if l := n.ctl.leading; l != nil {
-			s += fmt.Sprintf(", leads: ready %v, resync %v, queued %d, budget %d", l.ready, l.resync, l.block.Queued(), n.ctl.budget.Left(n.ctl.clock()))
+			s += fmt.Sprintf(", leads: ready %v, resync %v, queued %d, budget %d", l.ready, l.resync, l.shard.Queued(), n.ctl.budget.Left(n.ctl.clock()))
 		}
 		s += "\n"
 	}
--- a/internal/controller/spill.go
+++ b/internal/controller/spill.go
@@ -90,8 +90,8 @@
 // before had proof that it was gone before it lent them.
 func (s *spiller) afterRestore() {
 	for jobID := range s.lendings {
-		if job := s.l.block.Jobs[jobID]; job != nil {
-			s.l.block.Suspend(job, suspendedAsLent, s.l.c.now)
+		if job := s.l.shard.Jobs[jobID]; job != nil {
+			s.l.shard.Suspend(job, suspendedAsLent, s.l.c.now)
 		}
 	}
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -108,7 +108,7 @@
 	if c.leading == nil || !c.leading.ready {
 		return 0
 	}
-	job := c.leading.block.Jobs[jobID]
+	job := c.leading.shard.Jobs[jobID]
 	if job == nil || !job.NeedsBackoff() {
 		return 0
 	}
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -32,12 +32,12 @@
 const (
 	// writePause is how long a lane waits after a transaction that failed.
 	writePause = 100 * model.Millisecond
-	// blockName names the only block: the leader owns it.
-	blockName = state.FirstBlock
+	// shardName names the only shard: the leader owns it.
+	shardName = state.FirstShard
 )
 
 // grantKey is the key of the grant whose revision is the leader's fencing token.
-var grantKey = state.GrantKey(blockName)
+var grantKey = state.GrantKey(shardName)
 
 // transactionLanes tracks which lanes have a transaction in flight or have to wait.
 type transactionLanes struct {
--- a/internal/controller/troubles_test.go
+++ b/internal/controller/troubles_test.go
@@ -47,7 +47,7 @@
 		}
 		w.submit(arrayJob(2, 30, 5), 0)
 		w.until(80*model.Second, "it is returned", func() bool {
-			h := l.ctl.leading.block.Machines[x.ID]
+			h := l.ctl.leading.shard.Machines[x.ID]
 			for _, y := range w.cloud.Workers() {
 				if y == x {
 					return false
@@ -127,7 +127,7 @@
 	w.until(15*model.Second, "another leads", func() bool { l := w.leader(); return l != nil && l.ctl.leading.ready })
 	l := w.leader().ctl.leading
 	bound := func() (n int) {
-		for _, js := range l.block.Jobs {
+		for _, js := range l.shard.Jobs {
 			n += js.BindingCount()
 		}
 		return n
@@ -147,7 +147,7 @@
 	if n := w.rules.Starts - starts; n != 0 {
 		t.Errorf("%d starts", n)
 	}
-	for ref, h := range l.block.Machines {
+	for ref, h := range l.shard.Machines {
 		if h.ReceivesAnswers || h.Up {
 			t.Errorf("%s: hears %v, is up %v", ref, h.ReceivesAnswers, h.Up)
 		}
@@ -447,7 +447,7 @@
 		w.Run(w.Now + model.Second)
 		if l := w.leader(); l != nil && l.ctl.leading.ready {
 			for _, ref := range []string{big.ID, low.ID} {
-				if js := l.ctl.leading.block.Jobs[ref]; js != nil && js.HasRun && began[ref] == 0 {
+				if js := l.ctl.leading.shard.Jobs[ref]; js != nil && js.HasRun && began[ref] == 0 {
 					began[ref] = w.Now - since
 				}
 			}
@@ -472,12 +472,12 @@
 	w.waitForLeader(5 * model.Second)
 	l := w.leader()
 	reply := make(chan workerAnswer, 1)
-	l.ask(msgHeartbeat{report: simReport("host-000999"), reply: reply}, nil)
+	l.ask(msgHeartbeat{heartbeat: simReport("host-000999"), reply: reply}, nil)
 	a := <-reply
 	if want := string(workerapi.Answer(l.ctl.leading.token, nil)); a.code != 200 || string(a.body) != want {
 		t.Errorf("answered %d %s", a.code, a.body)
 	}
-	if l.ctl.leading.block.Machines["host-000999"] != nil {
+	if l.ctl.leading.shard.Machines["host-000999"] != nil {
 		t.Error("a machine is in the books though its report may be an old copy")
 	}
 }
--- a/internal/duty/cleaner.go
+++ b/internal/duty/cleaner.go
@@ -9,7 +9,7 @@
 
 // How long something has to stand unneeded before it is removed.
 const (
-	// The block's holder writes unused bundles anew before it adds others.
+	// The shard's holder writes unused bundles anew before it adds others.
 	retainBundle = 120 * model.Second
 	// A removed slot could be created once more by a late copy of a write, so it stays
 	// for longer than any message is late.
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -13,7 +13,7 @@
 // Name names a duty.
 type Name string
 
-// The duties. Reclaiming is held with the block's grant and has no lease of its own.
+// The duties. Reclaiming is held with the shard's grant and has no lease of its own.
 const (
 	Renting    Name = "renting"
 	Returning  Name = "returning"
--- a/internal/spill/messages.go
+++ b/internal/spill/messages.go
@@ -8,7 +8,7 @@
 
 // Errors of calls between cells.
 var (
-	// ErrNotHolder means that the controller asked does not hold its cell's block: another
+	// ErrNotHolder means that the controller asked does not hold its cell's shard: another
 	// one has to be asked.
 	ErrNotHolder = errors.New("cell: this controller does not hold the block")
 	// ErrUnreachable means that no controller of the cell answered in time. The call may
--- a/internal/state/bundles.go
+++ b/internal/state/bundles.go
@@ -28,14 +28,14 @@
 	duplicate string
 }
 
-// Bundles gives the slots of a block's bundles with their entries, in the order in which
+// Bundles gives the slots of a shard's bundles with their entries, in the order in which
 // they were written.
-func (v *View) Bundles(block string) (slots []int, names [][]string) {
+func (v *View) Bundles(shardName string) (slots []int, names [][]string) {
 	type slotBundle struct {
 		slot   int
 		bundle *bundleView
 	}
-	prefix := blockBundlePrefix(block)
+	prefix := shardBundlePrefix(shardName)
 	var bundles []slotBundle
 	for key, bundle := range v.bundles {
 		suffix, ok := strings.CutPrefix(key, prefix)
--- a/internal/state/duty_status.go
+++ b/internal/state/duty_status.go
@@ -20,7 +20,7 @@
 		statuses = append(statuses, duty.StatusOf(name, duty.Held{Lease: lease, Token: revision}))
 	}
 	var grant GrantRecord
-	revision, err := c.readRecord(GrantKey(FirstBlock), &grant, timeout)
+	revision, err := c.readRecord(GrantKey(FirstShard), &grant, timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -8,9 +8,9 @@
 	"woadweir/internal/spill"
 )
 
-// FirstBlock names the only block of the current policy. Its holder reclaims work from
+// FirstShard names the only shard of the current policy. Its holder reclaims work from
 // lost machines.
-const FirstBlock = "b0"
+const FirstShard = "b0"
 
 // The kinds of keys: the part of a key before its first separator.
 const (
@@ -46,18 +46,18 @@
 // JobKey is the key of a job's record.
 func JobKey(jobID string) string { return JobPrefix + jobID }
 
-// GrantKey is the key of a block's grant.
-func GrantKey(block string) string { return GrantPrefix + block }
+// GrantKey is the key of a shard's grant.
+func GrantKey(shardName string) string { return GrantPrefix + shardName }
 
 // NodeKey is the key of a controller's own record.
 func NodeKey(node string) string { return NodePrefix + node }
 
-// BundleKey is the key of one of a block's bundles.
-func BundleKey(block string, slot int) string {
-	return blockBundlePrefix(block) + strconv.Itoa(slot)
+// BundleKey is the key of one of a shard's bundles.
+func BundleKey(shardName string, slot int) string {
+	return shardBundlePrefix(shardName) + strconv.Itoa(slot)
 }
 
-func blockBundlePrefix(block string) string { return BundlePrefix + block + separator }
+func shardBundlePrefix(shardName string) string { return BundlePrefix + shardName + separator }
 
 // splitKey separates the kind of a key from the rest.
 func splitKey(key string) (kind, name string) {
--- a/internal/state/keys_test.go
+++ b/internal/state/keys_test.go
@@ -10,7 +10,7 @@
 func TestKeys(t *testing.T) {
 	for got, want := range map[string]string{
 		JobKey("j-1"):              "job/j-1",
-		GrantKey(FirstBlock):       "grant/b0",
+		GrantKey(FirstShard):       "grant/b0",
 		NodeKey("node-0"):          "node/node-0",
 		BundleKey("b0", 12):        "bound/b0/12",
 		LeaderKey:                  "leader",
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -39,7 +39,7 @@
 	Duties bool `json:"duties,omitempty"`
 }
 
-// GrantRecord says which controller may schedule a block, and with what team credit.
+// GrantRecord says which controller may schedule a shard, and with what team credit.
 type GrantRecord struct {
 	Holder  string                     `json:"holder"`
 	Session uint64                     `json:"session"`
