--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -60,7 +60,7 @@
 	duties   *dutyHolder
 }
 
-func newController(set *config.Settings, op *config.Operator, spans leadership.LeaseTimes, clock Clock, io effects) *controller {
+func newController(set *config.Settings, op *config.Operator, leaseTimes leadership.LeaseTimes, clock Clock, io effects) *controller {
 	limits := set.StateLimits()
 	c := &controller{
 		set:     set,
@@ -75,7 +75,7 @@
 		layouts: map[string]int{},
 		limits:  limits,
 		relay:   newHeartbeatRelay(set),
-		auth:    leadership.Authority{Times: spans},
+		auth:    leadership.Authority{Times: leaseTimes},
 	}
 	c.budget = state.NewBudget(c.writeShare(false))
 	c.duties = newDutyHolder(c, op.Duties)
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -98,7 +98,7 @@
 
 // newProcess sets a controller up, without starting anything.
 func newProcess(ctx context.Context, set *config.Settings, op *config.Operator) (*process, error) {
-	clock, spans := SteadyClock(), set.LeaseTimes(op)
+	clock, leaseTimes := SteadyClock(), set.LeaseTimes(op)
 	mail := make(chan any, mailboxSize)
 	stateClient := state.NewClient(set.Services.State)
 	peers, err := dialSiblings(set)
@@ -113,8 +113,8 @@
 	abandon := make(chan uint64, abandonedSessions)
 	io := &inputOutput{mail: mail, clock: clock, state: stateClient, cloud: cloud.NewClient(set.Services.Cloud), peers: peers, name: set.NodeName, ctx: ctx,
 		abandon: abandon}
-	p.controller = newController(set, op, spans, clock, io)
-	p.session = &session{state: stateClient, clock: clock, mail: mail, name: set.NodeName, serve: set.ServeOn, ttl: spans.TTL, duties: op.Duties != nil, spills: op.Spill != nil, abandon: abandon}
+	p.controller = newController(set, op, leaseTimes, clock, io)
+	p.session = &session{state: stateClient, clock: clock, mail: mail, name: set.NodeName, serve: set.ServeOn, ttl: leaseTimes.TTL, duties: op.Duties != nil, spills: op.Spill != nil, abandon: abandon}
 	if op.Spill == nil {
 		return p, nil
 	}
--- a/internal/controller/view_sync.go
+++ b/internal/controller/view_sync.go
@@ -25,9 +25,6 @@
 // the rest.
 const syncShare = 0.6
 
-// spillPrefix begins the keys of records of jobs lent to other cells or by them.
-const spillPrefix = state.SpillPrefix
-
 // viewSync schedules the synchronization of the view with the state service. A
 // synchronization is a linearizable read barrier as well: once it has succeeded, the view
 // has every write that was committed before it started.
@@ -199,7 +196,7 @@
 
 // spillRecordChanged tells the leader's spiller of a changed record, if it is one of its.
 func (c *controller) spillRecordChanged(key string) {
-	if strings.HasPrefix(key, spillPrefix) && c.leading != nil && c.leading.ready {
+	if strings.HasPrefix(key, state.SpillPrefix) && c.leading != nil && c.leading.ready {
 		c.leading.spill.recordNews(key)
 	}
 }
--- a/internal/core/placement/prepare.go
+++ b/internal/core/placement/prepare.go
@@ -83,7 +83,7 @@
 func (w *World) findProtectedJobs() {
 	w.protectedJobs = map[string]bool{}
 	for _, job := range w.Jobs {
-		if hasNotRun(job) && w.Now-job.ReadySince > protectFirstTaskAfter {
+		if !job.IsKnownToRun() && w.Now-job.ReadySince > protectFirstTaskAfter {
 			w.protectedJobs[job.ID] = true
 		}
 	}
--- a/internal/core/placement/waiting.go
+++ b/internal/core/placement/waiting.go
@@ -40,11 +40,8 @@
 // idleSince is since when a job waits with none of its tasks bound: from the start if no
 // task has run.
 func idleSince(job *model.JobState) model.Micros {
-	if hasNotRun(job) {
+	if !job.IsKnownToRun() {
 		return job.ReadySince
 	}
 	return job.IdleSince
 }
-
-// hasNotRun tells that no task of a job has run yet, under any holder.
-func hasNotRun(job *model.JobState) bool { return !job.HasRun && job.Done.Len() == 0 }
--- a/internal/core/shard/failures.go
+++ b/internal/core/shard/failures.go
@@ -35,12 +35,18 @@
 // completed. The machine is not faulty, so jobs that failed on it and have not run
 // anywhere are at fault.
 func (s *State) clearFailures(m *model.Machine) {
+	s.blameUnprovenJobs(m)
+	m.FailuresInRow = nil
+}
+
+// blameUnprovenJobs puts the jobs at fault that failed on a machine and have not run
+// anywhere.
+func (s *State) blameUnprovenJobs(m *model.Machine) {
 	for _, f := range m.FailuresInRow {
 		if job := s.Jobs[f.Job]; job != nil && !job.IsKnownToRun() {
 			job.AtFault = true
 		}
 	}
-	m.FailuresInRow = nil
 }
 
 // Limits of consecutive failures on a machine.
@@ -79,11 +85,7 @@
 	}
 	// The jobs that have not run anywhere have had their one machine quarantined. If they
 	// fail on the next as well, they are at fault.
-	for _, f := range machine.FailuresInRow {
-		if job := s.Jobs[f.Job]; job != nil && !job.IsKnownToRun() {
-			job.AtFault = true
-		}
-	}
+	s.blameUnprovenJobs(machine)
 	machine.Quarantined, machine.Draining = true, true
 	s.Log(Event{Kind: EventQuarantined, Machine: machine.ID, Why: "tasks fail on it"})
 	for _, b := range machine.Bindings {
