--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -125,6 +125,8 @@
 	wantList  bool
 	waiting   []func(ok bool) // run when a catch-up that starts later has ended
 	inSync    []func(ok bool) // those of the one on its way
+	// waitingReads is how many of these are users' questions about jobs.
+	waitingReads int
 
 	users  []userWrite
 	busy   [lanes]bool
--- /dev/null
+++ b/internal/node/reads_test.go
@@ -0,0 +1,233 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	"golang.org/x/sync/errgroup"
+
+	"woadweir/internal/config"
+	"woadweir/internal/core/block"
+	"woadweir/internal/core/lead"
+	"woadweir/internal/core/model"
+	"woadweir/internal/state"
+	"woadweir/internal/userapi"
+)
+
+// readStorm has users ask about jobs at every controller, so many a second at each, and
+// counts what they are told.
+type readStorm struct {
+	w        *world
+	every    model.Micros
+	perTick  int
+	until    model.Micros
+	asked    int
+	answered int // in the time that a user waits
+	refused  int // at once, with a time to come back
+	slow     int // later than a user waits
+}
+
+// pollWait is how long a user waits for an answer to a question.
+const pollWait = 2 * model.Second
+
+func (s *readStorm) run(refs []string) {
+	w := s.w
+	if w.Now >= s.until {
+		return
+	}
+	for _, n := range w.nodes {
+		for k := range s.perTick {
+			s.ask(n, refs[(s.asked+k)%len(refs)])
+		}
+	}
+	w.After(s.every, func() { s.run(refs) })
+}
+
+func (s *readStorm) ask(n *simNode, ref string) {
+	if !n.alive {
+		return
+	}
+	w, asked := s.w, s.w.Now
+	s.asked++
+	reply := make(chan userapi.Answer, 1)
+	n.ask(msgStatusQuery{ref, reply}, func() bool {
+		select {
+		case a := <-reply:
+			w.rules.Tell(ref, a.Code, a.Body, asked)
+			took := w.Now - asked
+			switch {
+			case a.Code != 200 && a.RetryAfter == 0:
+				w.t.Errorf("refused with %d without a time to come back", a.Code)
+			case took > pollWait:
+				s.slow++
+			case a.Code == 200:
+				s.answered++
+			default:
+				s.refused++
+			}
+			return true
+		default:
+			return false
+		}
+	})
+}
+
+// Users ask about their jobs many times as often as they used to, at every controller. As
+// many of the questions are answered, since the ones that come together share one read of
+// the state service: its load does not grow with them. (The stand-in loses one request in
+// fifty; the questions that wait for it are refused, with a time to come back.)
+func TestReadsAtManyTimesTheRate(t *testing.T) {
+	reads, share := map[int]int{}, map[int]float64{}
+	for _, perTick := range []int{1, 40} { // 20 and 800 a second at each controller
+		w := newWorld(t, 44)
+		us := longWork(w)
+		var refs []string
+		for _, u := range us {
+			refs = append(refs, u.sub.ID)
+		}
+		before := w.state.Reads
+		s := &readStorm{w: w, every: 50 * model.Millisecond, perTick: perTick, until: w.Now + 20*model.Second}
+		s.run(refs)
+		w.Run(s.until + 3*model.Second)
+		reads[perTick] = w.state.Reads - before
+		share[perTick] = float64(s.answered) / float64(s.asked)
+		if share[perTick] < 0.9 || s.slow > 0 || s.answered+s.refused != s.asked {
+			t.Errorf("%d a tick: of %d questions %d were answered, %d refused, %d late", perTick, s.asked, s.answered, s.refused, s.slow)
+		}
+		w.Run(w.Now + 100*model.Second)
+		w.check()
+		w.allDone(us)
+	}
+	if share[40] < share[1]-0.04 {
+		t.Errorf("%.3f of the questions are answered at forty times the rate, %.3f before", share[40], share[1])
+	}
+	if reads[40] > reads[1]*3/2 {
+		t.Errorf("%d requests to the state service with forty times as many questions, %d before", reads[40], reads[1])
+	}
+}
+
+// A slow state service holds questions up. Those that would be too many to hold are
+// refused at once, so that connections are left for workers, and no answer comes later
+// than a user waits.
+func TestReadsWithASlowStateService(t *testing.T) {
+	w := newDeployment(t, 45, sockets(400, simSettings), capacity(4, 2))
+	us := longWork(w)
+	w.stateLag = 700 * model.Millisecond
+	s := &readStorm{w: w, every: 50 * model.Millisecond, perTick: 60, until: w.Now + 8*model.Second}
+	most := 0
+	var look func()
+	look = func() {
+		for _, n := range w.nodes {
+			most = max(most, n.ctl.waitingReads)
+		}
+		if w.Now < s.until {
+			w.After(10*model.Millisecond, look)
+		}
+	}
+	look()
+	s.run([]string{us[0].sub.ID})
+	w.Run(s.until + 3*model.Second)
+	w.stateLag = 0
+	if limit := w.nodes[0].ctl.maxWaitingReads(); most != limit {
+		t.Errorf("%d questions waited, the bound is %d", most, limit)
+	}
+	if s.refused == 0 || s.answered == 0 || s.slow > 0 || s.answered+s.refused != s.asked {
+		t.Errorf("of %d questions %d were answered, %d refused, %d late", s.asked, s.answered, s.refused, s.slow)
+	}
+	w.Run(w.Now + 120*model.Second)
+	w.check()
+	w.allDone(us)
+}
+
+// benchState answers catch-ups as a state service does that takes some milliseconds.
+type benchState struct {
+	effects
+	mail  chan<- any
+	clock Clock
+	syncs atomic.Int64
+}
+
+// stateLatency is about what the state service takes for a request.
+const stateLatency = 6 * time.Millisecond
+
+func (b *benchState) sync(from uint64, list bool) {
+	b.syncs.Add(1)
+	m := msgSynced{sent: b.clock()}
+	if list {
+		m.view = state.NewView()
+		for i := range 1000 {
+			m.view.Put(fmt.Sprintf("job/j-%06d", i), block.JobRecord{Spec: sweepJob(i, 4, 10)}, 1)
+		}
+	} else {
+		m.changes = &state.Changes{Epoch: from}
+	}
+	time.AfterFunc(stateLatency, func() { b.mail <- m })
+}
+
+func (b *benchState) ping() {}
+
+// BenchmarkStatusReads measures the path of a question from its request to its answer, as
+// many users ask one controller at once: answers a second, times, and how many reads of
+// the state service are made for them.
+func BenchmarkStatusReads(b *testing.B) {
+	for _, users := range []int{16, 256, 4096} {
+		b.Run(fmt.Sprintf("users=%d", users), func(b *testing.B) { benchReads(b, users) })
+	}
+}
+
+func benchReads(b *testing.B, users int) {
+	ctx, cancel := context.WithCancel(context.Background())
+	mail, clock := make(chan any, mailboxSize), SteadyClock()
+	io := &benchState{mail: mail, clock: clock}
+	set := simSettings("node-0")
+	set.Params.Quota.FDLimit = 4 * max(users, leastWaitingReads) // none is refused
+	c := newController(set, config.DefaultOperator(), lead.Settle(30*model.Second, 18*model.Second, 5*model.Second/2, 38*model.Second), clock, io)
+	g, ctx := errgroup.WithContext(ctx)
+	g.Go(func() error { return c.run(ctx, mail) })
+	g.Go(func() error { return tick(ctx, mail) })
+	f := &front{mail: mail, ctx: ctx}
+	for f.User("GET", "/work/j-000001", nil).Code != 200 {
+		time.Sleep(10 * time.Millisecond)
+	}
+	times := make([]*hdrhistogram.Histogram, users)
+	var next atomic.Int64
+	before := io.syncs.Load()
+	b.ResetTimer()
+	var askers errgroup.Group
+	for u := range users {
+		times[u] = hdrhistogram.New(1, 10_000_000, 3)
+		askers.Go(func() error {
+			for {
+				i := next.Add(1)
+				if i > int64(b.N) {
+					return nil
+				}
+				start := time.Now()
+				if a := f.User("GET", fmt.Sprintf("/work/j-%06d", i%1000), nil); a.Code != 200 {
+					return fmt.Errorf("answered %d", a.Code)
+				}
+				if err := times[u].RecordValue(time.Since(start).Microseconds()); err != nil {
+					return err
+				}
+			}
+		})
+	}
+	if err := askers.Wait(); err != nil {
+		b.Fatal(err)
+	}
+	b.StopTimer()
+	all := times[0]
+	for _, h := range times[1:] {
+		all.Merge(h)
+	}
+	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "answers/s")
+	b.ReportMetric(float64(all.ValueAtQuantile(50)), "p50-us")
+	b.ReportMetric(float64(all.ValueAtQuantile(99)), "p99-us")
+	b.ReportMetric(1000*float64(io.syncs.Load()-before)/float64(b.N), "reads/1000")
+	cancel()
+	_ = g.Wait() // ended by the context
+}
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -49,21 +49,71 @@
 	})
 }
 
+// statusQuery answers a question about a job. All that wait share one catch-up of the
+// view with the state service, however many they are, so that reads stay linearizable at
+// a cost that does not grow with them. Users may ask many times as often as they used to:
+// what is too much to be held is refused at once.
 func (c *controller) statusQuery(m msgStatusQuery) {
-	if _, ok := c.view.Final(m.ref); ok {
+	switch _, ended := c.view.Final(m.ref); {
+	case ended:
 		// An end never changes: it may be told at any time.
 		m.reply <- c.pollAnswer(m.ref)
 		return
+	case c.stateBad:
+		m.reply <- c.unreached()
+		return
+	case c.waitingReads >= c.maxWaitingReads():
+		m.reply <- userapi.Error(429, "too many questions", 1)
+		return
+	}
+	c.waitingReads++
+	c.afterSync(func(ok bool) {
+		c.waitingReads--
+		if !ok {
+			m.reply <- c.unreached()
+			return
+		}
+		m.reply <- c.pollAnswer(m.ref)
+	})
+}
+
+// How many questions may wait: at least so many, and so many where connections are not
+// limited.
+const (
+	leastWaitingReads   = 64
+	defaultWaitingReads = 1024
+)
+
+// maxWaitingReads bounds the questions that wait for a catch-up: each holds a connection,
+// and when the state service is slow, they must not take those that workers' reports need.
+func (c *controller) maxWaitingReads() int {
+	if limit := c.set.Params.Quota.FDLimit; limit > 0 {
+		return max(leastWaitingReads, limit/4)
 	}
-	c.caughtUp(m.reply, func() { m.reply <- c.pollAnswer(m.ref) })
+	return defaultWaitingReads
 }
 
+// pollAnswer tells of a job. The leader tells as well of how many machines it has failed
+// on, as long as it fails everywhere: its user may have submitted it with a mistake.
 func (c *controller) pollAnswer(ref string) userapi.Answer {
 	status, done, running, known := c.view.Status(ref)
 	if !known {
 		return userapi.Error(404, "no such job", 0)
 	}
-	return userapi.State(ref, status, done, running)
+	return userapi.State(ref, status, done, running, c.failedMachines(ref))
+}
+
+// failedMachines is on how many machines a job has failed that fails everywhere, 0 for
+// another, or where this controller does not lead.
+func (c *controller) failedMachines(ref string) int {
+	if c.leading == nil || !c.leading.ready {
+		return 0
+	}
+	js := c.leading.block.Jobs[ref]
+	if js == nil || !js.NeedsBackoff() {
+		return 0
+	}
+	return len(js.FailedMachines)
 }
 
 // maxUserQueue bounds the submissions that wait, to about a second's worth: more
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -25,6 +25,7 @@
 	leases  map[uint64]*lease
 	nextID  uint64
 	Writes  int
+	Reads   int // catch-ups that were asked for
 	// After Fall, what is too large is refused, and so is what is too much.
 	fallen bool
 	rate   float64
@@ -156,6 +157,7 @@
 
 // Watch is GET /watch without waiting.
 func (s *State) Watch(node string, from uint64) (*state.Changes, error) {
+	s.Reads++
 	if s.refuse(node) {
 		return nil, state.ErrRefused
 	}
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -26,24 +26,28 @@
 }
 
 // Accepted renders the state of a job in answer to a submission.
-func Accepted(code int, ref, status string) Answer { return state(code, ref, status, nil) }
+func Accepted(code int, ref, status string) Answer {
+	return render(code, jobBody{Ref: ref, Status: status})
+}
 
-// State renders the state of a job in answer to a poll.
-func State(ref, status string, done, running int) Answer {
-	return state(200, ref, status, &[2]int{done, running})
+// State renders the state of a job in answer to a poll. failedMachines is on how many
+// machines a job has failed that fails everywhere; users ignore the field if they do not
+// know it.
+func State(ref, status string, done, running, failedMachines int) Answer {
+	return render(200, jobBody{Ref: ref, Status: status, Done: &done, Running: &running, FailedMachines: failedMachines})
 }
 
-func state(code int, ref, status string, counts *[2]int) Answer {
-	out := struct {
-		Ref     string `json:"ref"`
-		Status  string `json:"status"`
-		Done    *int   `json:"done,omitempty"`
-		Running *int   `json:"running,omitempty"`
-	}{Ref: ref, Status: status}
-	if counts != nil {
-		out.Done, out.Running = &counts[0], &counts[1]
-	}
-	b, err := json.Marshal(out)
+// jobBody is what users are told of a job.
+type jobBody struct {
+	Ref            string `json:"ref"`
+	Status         string `json:"status"`
+	Done           *int   `json:"done,omitempty"`
+	Running        *int   `json:"running,omitempty"`
+	FailedMachines int    `json:"failedMachines,omitempty"`
+}
+
+func render(code int, body jobBody) Answer {
+	b, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
 	}
