--- a/cmd/woadweir/main.go
+++ b/cmd/woadweir/main.go
@@ -14,7 +14,7 @@
 
 	"woadweir"
 	"woadweir/internal/config"
-	"woadweir/internal/node"
+	"woadweir/internal/controller"
 )
 
 type cli struct {
@@ -61,7 +61,7 @@
 	if mb := s.Params.Quota.RAMMB; mb > 0 && os.Getenv("GOMEMLIMIT") == "" {
 		debug.SetMemoryLimit(int64(mb * 0.7 * 1e6))
 	}
-	return node.Run(context.Background(), s, o)
+	return controller.Run(context.Background(), s, o)
 }
 
 type checkCmd struct{ files }
--- a/internal/config/duties.go
+++ b/internal/config/duties.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"os"
 
-	"woadweir/internal/core/lead"
+	"woadweir/internal/core/leadership"
 	"woadweir/internal/core/model"
 	"woadweir/internal/duty"
 )
@@ -32,11 +32,11 @@
 
 // Spans are the times of safety that follow from the settings. The duties file may
 // shorten the session.
-func (s *Settings) Spans(o *Operator) lead.Spans {
+func (s *Settings) Spans(o *Operator) leadership.Spans {
 	w := s.Params.Workers
 	longest := model.Seconds(float64(o.BlockLeaseS))
 	if o.Duties != nil && o.Duties.Lease != 0 {
 		longest = min(longest, o.Duties.Lease)
 	}
-	return lead.Settle(longest, model.Seconds(w.LeaseS), model.Seconds(w.ReportS), model.Seconds(w.CancelS))
+	return leadership.Settle(longest, model.Seconds(w.LeaseS), model.Seconds(w.ReportS), model.Seconds(w.CancelS))
 }
--- a/internal/node/carryout.go
+++ b/internal/controller/carryout.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"errors"
@@ -48,7 +48,7 @@
 	v := d.c.view
 	for key, call := range d.calls {
 		_, mine := s.Holds(call.name)
-		if !call.busy && (!mine || v.Stamps[key] != call.stamp) {
+		if !call.busy && (!mine || v.Revisions[key] != call.stamp) {
 			call.span.End("")
 			delete(d.calls, key)
 		}
@@ -87,7 +87,7 @@
 func (d *dutyHolder) begin(key string, name duty.Name, trace string) carryOut {
 	call := d.calls[key]
 	if call == nil {
-		call = &intentCall{stamp: d.c.view.Stamps[key], name: name,
+		call = &intentCall{stamp: d.c.view.Revisions[key], name: name,
 			span: tracing.Start(trace, "call", attribute.String("duty", string(name)), attribute.String("intent", key), attribute.Int64("token", int64(d.held[name])))}
 		d.calls[key] = call
 	}
@@ -163,11 +163,11 @@
 	if !mine {
 		return false
 	}
-	txn := &state.Txn{Guards: []state.Guard{{Path: name.Key(), Stamp: token}}}
+	txn := &state.Txn{Conditions: []state.Condition{{Path: name.Key(), Revision: token}}}
 	most, machines := min(c.limits.TxnOps, d.intentsAtMost(d.outcomesAt)), 0
 	for _, key := range slices.Sorted(maps.Keys(d.calls)) {
 		call := d.calls[key]
-		if call.name != name || call.outcome == nil || c.view.Stamps[key] != call.stamp {
+		if call.name != name || call.outcome == nil || c.view.Revisions[key] != call.stamp {
 			continue
 		}
 		if !call.reported && c.now-call.answeredAt > outcomePatience {
@@ -188,7 +188,7 @@
 			machines += len(r.Machines)
 			outcome = r
 		}
-		txn.Guards = append(txn.Guards, state.Guard{Path: key, Stamp: call.stamp})
+		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: call.stamp})
 		txn.Then = append(txn.Then, state.Op{Set: key, Value: outcome})
 	}
 	if len(txn.Then) == 0 {
--- a/internal/node/catchup.go
+++ b/internal/controller/catchup.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"errors"
@@ -37,14 +37,14 @@
 	}
 	c.syncing, c.syncAt = true, c.now
 	c.inSync, c.waiting = c.waiting, nil
-	c.io.sync(c.view.Epoch, c.wantList)
+	c.io.sync(c.view.Revision, c.wantList)
 }
 
 func (c *controller) synced(m msgSynced) {
 	c.syncing = false
 	waiters := c.inSync
 	c.inSync = nil
-	c.stateBad = m.err != nil && !errors.Is(m.err, state.ErrTooOld) && !errors.Is(m.err, state.ErrBusy)
+	c.stateBad = m.err != nil && !errors.Is(m.err, state.ErrCompacted) && !errors.Is(m.err, state.ErrBusy)
 	if m.err == nil && m.view == nil {
 		for i := range m.changes.Events {
 			if err := c.apply(&m.changes.Events[i]); err != nil {
@@ -67,14 +67,14 @@
 			c.leading.reload()
 		}
 	} else {
-		c.view.Epoch = max(c.view.Epoch, m.changes.Epoch)
+		c.view.Revision = max(c.view.Revision, m.changes.Revision)
 	}
 	c.syncOK = m.sent
 	c.auth.Synced(m.sent)
 	if l := c.leading; l != nil {
-		if c.view.Leader == nil || c.view.Leader.Session != c.session || c.view.Stamps["grant/"+blockName] != l.token {
+		if c.view.Leader == nil || c.view.Leader.Session != c.session || c.view.Revisions["grant/"+blockName] != l.token {
 			c.stepDown("the state says that another leads")
-		} else if !l.ready && c.view.Epoch >= l.token {
+		} else if !l.ready && c.view.Revision >= l.token {
 			l.takeOver()
 		}
 		l.resync, l.spill.resync = false, false
@@ -95,7 +95,7 @@
 		c.loaded, c.wantList, c.stateBad = false, true, true
 		c.syncNotBy = c.now + 5*model.Second
 		c.stepDown("unreadable records")
-	case errors.Is(err, state.ErrTooOld):
+	case errors.Is(err, state.ErrCompacted):
 		c.wantList = true
 	default:
 		c.syncNotBy = c.now + 200*model.Millisecond
@@ -106,11 +106,11 @@
 // jobs.
 func (c *controller) apply(e *state.Event) error {
 	if e.Drop != "" {
-		c.view.Drop(e.Drop, e.Stamp)
+		c.view.Drop(e.Drop, e.Revision)
 		c.spillNews(e.Drop)
 		return nil
 	}
-	if set, err := c.view.Set(e.Set, e.Value, e.Stamp); !set || err != nil {
+	if set, err := c.view.Set(e.Set, e.Value, e.Revision); !set || err != nil {
 		return err
 	}
 	if ref, ok := strings.CutPrefix(e.Set, jobPrefix); ok {
--- a/internal/node/cells_failures_test.go
+++ b/internal/controller/cells_failures_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"encoding/json"
--- a/internal/node/controller.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"time"
 
 	"woadweir/internal/config"
-	"woadweir/internal/core/lead"
+	"woadweir/internal/core/leadership"
 	"woadweir/internal/core/model"
 	"woadweir/internal/state"
 )
@@ -92,7 +92,7 @@
 
 // pendingResponse is a response to a worker that waits for bindings to become durable.
 type pendingResponse struct {
-	msg   msgReport
+	msg   msgHeartbeat
 	until model.Micros
 }
 
@@ -111,7 +111,7 @@
 
 	limits   config.Limits // of the state service
 	teams    map[string]*model.Team
-	auth     lead.Authority
+	auth     leadership.Authority
 	session  uint64
 	resigned uint64 // a session that was given up, whatever is heard of it
 	view     *state.View
@@ -152,17 +152,17 @@
 	relayNext  int
 	relayNotBy model.Micros // no report is handed on before
 
-	leading *leadership
+	leading *leader
 	duties  *dutyHolder
 }
 
-func newController(set *config.Settings, op *config.Operator, spans lead.Spans, clock Clock, io effects) *controller {
+func newController(set *config.Settings, op *config.Operator, spans leadership.Spans, clock Clock, io effects) *controller {
 	// Catch-ups of all controllers together take at most so much of what the state
 	// service bears; transactions and sessions need the rest.
 	nodes := len(set.Siblings) + 1
 	limits := set.StateLimits()
 	gap := model.Seconds(float64(nodes) / (syncShare * limits.RPS))
-	c := &controller{set: set, limits: limits, op: op, clock: clock, io: io, teams: set.Teams(), auth: lead.Authority{Spans: spans},
+	c := &controller{set: set, limits: limits, op: op, clock: clock, io: io, teams: set.Teams(), auth: leadership.Authority{Spans: spans},
 		syncGap: max(syncLeast, gap), seen: map[string]model.Micros{}, routes: map[string]route{}, layouts: map[string]int{}, view: state.NewView(), wantList: true,
 		wall: func() int64 { return time.Now().UnixMilli() }, jitter: rand.Float64}
 	c.budget = state.NewBudget(c.writeShare(false))
@@ -197,7 +197,7 @@
 	switch m := m.(type) {
 	case msgTick:
 		c.duties.ticked()
-	case msgStatusQuery:
+	case msgStatusRequest:
 		c.statusQuery(m)
 	case msgSubmit:
 		c.submit(m)
@@ -211,7 +211,7 @@
 		c.pinging, c.pingedAt = false, c.now
 		c.alive, c.helpers, c.relays = m.alive, m.helpers, m.relays
 		c.considerResigning(m)
-	case msgReport:
+	case msgHeartbeat:
 		c.report(m)
 	case msgRelayFailed:
 		c.relayNotBy = c.now + failedFor
--- a/internal/node/duties.go
+++ b/internal/controller/duties.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"errors"
@@ -153,8 +153,8 @@
 	grant := "grant/" + blockName
 	c.pauses[laneMisc] = c.now + model.Second
 	c.send(laneMisc, msgCommitted{token: l.token, txn: &state.Txn{
-		Guards: []state.Guard{{Path: "leader", Stamp: c.view.Stamps["leader"]}, {Path: grant, Stamp: l.token}},
-		Then:   []state.Op{{Set: "leader", Value: c.leaderRecord(), Tenancy: c.session}}}})
+		Conditions: []state.Condition{{Path: "leader", Revision: c.view.Revisions["leader"]}, {Path: grant, Revision: l.token}},
+		Then:       []state.Op{{Set: "leader", Value: c.leaderRecord(), LeaseID: c.session}}}})
 }
 
 // situation is what the keeper looks at.
@@ -169,7 +169,7 @@
 		s.Leader = c.view.Leader.Node
 	}
 	for name, lease := range c.view.Duties {
-		s.Leases[name] = duty.Held{Lease: *lease, Token: c.view.Stamps[name.Key()]}
+		s.Leases[name] = duty.Held{Lease: *lease, Token: c.view.Revisions[name.Key()]}
 	}
 	return s
 }
@@ -187,7 +187,7 @@
 		if !known || node.Session != rec.Session {
 			node = duty.Node{Name: name, Session: rec.Session, Since: d.c.now}
 		}
-		node.Candidate, node.Stamp = rec.Duties, v.Stamps["node/"+name]
+		node.Candidate, node.Revision = rec.Duties, v.Revisions["node/"+name]
 		d.nodes[name] = node
 	}
 	return d.nodes
@@ -273,10 +273,10 @@
 	}
 	span := tracing.Start(c.traceOf(a.Name), name, attribute.String("duty", string(a.Name)), attribute.String("holder", a.Lease.Holder))
 	a.Lease.Trace = span.Context()
-	txn := &state.Txn{Guards: []state.Guard{{Path: a.Name.Key(), Stamp: a.Token}, {Path: "leader", Stamp: c.view.Stamps["leader"]}},
-		Then: []state.Op{{Set: a.Name.Key(), Value: a.Lease, Tenancy: a.Lease.Session}}}
+	txn := &state.Txn{Conditions: []state.Condition{{Path: a.Name.Key(), Revision: a.Token}, {Path: "leader", Revision: c.view.Revisions["leader"]}},
+		Then: []state.Op{{Set: a.Name.Key(), Value: a.Lease, LeaseID: a.Lease.Session}}}
 	if a.Kind == duty.HandOver {
-		txn.Guards = append(txn.Guards, state.Guard{Path: "node/" + a.Successor.Name, Stamp: a.Successor.Stamp})
+		txn.Conditions = append(txn.Conditions, state.Condition{Path: "node/" + a.Successor.Name, Revision: a.Successor.Revision})
 	}
 	d.writing = &leaseWrite{a, span}
 	c.send(laneDuty, msgCommitted{txn: txn, token: a.Token})
@@ -303,7 +303,7 @@
 			d.needSync()
 		}
 	case m.res.OK:
-		c.view.Apply(m.txn, m.res.Epoch)
+		c.view.Apply(m.txn, m.res.Revision)
 	default:
 		failure = "refused"
 		d.refused(m)
@@ -345,9 +345,9 @@
 	if len(removals) == 0 {
 		return
 	}
-	txn := &state.Txn{Guards: []state.Guard{{Path: duty.Cleanup.Key(), Stamp: token}}}
+	txn := &state.Txn{Conditions: []state.Condition{{Path: duty.Cleanup.Key(), Revision: token}}}
 	for _, r := range removals {
-		txn.Guards = append(txn.Guards, state.Guard{Path: r.Key, Stamp: r.Stamp})
+		txn.Conditions = append(txn.Conditions, state.Condition{Path: r.Key, Revision: r.Revision})
 		txn.Then = append(txn.Then, state.Op{Drop: r.Key})
 	}
 	slog.Info("clean up", "token", token, "keys", len(removals))
@@ -360,12 +360,12 @@
 	var list []duty.Unneeded
 	for key, r := range v.Rentals {
 		if r.State != duty.Open {
-			list = append(list, duty.UnneededIntent(key, v.Stamps[key]))
+			list = append(list, duty.UnneededIntent(key, v.Revisions[key]))
 		}
 	}
 	for key, r := range v.Returns {
 		if r.State != duty.Open {
-			list = append(list, duty.UnneededIntent(key, v.Stamps[key]))
+			list = append(list, duty.UnneededIntent(key, v.Revisions[key]))
 		}
 	}
 	v.UnusedBundles(func(path string, stamp uint64) { list = append(list, duty.UnneededBundle(path, stamp)) })
--- a/internal/node/duties_bench_test.go
+++ b/internal/controller/duties_bench_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -132,7 +132,7 @@
 // BenchmarkDutyHandOver measures, in simulated time, how long renting is without a holder
 // that can perform it. It is a measurement, not a part of CI:
 //
-//	go test -run '^$' -bench DutyHandOver -benchtime 1x ./internal/node
+//	go test -run '^$' -bench DutyHandOver -benchtime 1x ./internal/controller
 func BenchmarkDutyHandOver(b *testing.B) {
 	policy, err := duty.ParseSettings([]byte(spreadDuties), []string{}, 60*model.Second)
 	if err != nil {
--- a/internal/node/election.go
+++ b/internal/controller/election.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"log/slog"
@@ -41,10 +41,10 @@
 		rec.Credit = nil // which is the whole of every team's limit, too
 	}
 	t := &state.Txn{
-		Guards: []state.Guard{{Path: "leader", Stamp: c.view.Stamps["leader"]}, {Path: grant, Stamp: c.view.Stamps[grant]}},
-		Then:   []state.Op{{Set: grant, Value: rec}}}
+		Conditions: []state.Condition{{Path: "leader", Revision: c.view.Revisions["leader"]}, {Path: grant, Revision: c.view.Revisions[grant]}},
+		Then:       []state.Op{{Set: grant, Value: rec}}}
 	if !ours {
-		t.Then = append(t.Then, state.Op{Set: "leader", Value: c.leaderRecord(), Tenancy: c.session})
+		t.Then = append(t.Then, state.Op{Set: "leader", Value: c.leaderRecord(), LeaseID: c.session})
 	}
 	c.send(laneElect, msgCommitted{txn: t, token: c.session})
 }
@@ -77,10 +77,10 @@
 		// The session it was won with is over, and the key with it.
 		return
 	}
-	c.view.Apply(m.txn, m.res.Epoch)
-	slog.Info("leader", "token", m.res.Epoch)
+	c.view.Apply(m.txn, m.res.Revision)
+	slog.Info("leader", "token", m.res.Revision)
 	c.setShare(true)
-	c.leading = newLeadership(c, m.res.Epoch)
+	c.leading = newLeader(c, m.res.Revision)
 }
 
 func (c *controller) stepDown(why string) {
--- a/internal/node/hosting.go
+++ b/internal/controller/hosting.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"log/slog"
@@ -8,8 +8,8 @@
 
 	"go.opentelemetry.io/otel/attribute"
 
+	"woadweir/internal/core/autoscaler"
 	"woadweir/internal/core/model"
-	"woadweir/internal/core/slack"
 	"woadweir/internal/spill"
 )
 
@@ -36,7 +36,7 @@
 	}
 	s.hostings[key] = spill.NewHosting(record, l.c.now)
 	if l.block.Jobs[job] == nil {
-		guest := record.Spec.Job(l.c.view.Stamps[key])
+		guest := record.Spec.Job(l.c.view.Revisions[key])
 		guest.Priority = model.LowPriority // this cell's own work comes first
 		l.block.AddGuest(guest, record.Home, model.SetOf(record.Done), l.c.now)
 	}
@@ -146,10 +146,10 @@
 		}
 		if js != nil && js.UnknownToWorkers {
 			s.noteUnknown(key)
-			hosting.GiveBack()
+			hosting.ScaleIn()
 		}
 		if hosting.GivingBack() && !hosting.IsReturned() && !bound {
-			s.giveBack(key)
+			s.scaleIn(key)
 		}
 	}
 }
@@ -168,9 +168,9 @@
 	return !known && hosting.Phase(s.withhold(), s.l.c.now) == spill.Stopped
 }
 
-// giveBack has a return made durable: from then on no holder of this cell starts anything
+// scaleIn has a return made durable: from then on no holder of this cell starts anything
 // of the job under this token.
-func (s *spiller) giveBack(key string) {
+func (s *spiller) scaleIn(key string) {
 	record := *s.l.c.view.LentIn[key]
 	record.State = spill.Returned
 	if _, pending := s.changes[key]; !pending {
@@ -388,7 +388,7 @@
 		}
 		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{false, true} {
-				at, refused := s.refused[slack.Offer{MachineType: name, Zone: zone, Spot: spot}]
+				at, refused := s.refused[autoscaler.Offer{MachineType: name, Zone: zone, Spot: spot}]
 				if spec.Allows(name, zone, spot) && (!refused || s.l.c.now-at > refusalQuiet) {
 					return true
 				}
--- a/internal/node/intents.go
+++ b/internal/controller/intents.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"go.opentelemetry.io/otel/attribute"
 
 	"woadweir/internal/cloud"
+	"woadweir/internal/core/autoscaler"
 	"woadweir/internal/core/model"
-	"woadweir/internal/core/slack"
 	"woadweir/internal/duty"
 	"woadweir/internal/state"
 	"woadweir/internal/tracing"
@@ -47,7 +47,7 @@
 
 // decideRental has machines rented through an intent. Until its outcome is known they
 // count as under way.
-func (l *leadership) decideRental(rental cloud.Rental) {
+func (l *leader) decideRental(rental cloud.Rental) {
 	span := tracing.Start("", "intent", attribute.String("request", rental.RequestID), attribute.Int("count", rental.Count))
 	l.intents.queue = append(l.intents.queue, &intentDraft{span: span, rental: &duty.Rental{Request: rental.RequestID, MachineType: rental.MachineType,
 		Zone: rental.Zone, Spot: rental.Spot, Count: rental.Count, Grant: l.token, State: duty.Open, Trace: span.Context()}})
@@ -56,7 +56,7 @@
 // extendRental adds machines to a rental that is decided, but was not written yet, if
 // there is one of the same kind. Else the requests would pile up, one each round, where
 // the state service bears few changes.
-func (l *leadership) extendRental(r slack.Rental, count int) bool {
+func (l *leader) extendRental(r autoscaler.Rental, count int) bool {
 	for _, d := range l.intents.queue {
 		if d.rental == nil || d.key != "" || d.rental.MachineType != r.MachineType || d.rental.Zone != r.Zone || d.rental.Spot != r.Spot ||
 			d.rental.Count+count > duty.RentAtMost(l.c.maxValue()) {
@@ -73,7 +73,7 @@
 
 // decideReturn has machines returned through intents, if possible with those that were
 // decided before and not written yet.
-func (l *leadership) decideReturn(machines []string) {
+func (l *leader) decideReturn(machines []string) {
 	for _, d := range l.intents.queue {
 		if d.ret != nil && d.key == "" {
 			fit := min(len(machines), duty.ReturnAtMost(l.c.maxValue())-len(d.ret.Machines))
@@ -90,7 +90,7 @@
 }
 
 // recorded tells that the view shows a draft as carried out.
-func (l *leadership) recorded(d *intentDraft) bool {
+func (l *leader) recorded(d *intentDraft) bool {
 	if d.key == "" {
 		return false
 	}
@@ -103,7 +103,7 @@
 }
 
 // open notes that a draft is durable: its outcome is waited for.
-func (l *leadership) open(d *intentDraft) {
+func (l *leader) open(d *intentDraft) {
 	d.span.End("")
 	if d.rental != nil {
 		l.intents.rentals[d.rental.Request] = d.key
@@ -114,7 +114,7 @@
 }
 
 // freeSlot finds a key for a draft: one whose intent is finished, or a new one.
-func (l *leadership) freeSlot(d *intentDraft, taken map[string]bool) string {
+func (l *leader) freeSlot(d *intentDraft, taken map[string]bool) string {
 	for k := 0; ; k++ {
 		key := duty.ReturnKey(k)
 		if d.rental != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-func (l *leadership) slotFree(key string) bool {
+func (l *leader) slotFree(key string) bool {
 	if r := l.c.view.Rentals[key]; r != nil {
 		at, seen := l.intents.finishedAt[key]
 		return r.State == duty.Refused || r.State == duty.Filled && seen && l.c.now-at >= duty.RetainRental
@@ -136,7 +136,7 @@
 }
 
 // writeIntents makes the leader's decisions durable, some at a time.
-func (l *leadership) writeIntents() {
+func (l *leader) writeIntents() {
 	c := l.c
 	if c.busy[laneIntent] || l.resync || c.now < c.pauses[laneIntent] || len(l.intents.queue) == 0 {
 		return
@@ -145,7 +145,7 @@
 	if most < 1 {
 		return
 	}
-	txn := &state.Txn{Guards: []state.Guard{{Path: "grant/" + blockName, Stamp: l.token}}}
+	txn := &state.Txn{Conditions: []state.Condition{{Path: "grant/" + blockName, Revision: l.token}}}
 	taken := map[string]bool{}
 	names := 0
 	for len(l.intents.queue) > 0 && len(txn.Then) < most && names <= maxTxnMachines {
@@ -166,7 +166,7 @@
 			op.Value = *d.ret
 			names += len(d.ret.Machines)
 		}
-		txn.Guards = append(txn.Guards, state.Guard{Path: d.key, Stamp: c.view.Stamps[d.key]})
+		txn.Conditions = append(txn.Conditions, state.Condition{Path: d.key, Revision: c.view.Revisions[d.key]})
 		txn.Then = append(txn.Then, op)
 		l.intents.inFlight = append(l.intents.inFlight, d)
 	}
@@ -179,12 +179,12 @@
 // maxTxnMachines keeps a transaction of return intents within the state service's limit.
 const maxTxnMachines = 1000
 
-func (l *leadership) intentsCommitted(m msgCommitted) {
+func (l *leader) intentsCommitted(m msgCommitted) {
 	c := l.c
 	drafts := l.intents.inFlight
 	l.intents.inFlight = nil
 	if m.err == nil && m.res.OK {
-		c.view.Apply(m.txn, m.res.Epoch)
+		c.view.Apply(m.txn, m.res.Revision)
 		for _, d := range drafts {
 			l.open(d)
 		}
@@ -203,7 +203,7 @@
 
 // takeOverIntents takes up what former leaders have decided: nothing more can be written
 // under their grants.
-func (l *leadership) takeOverIntents() {
+func (l *leader) takeOverIntents() {
 	view, now := l.c.view, l.c.now
 	for key, r := range view.Returns {
 		for _, machine := range r.Machines {
@@ -239,7 +239,7 @@
 }
 
 // adopt takes the machines of a filled rental intent into the fleet.
-func (l *leadership) adopt(r *duty.Rental) {
+func (l *leader) adopt(r *duty.Rental) {
 	for _, machine := range r.Machines {
 		if l.deletedMachines[machine] == 0 {
 			l.block.AddMachine(machine, r.MachineType, r.Zone, r.Spot, l.c.now)
@@ -248,7 +248,7 @@
 }
 
 // takeOutcomes takes note of the outcomes that the view shows.
-func (l *leadership) takeOutcomes() {
+func (l *leader) takeOutcomes() {
 	view := l.c.view
 	for request, key := range l.intents.rentals {
 		r := view.Rentals[key]
@@ -261,7 +261,7 @@
 		l.provisionSoon = true
 		slog.Info("rented", "request", request, "state", r.State, "type", r.MachineType, "zone", r.Zone, "spot", r.Spot, "machines", r.Machines)
 		if r.State == duty.Refused || len(r.Machines) < r.Count {
-			offer := slack.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot}
+			offer := autoscaler.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot}
 			l.spill.refused[offer] = l.c.now
 			l.provisioner.Refuse(offer, l.c.now)
 		}
@@ -282,7 +282,7 @@
 
 // rentalName makes the name of a request. The token is this leader's alone, so no other
 // process ever makes the same name.
-func (l *leadership) rentalName() string {
+func (l *leader) rentalName() string {
 	l.rentalCount++
 	return fmt.Sprintf("w%d-%d", l.token, l.rentalCount)
 }
--- a/internal/node/io.go
+++ b/internal/controller/io.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"cmp"
@@ -10,8 +10,8 @@
 	"time"
 
 	"woadweir/internal/cloud"
-	"woadweir/internal/core/block"
 	"woadweir/internal/core/model"
+	"woadweir/internal/core/shard"
 	"woadweir/internal/peer"
 	"woadweir/internal/state"
 )
@@ -63,8 +63,8 @@
 		if list {
 			v := state.NewView()
 			m.view = v
-			v.Epoch, m.err = io.state.List(2*syncPatience, func(e state.Entry) error {
-				_, err := v.Set(e.Path, e.Value, e.Stamp)
+			v.Revision, m.err = io.state.List(2*syncPatience, func(e state.Entry) error {
+				_, err := v.Set(e.Path, e.Value, e.Revision)
 				return err
 			})
 		} else {
@@ -198,14 +198,14 @@
 // holderTxn makes a holder's transaction: it is guarded by the grant, and every
 // key by the version of it that we know, so that a copy that is carried out
 // late changes nothing.
-func holderTxn(blk string, ws []block.Write, stamps map[string]uint64, grant state.Guard) *state.Txn {
-	t := &state.Txn{Guards: []state.Guard{grant}}
+func holderTxn(blk string, ws []shard.Write, stamps map[string]uint64, grant state.Condition) *state.Txn {
+	t := &state.Txn{Conditions: []state.Condition{grant}}
 	for _, w := range ws {
 		key := w.Key
 		if key == "" {
 			key = state.BundleKey(blk, w.Slot)
 		}
-		t.Guards = append(t.Guards, state.Guard{Path: key, Stamp: stamps[key]})
+		t.Conditions = append(t.Conditions, state.Condition{Path: key, Revision: stamps[key]})
 		t.Then = append(t.Then, state.Op{Set: key, Value: w.Value})
 	}
 	return t
--- a/internal/node/leading.go
+++ b/internal/controller/leader.go
@@ -1,13 +1,13 @@
-package node
+package controller
 
 import (
 	"errors"
 	"log/slog"
 
 	"woadweir/internal/cloud"
-	"woadweir/internal/core/block"
+	"woadweir/internal/core/autoscaler"
 	"woadweir/internal/core/model"
-	"woadweir/internal/core/slack"
+	"woadweir/internal/core/shard"
 	"woadweir/internal/state"
 )
 
@@ -23,7 +23,7 @@
 
 // pace is the pause after something that took so long, so that it gets no more
 // than a part of the processor's share.
-func (l *leadership) pace(took model.Micros, part float64) model.Micros {
+func (l *leader) pace(took model.Micros, part float64) model.Micros {
 	cores := l.c.set.Params.Quota.Cores
 	if cores <= 0 || cores > 1 {
 		cores = 1
@@ -37,17 +37,17 @@
 	allowsSpot bool
 }
 
-// leadership is what a controller has only while it leads. It is part of the
+// leader is what a controller has only while it leads. It is part of the
 // controller actor.
-type leadership struct {
+type leader struct {
 	c                *controller
 	token            uint64
 	ready            bool
 	resync           bool // a transaction failed: no further one before a catch-up
-	block            *block.State
+	block            *shard.State
 	pendingResponses []pendingResponse
 
-	provisioner      *slack.Provisioner
+	provisioner      *autoscaler.Provisioner
 	nextProvisioning model.Micros
 	provisionSoon    bool
 	lastProvisioning model.Micros
@@ -70,10 +70,10 @@
 	spill                                    *spiller
 }
 
-func newLeadership(c *controller, token uint64) *leadership {
-	p := slack.Defaults()
+func newLeader(c *controller, token uint64) *leader {
+	p := autoscaler.Defaults()
 	p.ExtraCapacityRate, p.Granularity, p.RefusedPause = float64(c.op.ExtraCapacityRate), int(c.op.Granularity), model.Seconds(float64(c.op.RefusedPauseS))
-	l := &leadership{c: c, token: token, provisioner: slack.New(p), pendingRentals: map[string]cloud.Rental{}, recentSizes: map[taskSize]model.Micros{},
+	l := &leader{c: c, token: token, provisioner: autoscaler.New(p), pendingRentals: map[string]cloud.Rental{}, recentSizes: map[taskSize]model.Micros{},
 		deletedMachines: map[string]model.Micros{}, missingFromLists: map[string]int{}, pendingDeletions: map[string]model.Micros{}, intents: newIntentLog()}
 	l.spill = newSpiller(l, c.op.Spill)
 	return l
@@ -81,10 +81,10 @@
 
 // takeOver builds the holder from a view that has everything that former
 // holders wrote: their transactions are shut out by the new grant.
-func (l *leadership) takeOver() {
+func (l *leader) takeOver() {
 	c := l.c
 	w := c.set.Params.Workers
-	l.block = block.New(block.Params{Teams: c.teams, Report: model.Seconds(w.ReportS), Lease: model.Seconds(w.LeaseS),
+	l.block = shard.New(shard.Params{Teams: c.teams, Report: model.Seconds(w.ReportS), Lease: model.Seconds(w.LeaseS),
 		GangWait: model.Seconds(w.GangWaitS), Margin: model.Second, MaxValue: c.maxValue(), Dense: c.dense(),
 		Waits: c.set.Waits(), Finish: c.set.Finish(), Deadlines: c.set.Deadlines(), Guarantee: c.set.Guarantee()}, l.token)
 	l.block.Log = logEvent
@@ -93,7 +93,7 @@
 	for ref := range c.view.Jobs {
 		l.jobNews(ref)
 	}
-	c.view.Machines(func(ref string, rec *block.MachineRecord) {
+	c.view.Machines(func(ref string, rec *shard.MachineRecord) {
 		m := l.block.AddMachine(ref, rec.MachineType, rec.Zone, rec.Spot, c.now)
 		m.Stored = true
 		for job, ps := range rec.Tasks {
@@ -118,7 +118,7 @@
 }
 
 // reload tells the holder of everything that a fresh listing has.
-func (l *leadership) reload() {
+func (l *leader) reload() {
 	if !l.ready {
 		return
 	}
@@ -129,7 +129,7 @@
 }
 
 // jobNews tells the holder what the view says of a job.
-func (l *leadership) jobNews(ref string) {
+func (l *leader) jobNews(ref string) {
 	j := l.c.view.Jobs[ref]
 	if j == nil || l.spill.isGuest(ref) {
 		return // unknown, or it begins when one of that name that another cell has lent is gone
@@ -153,7 +153,7 @@
 }
 
 // due tells that something is to be done again, and notes that it is done now.
-func (l *leadership) due(at *model.Micros, gap model.Micros) bool {
+func (l *leader) due(at *model.Micros, gap model.Micros) bool {
 	if *at != 0 && l.c.now-*at < gap {
 		return false
 	}
@@ -170,7 +170,7 @@
 	}
 	if l.due(&l.sweepAt, sweepGap) {
 		l.block.Tick(c.now)
-		l.returnUselessMachines()
+		l.releaseUnusableMachines()
 	}
 	l.takeOutcomes()
 	l.spill.applyRights()
@@ -193,7 +193,7 @@
 }
 
 // writeBindings makes the holder's changes durable, one transaction at a time.
-func (l *leadership) writeBindings() {
+func (l *leader) writeBindings() {
 	c := l.c
 	if c.busy[laneHolder] || l.resync || c.now < c.pauses[laneHolder] || l.block.Queued() == 0 {
 		return
@@ -208,12 +208,12 @@
 		return
 	}
 	for i := range ws {
-		if end, ok := ws[i].Value.(block.JobRecord); ok {
+		if end, ok := ws[i].Value.(shard.JobRecord); ok {
 			end.AtMs = c.wall()
 			ws[i].Value = end
 		}
 	}
-	t := holderTxn(blockName, ws, c.view.Stamps, state.Guard{Path: "grant/" + blockName, Stamp: l.token})
+	t := holderTxn(blockName, ws, c.view.Revisions, state.Condition{Path: "grant/" + blockName, Revision: l.token})
 	c.send(laneHolder, msgCommitted{txn: t, writes: ws, token: l.token})
 }
 
@@ -221,12 +221,12 @@
 // for keys and guards.
 const maxTxnBytes = 48 << 10
 
-func (l *leadership) committed(m msgCommitted) {
+func (l *leader) committed(m msgCommitted) {
 	c := l.c
 	switch m.lane {
 	case laneMisc:
 		if m.err == nil && m.res.OK {
-			c.view.Apply(m.txn, m.res.Epoch)
+			c.view.Apply(m.txn, m.res.Revision)
 		}
 		return
 	case laneIntent:
@@ -244,13 +244,13 @@
 			l.block.Params.MaxValue = c.maxValue()
 			l.block.Recut(m.writes)
 		} else {
-			l.block.Retry(m.writes, !state.NotDone(m.err))
+			l.block.Retry(m.writes, !state.NotExecuted(m.err))
 		}
 		if c.writeFailed(m) {
 			l.needSync()
 		}
 	case m.res.OK:
-		c.view.Apply(m.txn, m.res.Epoch)
+		c.view.Apply(m.txn, m.res.Revision)
 		l.block.Committed(m.writes, c.now)
 	default:
 		slog.Info("conflict", "keys", m.res.Failed)
@@ -263,13 +263,13 @@
 	}
 }
 
-func (l *leadership) needSync() {
+func (l *leader) needSync() {
 	l.c.needSync(&l.resync)
 }
 
 // place runs a placement round if one is due. On a large fleet reports come much
 // faster than rounds can be had: a round then serves many of them.
-func (l *leadership) place() {
+func (l *leader) place() {
 	c := l.c
 	if !l.block.NeedsPlacement || !l.due(&l.placeAt, l.placeGap) {
 		return
--- a/internal/node/messages.go
+++ b/internal/controller/messages.go
@@ -1,10 +1,10 @@
-package node
+package controller
 
 import (
 	"woadweir/internal/cloud"
-	"woadweir/internal/core/block"
+	"woadweir/internal/core/autoscaler"
 	"woadweir/internal/core/model"
-	"woadweir/internal/core/slack"
+	"woadweir/internal/core/shard"
 	"woadweir/internal/state"
 	"woadweir/internal/userapi"
 )
@@ -12,8 +12,8 @@
 // The messages that the controller actor takes. Whoever sends one with a reply
 // channel gives it a buffer of one, so that the actor never waits.
 type (
-	// msgStatusQuery, msgSubmit and msgCancel are users' requests.
-	msgStatusQuery struct {
+	// msgStatusRequest, msgSubmit and msgCancel are users' requests.
+	msgStatusRequest struct {
 		ref   string
 		reply chan<- userapi.Answer
 	}
@@ -29,9 +29,9 @@
 	}
 	// msgUp is a health check.
 	msgUp struct{ reply chan<- bool }
-	// msgReport is a worker's report.
-	msgReport struct {
-		report *block.Report
+	// msgHeartbeat is a worker's report.
+	msgHeartbeat struct {
+		report *shard.Report
 		reply  chan<- workerAnswer
 		// relayed tells that it came through a sibling.
 		relayed bool
@@ -55,7 +55,7 @@
 		lane   int
 		res    *state.Result
 		err    error
-		writes []block.Write
+		writes []shard.Write
 		users  []userWrite
 		txn    *state.Txn
 		token  uint64 // the grant it ran under
@@ -72,7 +72,7 @@
 	}
 	msgRented struct {
 		rental   cloud.Rental
-		offer    slack.Offer
+		offer    autoscaler.Offer
 		machines []string
 		err      error
 		term     uint64
--- a/internal/node/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"errors"
@@ -6,9 +6,9 @@
 	"log/slog"
 
 	"woadweir/internal/cloud"
+	"woadweir/internal/core/autoscaler"
 	"woadweir/internal/core/model"
-	"woadweir/internal/core/place"
-	"woadweir/internal/core/slack"
+	"woadweir/internal/core/placement"
 	"woadweir/internal/duty"
 	"woadweir/internal/state"
 )
@@ -23,7 +23,7 @@
 	forgetTaskSize  = 180 * model.Second
 )
 
-func (l *leadership) gotMachineTypes(m msgMachineTypes) {
+func (l *leader) gotMachineTypes(m msgMachineTypes) {
 	c := l.c
 	l.machineTypesBusy = false
 	if m.err != nil || len(m.builds) == 0 {
@@ -43,7 +43,7 @@
 		for len(rec.MachineTypes) > 0 && !c.fits(rec) {
 			rec.MachineTypes = rec.MachineTypes[:len(rec.MachineTypes)-1]
 		}
-		t := &state.Txn{Guards: []state.Guard{{Path: "leader", Stamp: c.view.Stamps["leader"]}, {Path: "flavors", Stamp: c.view.Stamps["flavors"]}},
+		t := &state.Txn{Conditions: []state.Condition{{Path: "leader", Revision: c.view.Revisions["leader"]}, {Path: "flavors", Revision: c.view.Revisions["flavors"]}},
 			Then: []state.Op{{Set: "flavors", Value: rec}}}
 		c.send(laneMisc, msgCommitted{txn: t, token: l.token})
 	}
@@ -158,7 +158,7 @@
 }
 
 // machineGone takes note of a confirmed deletion.
-func (l *leadership) machineGone(machine string) {
+func (l *leader) machineGone(machine string) {
 	delete(l.pendingDeletions, machine)
 	l.deletedMachines[machine] = l.c.now
 	l.block.MachineDeleted(machine, "deleted", l.c.now)
@@ -166,11 +166,11 @@
 }
 
 // cloudOK tells whether the cloud answered last.
-func (l *leadership) cloudOK() bool { return l.cloudGood > l.cloudBad }
+func (l *leader) cloudOK() bool { return l.cloudGood > l.cloudBad }
 
-// returnMachine decides that a machine is returned. There is no way back: a deletion
+// releaseMachine decides that a machine is returned. There is no way back: a deletion
 // that got no answer may still be carried out.
-func (l *leadership) returnMachine(h *model.Machine, why string) {
+func (l *leader) releaseMachine(h *model.Machine, why string) {
 	if h.Deleting {
 		return
 	}
@@ -182,7 +182,7 @@
 // lists is how many lists in a row have to lack a machine until it is taken to
 // be gone. What has been listed stays listed until it is gone, but a list may be
 // older than the one before it, so a young machine may be missing from one.
-func (l *leadership) lists(h *model.Machine) int {
+func (l *leader) lists(h *model.Machine) int {
 	if l.c.now-h.RentedAt > 5*model.Seconds(l.c.set.Params.Cloud.ListLagS) {
 		return 1
 	}
@@ -192,7 +192,7 @@
 // fewUnreachable tells that few machines do not receive our answers. When many don't, the
 // fault may be ours, as when this controller falls behind, and returning them all would
 // be worse than any of it.
-func (l *leadership) fewUnreachable() bool {
+func (l *leader) fewUnreachable() bool {
 	unreachable := 0
 	for _, h := range l.block.Machines {
 		if h.UnansweredSince != 0 {
@@ -202,8 +202,8 @@
 	return unreachable <= max(1, len(l.block.Machines)/4)
 }
 
-// returnUselessMachines returns machines that are of no use, and sends deletions.
-func (l *leadership) returnUselessMachines() {
+// releaseUnusableMachines returns machines that are of no use, and sends deletions.
+func (l *leader) releaseUnusableMachines() {
 	c := l.c
 	fewUnreachable := l.fewUnreachable()
 	for ref, h := range l.block.Machines {
@@ -212,17 +212,17 @@
 		switch {
 		case h.Deleting:
 		case h.Failed:
-			l.returnMachine(h, "failed")
+			l.releaseMachine(h, "failed")
 		case l.missingFromLists[ref] >= l.lists(h) && silent > l.block.ReportOverdue():
-			l.returnMachine(h, "not listed any more")
+			l.releaseMachine(h, "not listed any more")
 		case h.Up && h.Lost && silent > l.block.LeaseExpiry()+5*model.Second:
-			l.returnMachine(h, "silent")
+			l.releaseMachine(h, "silent")
 		case fewUnreachable && l.block.Unreachable(h, c.now):
-			l.returnMachine(h, "does not hear")
+			l.releaseMachine(h, "does not hear")
 		case h.Draining && len(h.Bindings) == 0:
-			l.returnMachine(h, "not wanted")
+			l.releaseMachine(h, "not wanted")
 		case !h.Up && f != nil && len(h.Bindings) == 0 && silent > max(model.Seconds(f.BootS*l.provisioner.Params.FailedAfterBoots), 60*model.Second):
-			l.returnMachine(h, "never came up")
+			l.releaseMachine(h, "never came up")
 		}
 	}
 	l.forgetDeleted()
@@ -230,7 +230,7 @@
 }
 
 // forgetDeleted forgets machines that were deleted long ago.
-func (l *leadership) forgetDeleted() {
+func (l *leader) forgetDeleted() {
 	for ref, at := range l.deletedMachines {
 		if _, returning := l.pendingDeletions[ref]; !returning && l.c.now-at > forgetMachine {
 			delete(l.deletedMachines, ref)
@@ -242,7 +242,7 @@
 const deleteAtMost = 100
 
 // sendDeletions sends the deletions that are due, or has them sent.
-func (l *leadership) sendDeletions() {
+func (l *leader) sendDeletions() {
 	c := l.c
 	var refs []string
 	for ref, at := range l.pendingDeletions {
@@ -270,7 +270,7 @@
 const deletionSent model.Micros = -1
 
 // provision is a round of the renting loop.
-func (l *leadership) provision() {
+func (l *leader) provision() {
 	c := l.c
 	l.lastProvisioning, l.nextProvisioning, l.provisionSoon = c.now, c.now+model.Seconds(float64(c.op.LoopPeriodS)), false
 	if len(l.block.MachineTypes) == 0 || l.seenLists == 0 {
@@ -290,8 +290,8 @@
 			l.rent(r, out.Unplaced)
 		}
 	}
-	for _, h := range out.GiveBack {
-		l.returnMachine(h, "idle")
+	for _, h := range out.ScaleIn {
+		l.releaseMachine(h, "idle")
 	}
 	for _, h := range out.Vacate {
 		l.block.Vacate(h, c.now)
@@ -302,11 +302,11 @@
 }
 
 // provisioningInput is what a round of the renting loop looks at.
-func (l *leadership) provisioningInput() *slack.Input {
+func (l *leader) provisioningInput() *autoscaler.Input {
 	c := l.c
 	w := l.block.World(c.now)
 	w.Sort()
-	in := &slack.Input{Now: c.now, Machines: w.Machines, MachineTypes: l.block.MachineTypes, CloudOK: l.cloudOK(), OrdinaryPriority: model.ProductionPriority}
+	in := &autoscaler.Input{Now: c.now, Machines: w.Machines, MachineTypes: l.block.MachineTypes, CloudOK: l.cloudOK(), OrdinaryPriority: model.ProductionPriority}
 	l.addPendingRentals(in)
 	l.addWaitingWork(in, w)
 	l.addTaskSizes(in)
@@ -314,7 +314,7 @@
 }
 
 // addPendingRentals counts the machines that are asked for as if they were there.
-func (l *leadership) addPendingRentals(in *slack.Input) {
+func (l *leader) addPendingRentals(in *autoscaler.Input) {
 	for hire, r := range l.pendingRentals {
 		for k := range r.Count {
 			in.Machines = append(in.Machines, &model.Machine{ID: fmt.Sprintf("~%s-%d", hire, k), MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot,
@@ -324,7 +324,7 @@
 }
 
 // addWaitingWork adds the tasks that wait and that their teams' limits allow to start.
-func (l *leadership) addWaitingWork(in *slack.Input, w *place.World) {
+func (l *leader) addWaitingWork(in *autoscaler.Input, w *placement.World) {
 	c := l.c
 	room := map[string]model.Resources{}
 	for _, t := range c.teams {
@@ -349,13 +349,13 @@
 		}
 		room[j.Team] = room[j.Team].Minus(need.Times(k))
 		if k > 0 {
-			in.Waiting = append(in.Waiting, slack.Demand{Job: j, Count: k})
+			in.Waiting = append(in.Waiting, autoscaler.Demand{Job: j, Count: k})
 		}
 	}
 }
 
 // addTaskSizes adds the sizes of tasks that were asked for lately.
-func (l *leadership) addTaskSizes(in *slack.Input) {
+func (l *leader) addTaskSizes(in *autoscaler.Input) {
 	for z, at := range l.recentSizes {
 		if l.c.now-at > forgetTaskSize {
 			delete(l.recentSizes, z)
@@ -371,7 +371,7 @@
 }
 
 // rent asks for machines, or has them asked for.
-func (l *leadership) rent(r slack.Rental, unplaced int) {
+func (l *leader) rent(r autoscaler.Rental, unplaced int) {
 	throughIntents := l.c.actsThroughIntents()
 	most := r.Count
 	if throughIntents {
@@ -388,6 +388,6 @@
 			l.decideRental(rental)
 			continue
 		}
-		l.c.io.rent(msgRented{rental: rental, offer: slack.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot}, term: l.token})
+		l.c.io.rent(msgRented{rental: rental, offer: autoscaler.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot}, term: l.token})
 	}
 }
--- a/internal/node/relay.go
+++ b/internal/controller/relay.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"woadweir/internal/core/model"
@@ -106,7 +106,7 @@
 	return a
 }
 
-func (c *controller) report(m msgReport) {
+func (c *controller) report(m msgHeartbeat) {
 	leads := c.leading != nil
 	if leads && !m.relayed {
 		if to := c.sendOn(m.report.Machine); to != "" {
@@ -140,12 +140,12 @@
 
 // Report answers a report that a sibling hands on.
 func (f *front) Report(body []byte) (code int, answer []byte) {
-	r, err := workerapi.ParseReport(body)
+	r, err := workerapi.ParseHeartbeat(body)
 	if err != nil {
 		return 400, userapi.Error(400, err.Error(), 0).Body
 	}
 	reply := make(chan workerAnswer, 1)
-	a, got := ask(f.mail, msgReport{report: r, reply: reply, relayed: true}, reply, patienceRelay)
+	a, got := ask(f.mail, msgHeartbeat{report: r, reply: reply, relayed: true}, reply, patienceRelay)
 	if !got {
 		return 503, []byte("{}")
 	}
--- a/internal/node/responses.go
+++ b/internal/controller/responses.go
@@ -1,28 +1,28 @@
-package node
+package controller
 
 import (
-	"woadweir/internal/core/block"
 	"woadweir/internal/core/model"
+	"woadweir/internal/core/shard"
 	"woadweir/internal/workerapi"
 )
 
 // report takes a worker's report. The response may wait a moment for bindings that the
 // report made possible.
-func (l *leadership) report(m msgReport) {
+func (l *leader) report(m msgHeartbeat) {
 	c := l.c
 	if l.deletedMachines[m.report.Machine] != 0 {
 		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
 		return
 	}
-	switch l.block.ApplyReport(m.report, c.now) {
-	case block.Stale:
+	switch l.block.ApplyHeartbeat(m.report, c.now) {
+	case shard.Stale:
 		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
 		return
-	case block.Deposed:
+	case shard.Deposed:
 		c.afterSync(func(bool) {})
 		m.reply <- workerAnswer{code: 421, body: workerapi.Elsewhere("")}
 		return
-	case block.Introduced:
+	case shard.Introduced:
 		m.reply <- workerAnswer{code: 200, body: workerapi.Answer(l.token, nil)}
 		return
 	}
@@ -45,7 +45,7 @@
 // awaits tells whether the response to a machine's report had better wait: for its
 // bindings to be durable, for the round that may give it some, or for the right to run
 // lent tasks.
-func (l *leadership) awaits(ref string) bool {
+func (l *leader) awaits(ref string) bool {
 	if l.block.Pending(ref) || l.spill.withheld(ref) {
 		return true
 	}
@@ -53,14 +53,14 @@
 	return l.block.NeedsPlacement && m != nil && m.HasNews
 }
 
-func (l *leadership) respond(m msgReport) {
+func (l *leader) respond(m msgHeartbeat) {
 	h := l.block.Machines[m.report.Machine]
 	l.spill.applyRights()
 	if l.spill.withheld(m.report.Machine) {
 		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
 		return
 	}
-	if h == nil || h.WorkerSession != m.report.Session || h.Sequence != m.report.Sequence || h.Deleting || !l.c.auth.Holds(l.c.now) {
+	if h == nil || h.Incarnation != m.report.Session || h.Sequence != m.report.Sequence || h.Deleting || !l.c.auth.Holds(l.c.now) {
 		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // answerPending answers reports whose bindings are durable, or that waited enough.
-func (l *leadership) answerPending(all bool) {
+func (l *leader) answerPending(all bool) {
 	if len(l.pendingResponses) == 0 {
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/controller/server.go
@@ -1,6 +1,6 @@
-// Package node wires a controller: sockets and timers round the core, and the
+// Package controller wires a controller: sockets and timers round the core, and the
 // actors that own the state.
-package node
+package controller
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"woadweir/internal/cellrpc"
 	"woadweir/internal/cloud"
 	"woadweir/internal/config"
-	"woadweir/internal/core/block"
 	"woadweir/internal/core/model"
+	"woadweir/internal/core/shard"
 	"woadweir/internal/peer"
 	"woadweir/internal/state"
 	"woadweir/internal/tracing"
@@ -211,7 +211,7 @@
 // User answers a user's request by what this controller itself knows.
 func (f *front) User(method, path string, body []byte) userapi.Answer {
 	route, ref := userapi.Parse(method, path)
-	if (route == userapi.Poll || route == userapi.Withdraw) && !model.ValidJobID(ref) {
+	if (route == userapi.Poll || route == userapi.Cancel) && !model.ValidJobID(ref) {
 		return userapi.Error(404, "no such job", 0)
 	}
 	reply := make(chan userapi.Answer, 1)
@@ -229,8 +229,8 @@
 		}
 		return askUser(f.mail, msgSubmit{ref, sub, err, reply}, reply, patienceUser)
 	case userapi.Poll:
-		return askUser(f.mail, msgStatusQuery{ref, reply}, reply, patiencePoll)
-	case userapi.Withdraw:
+		return askUser(f.mail, msgStatusRequest{ref, reply}, reply, patiencePoll)
+	case userapi.Cancel:
 		return askUser(f.mail, msgCancel{ref, reply}, reply, patienceUser)
 	}
 	return userapi.Error(404, "no such page", 0)
@@ -238,13 +238,13 @@
 
 func (f *front) checkin(rc *fasthttp.RequestCtx) {
 	body := rc.PostBody()
-	r, err := workerapi.ParseReport(body)
+	r, err := workerapi.ParseHeartbeat(body)
 	if err != nil {
 		answer(rc, userapi.Error(400, err.Error(), 0))
 		return
 	}
 	reply := make(chan workerAnswer, 1)
-	a, got := ask(f.mail, msgReport{report: r, reply: reply}, reply, patienceWorker)
+	a, got := ask(f.mail, msgHeartbeat{report: r, reply: reply}, reply, patienceWorker)
 	if !got {
 		answer(rc, userapi.Error(503, "busy", 1))
 		return
@@ -310,7 +310,7 @@
 }
 
 // logEvent writes a decision of the core.
-func logEvent(e block.Event) {
+func logEvent(e shard.Event) {
 	if !slog.Default().Enabled(context.Background(), slog.LevelInfo) {
 		return
 	}
--- a/internal/node/session.go
+++ b/internal/controller/session.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"log/slog"
 	"time"
 
-	"woadweir/internal/core/lead"
+	"woadweir/internal/core/leadership"
 	"woadweir/internal/core/model"
 	"woadweir/internal/state"
 )
@@ -44,7 +44,7 @@
 }
 
 func (s *session) run(ctx context.Context) error {
-	core := lead.NewSession(s.ttl)
+	core := leadership.NewSession(s.ttl)
 	for {
 		call := core.Next()
 		if !pause(ctx, call.After) {
@@ -65,7 +65,7 @@
 		if !news.Any {
 			continue
 		}
-		if call.Kind != lead.CallTouch || news.ID == 0 {
+		if call.Kind != leadership.CallTouch || news.ID == 0 {
 			slog.Info("session", "id", news.ID)
 		}
 		select {
@@ -77,39 +77,39 @@
 }
 
 // make carries a request of the session out.
-func (s *session) make(call lead.Call) (r lead.Reply, err error) {
+func (s *session) make(call leadership.Call) (r leadership.Reply, err error) {
 	patience := min(s.ttl/5, 2*model.Second)
 	key := "node/" + s.name
 	switch call.Kind {
-	case lead.CallRead:
+	case leadership.CallRead:
 		var e *state.Entry
 		if e, err = s.state.Get(key, patience); err == nil {
 			var rec state.NodeRecord
 			if err := json.Unmarshal(e.Value, &rec); err != nil {
 				slog.Error("node key is not readable", "err", err)
 			}
-			r.ID, r.Stamp = rec.Session, e.Stamp
+			r.ID, r.Revision = rec.Session, e.Revision
 		}
-	case lead.CallEnd:
+	case leadership.CallEnd:
 		err = s.state.End(call.ID, patience)
-	case lead.CallGrant:
+	case leadership.CallGrant:
 		r.ID, err = s.state.Grant(s.ttl, patience)
-	case lead.CallPut:
+	case leadership.CallPut:
 		var res *state.Result
-		res, err = s.state.Commit(&state.Txn{Guards: []state.Guard{{Path: key, Stamp: call.Stamp}},
-			Then: []state.Op{{Set: key, Value: state.NodeRecord{Session: call.ID, Serve: s.serve, Layout: state.Layout(s.spills), Duties: s.duties}, Tenancy: call.ID}}}, patience)
+		res, err = s.state.Commit(&state.Txn{Conditions: []state.Condition{{Path: key, Revision: call.Revision}},
+			Then: []state.Op{{Set: key, Value: state.NodeRecord{Session: call.ID, Serve: s.serve, Layout: state.Layout(s.spills), Duties: s.duties}, LeaseID: call.ID}}}, patience)
 		if err == nil && !res.OK {
-			r.Outcome = lead.Conflict
+			r.Outcome = leadership.Conflict
 		}
-	case lead.CallTouch:
+	case leadership.CallTouch:
 		err = s.state.Touch(call.ID, patience)
 	}
 	switch {
 	case err == nil:
 	case errors.Is(err, state.ErrMissing):
-		r.Outcome = lead.Missing
+		r.Outcome = leadership.Missing
 	default:
-		r.Outcome = lead.Unclear
+		r.Outcome = leadership.Unclear
 	}
 	return r, err
 }
--- a/internal/node/spill.go
+++ b/internal/controller/spill.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"log/slog"
@@ -7,8 +7,8 @@
 
 	"go.opentelemetry.io/otel/attribute"
 
+	"woadweir/internal/core/autoscaler"
 	"woadweir/internal/core/model"
-	"woadweir/internal/core/slack"
 	"woadweir/internal/spill"
 	"woadweir/internal/state"
 	"woadweir/internal/tracing"
@@ -42,7 +42,7 @@
 // spiller is a leader's part in spilling: what it has lent to other cells and what others
 // have lent to it. It is part of the controller actor.
 type spiller struct {
-	l        *leadership
+	l        *leader
 	policy   *spill.Policy // nil: nothing new is lent or taken, what is there drains
 	lendings map[string]*spill.Lending
 	hostings map[string]*spill.Hosting // by key of the record
@@ -56,16 +56,16 @@
 	reserved    map[string]reservation  // by job
 	unknown     map[string]model.Micros // when workers last did not know a job, by key
 	recallAt    model.Micros
-	refused     map[slack.Offer]model.Micros // when the cloud last had no capacity of it
+	refused     map[autoscaler.Offer]model.Micros // when the cloud last had no capacity of it
 	stepAt      model.Micros
 	candidateAt model.Micros
 	complained  map[string]bool // neighbours whose settings do not fit, as logged
 }
 
-func newSpiller(l *leadership, policy *spill.Policy) *spiller {
+func newSpiller(l *leader, policy *spill.Policy) *spiller {
 	return &spiller{l: l, policy: policy, lendings: map[string]*spill.Lending{}, hostings: map[string]*spill.Hosting{}, changes: map[string]spillChange{},
 		contacts: map[string]*spill.Contact{}, probing: map[string]bool{}, renewals: map[string]*renewalState{}, complained: map[string]bool{},
-		reserved: map[string]reservation{}, unknown: map[string]model.Micros{}, refused: map[slack.Offer]model.Micros{}}
+		reserved: map[string]reservation{}, unknown: map[string]model.Micros{}, refused: map[autoscaler.Offer]model.Micros{}}
 }
 
 // enabled tells whether jobs may be lent and taken: the operators want it, every
@@ -132,7 +132,7 @@
 		return
 	}
 	n := min(c.limits.TxnOps, c.budget.Left(c.now))
-	txn := &state.Txn{Guards: []state.Guard{{Path: "grant/" + blockName, Stamp: s.l.token}}}
+	txn := &state.Txn{Conditions: []state.Condition{{Path: "grant/" + blockName, Revision: s.l.token}}}
 	for _, key := range sortedKeys(s.changes) {
 		change := s.changes[key]
 		if s.settled(key, change) {
@@ -143,9 +143,9 @@
 		if len(txn.Then) >= n {
 			break
 		}
-		txn.Guards = append(txn.Guards, state.Guard{Path: key, Stamp: c.view.Stamps[key]})
+		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: c.view.Revisions[key]})
 		if change.job != "" {
-			txn.Guards = append(txn.Guards, state.Guard{Path: jobPrefix + change.job, Stamp: c.view.Stamps[jobPrefix+change.job]})
+			txn.Conditions = append(txn.Conditions, state.Condition{Path: jobPrefix + change.job, Revision: c.view.Revisions[jobPrefix+change.job]})
 		}
 		if change.value == nil {
 			txn.Then = append(txn.Then, state.Op{Drop: key})
@@ -174,7 +174,7 @@
 		record := view.LentIn[key]
 		return record != nil && record.Token == value.Token && record.State == value.State
 	default:
-		_, exists := view.Stamps[key]
+		_, exists := view.Revisions[key]
 		return !exists
 	}
 }
@@ -183,7 +183,7 @@
 func (s *spiller) committed(m msgCommitted) {
 	c := s.l.c
 	if m.err == nil && m.res.OK {
-		c.view.Apply(m.txn, m.res.Epoch)
+		c.view.Apply(m.txn, m.res.Revision)
 		for _, op := range m.txn.Then {
 			key := op.Set + op.Drop // one of them is empty
 			if change, pending := s.changes[key]; pending && s.settled(key, change) {
--- a/internal/node/users.go
+++ b/internal/controller/users.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
-	"woadweir/internal/core/block"
 	"woadweir/internal/core/model"
+	"woadweir/internal/core/shard"
 	"woadweir/internal/state"
 	"woadweir/internal/userapi"
 )
@@ -53,7 +53,7 @@
 // view with the state service, however many they are, so that reads stay linearizable at
 // a cost that does not grow with them. Users may ask many times as often as they used to:
 // what is too much to be held is refused at once.
-func (c *controller) statusQuery(m msgStatusQuery) {
+func (c *controller) statusQuery(m msgStatusRequest) {
 	switch _, ended := c.view.Final(m.ref); {
 	case ended:
 		// An end never changes: it may be told at any time.
@@ -149,7 +149,7 @@
 		c.refuseUnknown(m, 422, why)
 		return
 	}
-	if !c.fits(block.JobRecord{Spec: m.sub, End: state.Withdrawn}) {
+	if !c.fits(shard.JobRecord{Spec: m.sub, End: state.Cancelled}) {
 		c.refuseUnknown(m, 422, "too large")
 		return
 	}
@@ -270,7 +270,7 @@
 				u.answer(userapi.Error(400, err.Error(), 0))
 				continue
 			}
-			bytes, value = len(raw), block.JobRecord{Spec: u.sub}
+			bytes, value = len(raw), shard.JobRecord{Spec: u.sub}
 		} else {
 			bytes, value = 600, c.cancelledRecord(c.view.Jobs[u.ref].Submission)
 		}
@@ -281,11 +281,11 @@
 		taken[u.ref] = true
 		size += bytes + 200
 		key := jobPrefix + u.ref
-		g := state.Guard{Path: key}
+		g := state.Condition{Path: key}
 		if u.sub == nil {
-			g.Stamp = c.view.Stamps[key]
+			g.Revision = c.view.Revisions[key]
 		}
-		t.Guards = append(t.Guards, g)
+		t.Conditions = append(t.Conditions, g)
 		t.Then = append(t.Then, state.Op{Set: key, Value: value})
 		batch = append(batch, u)
 	}
@@ -299,8 +299,8 @@
 // withdrawn is the record of a withdrawn job. What is kept of the submission has to
 // fit, even if a larger one could be written when it was accepted: what counts is
 // what may still be on machines.
-func (c *controller) cancelledRecord(sub *model.Submission) block.JobRecord {
-	rec := block.JobRecord{Spec: sub, End: state.Withdrawn}
+func (c *controller) cancelledRecord(sub *model.Submission) shard.JobRecord {
+	rec := shard.JobRecord{Spec: sub, End: state.Cancelled}
 	if !c.fits(rec) {
 		slim := *sub
 		slim.Class, slim.Image, slim.MachineTypes, slim.Awaits = "-", "-", nil, nil
@@ -333,7 +333,7 @@
 	case m.res.OK:
 		for i := range m.users {
 			u := &m.users[i]
-			c.view.Put(m.txn.Then[i].Set, m.txn.Then[i].Value, m.res.Epoch)
+			c.view.Put(m.txn.Then[i].Set, m.txn.Then[i].Value, m.res.Revision)
 			if u.sub != nil {
 				u.answer(userapi.Accepted(201, u.ref, "pending"))
 			} else {
--- a/internal/core/slack/slack.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -1,7 +1,7 @@
-// Package slack is the renting loop after "Resource Slack": placeholders that
+// Package autoscaler is the renting loop after "Resource Slack": placeholders that
 // live only in the leader reserve room for tasks to come, real tasks push them
 // out, and what finds no room has machines rented.
-package slack
+package autoscaler
 
 import (
 	"cmp"
@@ -57,8 +57,8 @@
 
 // Output is what a round decides.
 type Output struct {
-	Rent     []Rental
-	GiveBack []*model.Machine
+	Rent    []Rental
+	ScaleIn []*model.Machine
 	// Vacate are machines whose tasks have room elsewhere and are to move there.
 	Vacate []*model.Machine
 	// Surplus are ordinary machines that nothing needs which has to be on one: they are
@@ -99,7 +99,7 @@
 
 // usable tells whether a machine can be counted on for work.
 func (l *Provisioner) usable(h *model.Machine, f *model.MachineType, now model.Micros) bool {
-	if h.Lost || h.Draining || h.Deleting || h.SpotNotice || h.Faulty || h.Failed || f == nil {
+	if h.Lost || h.Draining || h.Deleting || h.SpotNotice || h.Quarantined || h.Failed || f == nil {
 		return false
 	}
 	return h.Up || now-h.RentedAt < model.Seconds(f.BootS*l.Params.LateAfterBoots)
@@ -112,7 +112,7 @@
 	first, second := in.split()
 
 	// Waiting tasks take room first: they push placeholders out.
-	homeless := placeWaiting(slots, first, false)
+	unplaced := placeWaiting(slots, first, false)
 	l.resize(in, slots)
 	l.assignZones()
 	roaming := l.placePlaceholders(l.keepPlaceholders(slots, false), slots)
@@ -122,14 +122,14 @@
 
 	// What is homeless now drives renting.
 	var fresh []*slot
-	fresh = l.rentForTasks(in, fresh, homeless)
+	fresh = l.rentForTasks(in, fresh, unplaced)
 	fresh = l.rentForTasks(in, fresh, flexible)
 	fresh = l.rentForPlaceholders(in, slots, fresh, roaming)
 
-	out := Output{Rent: calls(fresh), Unplaced: count(homeless) + count(flexible)}
+	out := Output{Rent: calls(fresh), Unplaced: count(unplaced) + count(flexible)}
 	if in.CloudOK {
-		out.GiveBack = l.giveBack(in, slots)
-		if len(homeless) == 0 && !slices.ContainsFunc(fresh, func(s *slot) bool { return !s.offer.Spot }) {
+		out.ScaleIn = l.scaleIn(in, slots)
+		if len(unplaced) == 0 && !slices.ContainsFunc(fresh, func(s *slot) bool { return !s.offer.Spot }) {
 			out.Vacate = l.vacate(in, slots)
 		}
 	}
@@ -302,9 +302,9 @@
 }
 
 // rentForTasks adds the machines that homeless tasks need to those to be rented.
-func (l *Provisioner) rentForTasks(in *Input, fresh []*slot, homeless []unplacedTasks) []*slot {
+func (l *Provisioner) rentForTasks(in *Input, fresh []*slot, unplaced []unplacedTasks) []*slot {
 	var none unplaceable
-	for _, t := range homeless {
+	for _, t := range unplaced {
 		n := t.count
 		if none.has(t.demand.Job, t.count) {
 			continue
--- a/internal/core/slack/offers.go
+++ b/internal/core/autoscaler/offers.go
@@ -1,4 +1,4 @@
-package slack
+package autoscaler
 
 import (
 	"math"
--- a/internal/core/slack/scaledown.go
+++ b/internal/core/autoscaler/scaledown.go
@@ -1,4 +1,4 @@
-package slack
+package autoscaler
 
 import (
 	"cmp"
@@ -21,10 +21,10 @@
 	return model.Micros(float64(l.Params.IdleHold) * min(1, floor/own))
 }
 
-// giveBack chooses empty machines that are not needed: no waiting task was put
+// scaleIn chooses empty machines that are not needed: no waiting task was put
 // there, its placeholders find room elsewhere, and keeping it for the next work
 // would by now have cost more than renting anew.
-func (l *Provisioner) giveBack(in *Input, slots []*slot) (back []*model.Machine) {
+func (l *Provisioner) scaleIn(in *Input, slots []*slot) (back []*model.Machine) {
 	slices.SortStableFunc(slots, func(a, b *slot) int {
 		return cmp.Compare(in.MachineTypes[b.offer.MachineType].PriceOf(b.offer.Spot), in.MachineTypes[a.offer.MachineType].PriceOf(a.offer.Spot))
 	})
--- a/internal/core/slack/zones.go
+++ b/internal/core/autoscaler/zones.go
@@ -1,10 +1,10 @@
-package slack
+package autoscaler
 
 import (
 	"slices"
 
 	"woadweir/internal/core/model"
-	"woadweir/internal/core/place"
+	"woadweir/internal/core/placement"
 )
 
 // unplaceable remembers what found no room: room only gets less, so nothing that may
@@ -46,7 +46,7 @@
 	}
 	n, ok := y.left[zone]
 	if !ok {
-		n = place.ZoneRoom(y.job, zone)
+		n = placement.ZoneRoom(y.job, zone)
 		y.left[zone] = n
 	}
 	return n
--- a/internal/core/lead/lead.go
+++ b/internal/core/leadership/authority.go
@@ -1,6 +1,6 @@
-// Package lead holds what leadership, authority and grants rest on: spans of
+// Package leadership holds what leadership, authority and grants rest on: spans of
 // time that are safe whatever the clocks do, and the credit of teams' limits.
-package lead
+package leadership
 
 import (
 	"woadweir/internal/core/model"
--- a/internal/core/lead/session.go
+++ b/internal/core/leadership/session.go
@@ -1,4 +1,4 @@
-package lead
+package leadership
 
 import "woadweir/internal/core/model"
 
@@ -10,16 +10,16 @@
 	CallRead  CallKind = iota // read the node's key
 	CallEnd                   // end lease ID
 	CallGrant                 // open a lease
-	CallPut                   // put the node's key under lease ID if its version is Stamp
+	CallPut                   // put the node's key under lease ID if its version is Revision
 	CallTouch                 // renew lease ID
 )
 
 // Call is the next request, to be made after a pause.
 type Call struct {
-	Kind  CallKind
-	After model.Micros
-	ID    uint64
-	Stamp uint64
+	Kind     CallKind
+	After    model.Micros
+	ID       uint64
+	Revision uint64
 }
 
 // Outcome says how a request ended.
@@ -36,9 +36,9 @@
 
 // Reply is what came of a Call.
 type Reply struct {
-	Outcome Outcome
-	ID      uint64 // CallRead: the lease in the node's key; CallGrant: the new lease
-	Stamp   uint64 // CallRead: the version of the node's key
+	Outcome  Outcome
+	ID       uint64 // CallRead: the lease in the node's key; CallGrant: the new lease
+	Revision uint64 // CallRead: the version of the node's key
 }
 
 // News is what the session's owner has to know.
@@ -99,7 +99,7 @@
 		case r.ID != 0 && r.ID != s.ended:
 			s.call = Call{Kind: CallEnd, ID: r.ID}
 		default:
-			s.stamp = r.Stamp
+			s.stamp = r.Revision
 			s.call = Call{Kind: CallGrant}
 		}
 	case CallEnd:
@@ -115,7 +115,7 @@
 			break
 		}
 		s.granted = s.sent
-		s.call = Call{Kind: CallPut, ID: r.ID, Stamp: s.stamp}
+		s.call = Call{Kind: CallPut, ID: r.ID, Revision: s.stamp}
 	case CallPut:
 		if r.Outcome != Good {
 			retry()
--- a/internal/core/place/order.go
+++ b/internal/core/placement/order.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"cmp"
--- a/internal/core/place/place.go
+++ b/internal/core/placement/placement.go
@@ -1,6 +1,6 @@
-// Package place decides which waiting task goes to which machine. It only
+// Package placement decides which waiting task goes to which machine. It only
 // decides: binding a task durably and starting it are the holder's business.
-package place
+package placement
 
 import (
 	"slices"
--- a/internal/core/place/rooms.go
+++ b/internal/core/placement/rooms.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"cmp"
@@ -39,7 +39,7 @@
 // gets none: it would wait there for ever, and a report that may be an old copy
 // says nothing of what it could do now.
 func (w *World) Open(h *model.Machine) bool {
-	return h.Up && h.ReceivesAnswers && !h.Lost && !h.Draining && !h.Deleting && !h.SpotNotice && !h.Faulty && !h.Failed && w.Now-h.LastHeartbeat < w.HeartbeatTimeout
+	return h.Up && h.ReceivesAnswers && !h.Lost && !h.Draining && !h.Deleting && !h.SpotNotice && !h.Quarantined && !h.Failed && w.Now-h.LastHeartbeat < w.HeartbeatTimeout
 }
 
 // ZoneRoom tells how many more tasks of the job the rules on zones let into the
--- a/internal/core/block/commands.go
+++ b/internal/core/shard/commands.go
@@ -1,4 +1,4 @@
-package block
+package shard
 
 import (
 	"sort"
@@ -66,7 +66,7 @@
 		return a.Job.Priority > b.Job.Priority || a.Job.Priority == b.Job.Priority && a.Attempt < b.Attempt
 	})
 	for _, b := range starts {
-		b.SentSession, b.SentSequence = r.Session, r.Sequence
+		b.SentIncarnation, b.SentSequence = r.Session, r.Sequence
 		commands = append(commands, Command{Op: "start", Task: b.ID, Attempt: b.Attempt})
 	}
 	return commands
--- a/internal/core/block/reports.go
+++ b/internal/core/shard/heartbeats.go
@@ -1,4 +1,4 @@
-package block
+package shard
 
 import (
 	"slices"
@@ -6,8 +6,8 @@
 	"woadweir/internal/core/model"
 )
 
-// TaskReport is a task in a report.
-type TaskReport struct {
+// TaskStatus is a task in a report.
+type TaskStatus struct {
 	ID      model.TaskID
 	Attempt uint64
 	Status  model.Status
@@ -22,7 +22,7 @@
 	Session, Sequence, Token         uint64
 	SpotNotice                       bool
 	ReclaimedIn                      model.Micros
-	Tasks                            []TaskReport
+	Tasks                            []TaskStatus
 }
 
 // Verdict is what to do with a report.
@@ -39,9 +39,9 @@
 	Introduced
 )
 
-// ApplyReport takes a report in. The answer is made by Commands, after what the report
+// ApplyHeartbeat takes a report in. The answer is made by Commands, after what the report
 // made possible has been decided.
-func (h *State) ApplyReport(r *Report, now model.Micros) Verdict {
+func (h *State) ApplyHeartbeat(r *Report, now model.Micros) Verdict {
 	if r.Token > h.Token {
 		return Deposed
 	}
@@ -57,7 +57,7 @@
 	if m.Deleting {
 		return Stale
 	}
-	if r.Session < m.WorkerSession || r.Session == m.WorkerSession && r.Sequence <= m.Sequence {
+	if r.Session < m.Incarnation || r.Session == m.Incarnation && r.Sequence <= m.Sequence {
 		// A late copy must not move knowledge back.
 		return Stale
 	}
@@ -68,7 +68,7 @@
 		h.Log(Event{What: "up", Machine: m.ID})
 	}
 	m.Lost = false
-	m.Addr, m.WorkerSession, m.Sequence, m.LastHeartbeat, m.LastAnswer, m.Token = r.Addr, r.Session, r.Sequence, now, now, r.Token
+	m.Addr, m.Incarnation, m.Sequence, m.LastHeartbeat, m.LastAnswer, m.Token = r.Addr, r.Session, r.Sequence, now, now, r.Token
 	if r.SpotNotice && !m.SpotNotice {
 		m.SpotNotice, m.ReclaimedAt = true, now+r.ReclaimedIn
 		h.drain(m, now)
@@ -91,7 +91,7 @@
 			// Under an older token an earlier holder's start may still be on its way.
 			continue
 		}
-		sent := b.SentSession != 0 || b.SentSequence != 0
+		sent := b.SentIncarnation != 0 || b.SentSequence != 0
 		switch {
 		case b.Seen:
 			h.unbind(b, "newer report without it", now)
@@ -113,10 +113,10 @@
 // nothing reaches it ends its tasks with its lease, session after session.
 func (h *State) checkAnswersArrive(m *model.Machine, r *Report, now model.Micros) {
 	was := m.ReceivesAnswers
-	m.ReceivesAnswers = r.Token == h.Token && r.Session == m.WorkerSession && now-m.LastHeartbeat <= h.Params.Report*3/2+model.Second
+	m.ReceivesAnswers = r.Token == h.Token && r.Session == m.Incarnation && now-m.LastHeartbeat <= h.Params.Report*3/2+model.Second
 	if m.ReceivesAnswers {
 		for _, b := range m.Bindings {
-			if b.SentSession == m.WorkerSession && b.SentSequence == m.Sequence && !slices.ContainsFunc(r.Tasks, func(p TaskReport) bool { return p.ID == b.ID && p.Attempt == b.Attempt }) {
+			if b.SentIncarnation == m.Incarnation && b.SentSequence == m.Sequence && !slices.ContainsFunc(r.Tasks, func(p TaskStatus) bool { return p.ID == b.ID && p.Attempt == b.Attempt }) {
 				m.ReceivesAnswers = false
 				break
 			}
@@ -140,7 +140,7 @@
 }
 
 // progress takes the reported state of a bound task.
-func (h *State) progress(b *model.Binding, p *TaskReport, now model.Micros) {
+func (h *State) progress(b *model.Binding, p *TaskStatus, now model.Micros) {
 	m := b.Machine
 	b.Seen = true
 	if b.Status != model.Running && p.Status == model.Running {
@@ -260,7 +260,7 @@
 // mistake come to the same machines at once and are no evidence. So a machine is judged
 // with every report, when its jobs may have been seen to run elsewhere meanwhile.
 func (h *State) blame(m *model.Machine, now model.Micros) {
-	if m.Faulty || len(m.FailuresInRow) < faultyAfterProven {
+	if m.Quarantined || len(m.FailuresInRow) < faultyAfterProven {
 		return
 	}
 	proven, unproven := 0, 0
@@ -284,7 +284,7 @@
 			js.AtFault = true
 		}
 	}
-	m.Faulty, m.Draining = true, true
+	m.Quarantined, m.Draining = true, true
 	h.Log(Event{What: "sick", Machine: m.ID, Why: "tasks fail on it"})
 	for _, b := range m.Bindings {
 		if b.Status != model.Running {
--- a/internal/core/block/learn.go
+++ b/internal/core/shard/learn.go
@@ -1,8 +1,8 @@
-package block
+package shard
 
 import (
 	"woadweir/internal/core/model"
-	"woadweir/internal/core/place"
+	"woadweir/internal/core/placement"
 )
 
 // runStat is what is known of the run times of a class.
@@ -83,7 +83,7 @@
 
 // missed is where the due times begin of jobs that have missed an aim, but can
 // still meet another.
-const missed = place.Late / 2
+const missed = placement.Late / 2
 
 // nearMost bounds how long a job may be overtaken by others that have less to do:
 // well within the four minutes in which even the largest are to begin, as those
@@ -99,7 +99,7 @@
 func (h *State) due(j *model.JobState, now model.Micros) model.Micros {
 	if j.Kind == model.Gang && j.HasRun {
 		// It had its turn, and lost its machines: it need not queue again.
-		return j.ReadySince - place.Late
+		return j.ReadySince - placement.Late
 	}
 	run := h.Expected(j.Job)
 	left := run * model.Micros(len(j.Waiting))
@@ -116,7 +116,7 @@
 	if n := len(waits); n > 0 {
 		last := waits[n-1]
 		if near := min(last*3/4, nearMost); age >= near && age < last && h.classLoads[j.Class].drain() < last*3/4 {
-			return j.ReadySince - place.Late
+			return j.ReadySince - placement.Late
 		}
 		for _, w := range waits {
 			aim(age < w)
@@ -132,7 +132,7 @@
 	if n := len(finish); n > 0 && len(waits) > 0 {
 		last := finish[n-1]
 		if end >= last*3/4 && end <= last && h.classLoads[j.Class].drain() < last/4 {
-			return j.ReadySince - place.Late
+			return j.ReadySince - placement.Late
 		}
 	}
 	for _, f := range finish {
@@ -140,7 +140,7 @@
 	}
 	switch {
 	case met == 0:
-		return place.Late + j.ReadySince
+		return placement.Late + j.ReadySince
 	case lost == 0 || len(waits) == 0 && j.Deadline == 0:
 		return left
 	}
--- a/internal/core/block/room.go
+++ b/internal/core/shard/room.go
@@ -1,4 +1,4 @@
-package block
+package shard
 
 import (
 	"woadweir/internal/core/model"
@@ -28,7 +28,7 @@
 	var total, free model.Resources
 	byZone := map[string]int{}
 	for _, m := range h.Machines {
-		if !usable(m) || m.Lost || m.Deleting || m.Draining || m.Faulty || m.SpotNotice {
+		if !usable(m) || m.Lost || m.Deleting || m.Draining || m.Quarantined || m.SpotNotice {
 			continue
 		}
 		total = total.Plus(m.Size)
--- a/internal/core/block/block.go
+++ b/internal/core/shard/shard.go
@@ -1,12 +1,12 @@
-// Package block is the holder's view of the machines in its blocks and of the
+// Package shard is the holder's view of the machines in its blocks and of the
 // tasks on them: what is bound where, what a report proves, and which commands
 // a worker is to get. It is pure: reports and times go in, commands and records
 // to be written come out.
-package block
+package shard
 
 import (
 	"woadweir/internal/core/model"
-	"woadweir/internal/core/place"
+	"woadweir/internal/core/placement"
 )
 
 // Params are the settings that the holder needs.
@@ -60,7 +60,7 @@
 	oldestAttempt uint64
 	runTimes      map[string]*runStat
 
-	reservations map[*model.JobState][]place.Reservation
+	reservations map[*model.JobState][]placement.Reservation
 	classLoads   map[string]classLoad // by class, of the last round
 }
 
@@ -68,7 +68,7 @@
 func New(p Params, token uint64) *State {
 	return &State{Params: p, Token: token, oldestAttempt: token << 20, Jobs: map[string]*model.JobState{}, Machines: map[string]*model.Machine{},
 		Used: map[string]model.Resources{}, MachineTypes: map[string]*model.MachineType{}, Log: func(Event) {},
-		queued: map[string]bool{}, liveAt: map[string]int{}, copies: map[string]int{}, labels: map[string]int{}, runTimes: map[string]*runStat{}, reservations: map[*model.JobState][]place.Reservation{}}
+		queued: map[string]bool{}, liveAt: map[string]int{}, copies: map[string]int{}, labels: map[string]int{}, runTimes: map[string]*runStat{}, reservations: map[*model.JobState][]placement.Reservation{}}
 }
 
 // NextAttempt gives an attempt number that no start has ever carried: the token is
--- a/internal/core/block/slots.go
+++ b/internal/core/shard/slots.go
@@ -1,4 +1,4 @@
-package block
+package shard
 
 import (
 	"slices"
--- a/internal/core/block/world.go
+++ b/internal/core/shard/world.go
@@ -1,13 +1,13 @@
-package block
+package shard
 
 import (
 	"woadweir/internal/core/model"
-	"woadweir/internal/core/place"
+	"woadweir/internal/core/placement"
 )
 
 // World is what a placement round looks at.
-func (h *State) World(now model.Micros) *place.World {
-	w := &place.World{Now: now, Guarantee: h.Params.Guarantee, HeartbeatTimeout: 3 * h.Params.Report, StopTime: h.Params.Report * 6 / 5, Teams: h.Params.Teams, Used: h.Used, NextAttempt: h.NextAttempt, MachineTypes: h.MachineTypes, TaskSlots: h.TaskSlots,
+func (h *State) World(now model.Micros) *placement.World {
+	w := &placement.World{Now: now, Guarantee: h.Params.Guarantee, HeartbeatTimeout: 3 * h.Params.Report, StopTime: h.Params.Report * 6 / 5, Teams: h.Params.Teams, Used: h.Used, NextAttempt: h.NextAttempt, MachineTypes: h.MachineTypes, TaskSlots: h.TaskSlots,
 		Machines: make([]*model.Machine, 0, len(h.Machines)), Jobs: make([]*model.JobState, 0, len(h.Jobs))}
 	for _, m := range h.Machines {
 		w.Machines = append(w.Machines, m)
--- a/internal/duty/cleaner.go
+++ b/internal/duty/cleaner.go
@@ -18,8 +18,8 @@
 
 // Removal is a key that nobody needs, with the revision that was looked at.
 type Removal struct {
-	Key   string
-	Stamp uint64
+	Key      string
+	Revision uint64
 }
 
 // Unneeded is a key that could be removed, were it to stay as it is.
@@ -57,8 +57,8 @@
 	var ripe []Removal
 	for _, u := range unneeded {
 		first, known := c.seen[u.Key]
-		if !known || first.stamp != u.Stamp {
-			first = firstSight{u.Stamp, now}
+		if !known || first.stamp != u.Revision {
+			first = firstSight{u.Revision, now}
 		}
 		seen[u.Key] = first
 		if now-first.at >= u.Retain {
--- a/internal/duty/keeper.go
+++ b/internal/duty/keeper.go
@@ -17,10 +17,10 @@
 
 // Node is a live controller.
 type Node struct {
-	Name    string
-	Session uint64
-	Stamp   uint64       // revision of its key
-	Since   model.Micros // when this process first saw it live
+	Name     string
+	Session  uint64
+	Revision uint64       // revision of its key
+	Since    model.Micros // when this process first saw it live
 	// Candidate tells that it may hold duties without being the leader.
 	Candidate bool
 }
--- a/internal/lab/region.go
+++ b/internal/lab/region.go
@@ -190,7 +190,7 @@
 		return 200
 	case errors.Is(err, state.ErrMissing):
 		return 404
-	case errors.Is(err, state.ErrTooOld):
+	case errors.Is(err, state.ErrCompacted):
 		return 410
 	case errors.Is(err, state.ErrNoLease), errors.Is(err, state.ErrTooBig):
 		return 400
@@ -201,20 +201,20 @@
 // commit carries a transaction out, and notes the changes of records of spilling.
 func (r *Region) commit(raw []byte) (int, any) {
 	var in struct {
-		Guards []state.Guard
-		Then   []struct {
+		Conditions []state.Condition `json:"guards"`
+		Then       []struct {
 			Set     string
 			Value   json.RawMessage
-			Tenancy uint64
+			LeaseID uint64 `json:"tenancy"`
 			Drop    string
 		}
 	}
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return 400, map[string]string{"error": err.Error()}
 	}
-	txn := &state.Txn{Guards: in.Guards}
+	txn := &state.Txn{Conditions: in.Conditions}
 	for _, op := range in.Then {
-		change := state.Op{Set: op.Set, Drop: op.Drop, Tenancy: op.Tenancy}
+		change := state.Op{Set: op.Set, Drop: op.Drop, LeaseID: op.LeaseID}
 		if op.Set != "" {
 			change.Value = op.Value
 		}
--- a/internal/spill/hosting.go
+++ b/internal/spill/hosting.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// GiveBack has the job returned.
-func (h *Hosting) GiveBack() { h.giving = true }
+// ScaleIn has the job returned.
+func (h *Hosting) ScaleIn() { h.giving = true }
 
 // GivingBack tells that the job is to be returned once nothing of it is bound.
 func (h *Hosting) GivingBack() bool { return h.giving }
--- a/internal/spill/model_test.go
+++ b/internal/spill/model_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// offerArrives has the guest take a job, as whyNot in internal/node does: not while an
+// offerArrives has the guest take a job, as whyNot in internal/controller does: not while an
 // older lending is there.
 func (m *lendingModel) offerArrives() {
 	token, ok := pick(m, m.offers)
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"strings"
 
-	"woadweir/internal/core/block"
 	"woadweir/internal/core/model"
+	"woadweir/internal/core/shard"
 	"woadweir/internal/duty"
 	"woadweir/internal/state"
 )
@@ -74,7 +74,7 @@
 		}
 	case duty.Lease:
 		name := duty.Name(strings.TrimPrefix(op.Set, duty.KeyPrefix))
-		h.holder[name], h.token[name] = r.Holder, w.Epoch
+		h.holder[name], h.token[name] = r.Holder, w.Revision
 	case duty.Rental:
 		if r.State == duty.Open {
 			h.open[r.Request] = true
@@ -89,7 +89,7 @@
 		for _, machine := range r.Machines {
 			h.returned[machine] = true
 		}
-	case block.BundleRecord:
+	case shard.BundleRecord:
 		h.bundle(w, r)
 	case nil:
 		if op.Drop != "" && h.holder[duty.Cleanup] != w.Node {
@@ -106,7 +106,7 @@
 }
 
 // bundle takes bindings: none may be new on a machine that is to be returned.
-func (h *DutyHistory) bundle(w *Write, r block.BundleRecord) {
+func (h *DutyHistory) bundle(w *Write, r shard.BundleRecord) {
 	for machine, rec := range r.Machines {
 		now := map[boundTask]bool{}
 		if rec != nil {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -16,69 +16,69 @@
 
 // Errors of the state service.
 var (
-	ErrBusy    = errors.New("state service: too many requests") // 429: not executed
-	ErrRefused = errors.New("state service: refused")           // 503: not executed
-	ErrLost    = errors.New("state service: no response")       // may have been, or may yet be executed
-	ErrTooOld  = errors.New("state service: revision too old")  // 410
-	ErrNoLease = errors.New("state service: no such lease")
-	ErrTooBig  = errors.New("state service: value or transaction beyond its limits") // 400: not executed
-	ErrMissing = errors.New("state service: not found")
+	ErrBusy      = errors.New("state service: too many requests") // 429: not executed
+	ErrRefused   = errors.New("state service: refused")           // 503: not executed
+	ErrLost      = errors.New("state service: no response")       // may have been, or may yet be executed
+	ErrCompacted = errors.New("state service: revision too old")  // 410
+	ErrNoLease   = errors.New("state service: no such lease")
+	ErrTooBig    = errors.New("state service: value or transaction beyond its limits") // 400: not executed
+	ErrMissing   = errors.New("state service: not found")
 )
 
-// NotDone tells of an error that the request was surely not carried out, and will
+// NotExecuted tells of an error that the request was surely not carried out, and will
 // not be.
-func NotDone(err error) bool {
+func NotExecuted(err error) bool {
 	return errors.Is(err, ErrBusy) || errors.Is(err, ErrRefused) || errors.Is(err, ErrTooBig) || errors.Is(err, ErrNoLease)
 }
 
-// Guard is a condition of a transaction.
-type Guard struct {
-	Path  string `json:"path"`
-	Stamp uint64 `json:"stamp"`
+// Condition is a condition of a transaction.
+type Condition struct {
+	Path     string `json:"path"`
+	Revision uint64 `json:"stamp"`
 }
 
 // Op is a change of a transaction.
 type Op struct {
 	Set     string `json:"set,omitempty"`
 	Value   any    `json:"value,omitempty"`
-	Tenancy uint64 `json:"tenancy,omitempty"`
+	LeaseID uint64 `json:"tenancy,omitempty"`
 	Drop    string `json:"drop,omitempty"`
 }
 
 // Txn is a transaction.
 type Txn struct {
-	Guards []Guard `json:"guards"`
-	Then   []Op    `json:"then,omitempty"`
+	Conditions []Condition `json:"guards"`
+	Then       []Op        `json:"then,omitempty"`
 }
 
 // Result of a transaction.
 type Result struct {
-	Epoch  uint64   `json:"epoch"`
-	Failed []string `json:"failed"`
-	Error  string   `json:"error"`
-	OK     bool     `json:"-"`
+	Revision uint64   `json:"epoch"`
+	Failed   []string `json:"failed"`
+	Error    string   `json:"error"`
+	OK       bool     `json:"-"`
 }
 
 // Entry is a key with its value.
 type Entry struct {
-	Path    string          `json:"path"`
-	Value   json.RawMessage `json:"value"`
-	Stamp   uint64          `json:"stamp"`
-	Tenancy uint64          `json:"tenancy"`
+	Path     string          `json:"path"`
+	Value    json.RawMessage `json:"value"`
+	Revision uint64          `json:"stamp"`
+	LeaseID  uint64          `json:"tenancy"`
 }
 
 // Event is a change seen by a watch.
 type Event struct {
-	Set   string          `json:"set"`
-	Drop  string          `json:"drop"`
-	Value json.RawMessage `json:"value"`
-	Stamp uint64          `json:"stamp"`
+	Set      string          `json:"set"`
+	Drop     string          `json:"drop"`
+	Value    json.RawMessage `json:"value"`
+	Revision uint64          `json:"stamp"`
 }
 
 // Changes is a watch's answer.
 type Changes struct {
-	Epoch  uint64  `json:"epoch"`
-	Events []Event `json:"events"`
+	Revision uint64  `json:"epoch"`
+	Events   []Event `json:"events"`
 }
 
 // Client speaks to the state service.
@@ -137,9 +137,9 @@
 	from := ""
 	for page := 0; ; page++ {
 		var out struct {
-			Entries []Entry `json:"entries"`
-			HasNext bool    `json:"hasNext"`
-			Epoch   uint64  `json:"epoch"`
+			Entries  []Entry `json:"entries"`
+			HasNext  bool    `json:"hasNext"`
+			Revision uint64  `json:"epoch"`
 		}
 		uri := "/keys?starts=" + prefix + "&most=1000"
 		if from != "" {
@@ -153,7 +153,7 @@
 			return 0, unexpected(code)
 		}
 		if page == 0 {
-			epoch = out.Epoch
+			epoch = out.Revision
 		}
 		for _, e := range out.Entries {
 			if err := each(e); err != nil {
@@ -175,7 +175,7 @@
 	case err != nil:
 		return nil, err
 	case code == 410:
-		return nil, ErrTooOld
+		return nil, ErrCompacted
 	case code != 200:
 		return nil, unexpected(code)
 	}
@@ -205,7 +205,7 @@
 // Grant opens a lease.
 func (c *Client) Grant(ttl, timeout model.Micros) (uint64, error) {
 	var out struct {
-		Tenancy uint64 `json:"tenancy"`
+		LeaseID uint64 `json:"tenancy"`
 	}
 	code, err := c.do("POST", "/grants", map[string]int64{"ttlMs": int64(ttl / model.Millisecond)}, &out, timeout)
 	if err != nil {
@@ -214,7 +214,7 @@
 	if code != 200 {
 		return 0, unexpected(code)
 	}
-	return out.Tenancy, nil
+	return out.LeaseID, nil
 }
 
 // Touch renews a lease; ErrMissing tells that it is over.
--- a/internal/state/duties.go
+++ b/internal/state/duties.go
@@ -44,5 +44,5 @@
 	if err := json.Unmarshal(e.Value, rec); err != nil {
 		return 0, fmt.Errorf("%w: %s: %v", ErrLayout, key, err)
 	}
-	return e.Stamp, nil
+	return e.Revision, nil
 }
--- a/internal/state/pipeline.go
+++ b/internal/state/pipeline.go
@@ -5,7 +5,7 @@
 // The ends of a job.
 const (
 	Done      = "done"
-	Withdrawn = "withdrawn"
+	Cancelled = "withdrawn"
 )
 
 // pipeline is what a job has to do with the jobs that it awaits, and with those
@@ -36,7 +36,7 @@
 
 // Order is its age among other jobs: its acceptance, or the end of the last job
 // that it needs.
-func (j *JobView) Order() uint64 { return max(j.Stamp, j.readyNo) }
+func (j *JobView) Order() uint64 { return max(j.Revision, j.readyNo) }
 
 // Job converts the submission for decisions: with the highest rank of all jobs
 // that need it, with what is left until it is due, counted from when it could
@@ -76,7 +76,7 @@
 		b := v.job(a)
 		switch {
 		case b.End == Done:
-			j.after(b, v.Stamps["job/"+a])
+			j.after(b, v.Revisions["job/"+a])
 		case b.End != "" || b.fallen:
 			j.fallen = true
 		default:
--- a/internal/state/view.go
+++ b/internal/state/view.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 
-	"woadweir/internal/core/block"
 	"woadweir/internal/core/model"
+	"woadweir/internal/core/shard"
 	"woadweir/internal/duty"
 	"woadweir/internal/spill"
 )
@@ -66,7 +66,7 @@
 // JobView is what the view knows of a job.
 type JobView struct {
 	Submission *model.Submission // nil once it is done
-	Stamp      uint64            // of its acceptance
+	Revision   uint64            // of its acceptance
 	End        string            // as it is written; see Final
 	EndTasks   int
 	pipeline
@@ -81,7 +81,7 @@
 // entryView is the latest version of a bundle's entry: the record of a machine,
 // nil if it is gone, or the finished tasks of a job.
 type entryView struct {
-	machine *block.MachineRecord
+	machine *shard.MachineRecord
 	done    []byte
 	at      string // the bundle that it is from
 	// twin is another bundle with the same version, written in the same
@@ -89,10 +89,10 @@
 	twin string
 }
 
-// View is a copy of the state as of Epoch, or newer for single keys.
+// View is a copy of the state as of Revision, or newer for single keys.
 type View struct {
-	Epoch        uint64
-	Stamps       map[string]uint64
+	Revision     uint64
+	Revisions    map[string]uint64
 	Jobs         map[string]*JobView
 	Leader       *LeaderRecord
 	Grants       map[string]*GrantRecord
@@ -114,7 +114,7 @@
 	LentIn          map[string]*spill.InRecord
 	UnreadableSpill string
 
-	entries map[string]*entryView // by name, see block.BundleRecord.Names
+	entries map[string]*entryView // by name, see shard.BundleRecord.Names
 	bound   map[string]int        // bound tasks by job
 	bundles map[string]*bundleView
 	news    []string // jobs whose standing changed through others
@@ -122,7 +122,7 @@
 
 // NewView makes an empty view.
 func NewView() *View {
-	return &View{Layouts: map[string]int{}, Stamps: map[string]uint64{}, Jobs: map[string]*JobView{}, Grants: map[string]*GrantRecord{},
+	return &View{Layouts: map[string]int{}, Revisions: map[string]uint64{}, Jobs: map[string]*JobView{}, Grants: map[string]*GrantRecord{},
 		Nodes: map[string]*NodeRecord{}, Duties: map[duty.Name]*duty.Lease{}, Rentals: map[string]*duty.Rental{}, Returns: map[string]*duty.Return{},
 		LentOut: map[string]*spill.OutRecord{}, LentIn: map[string]*spill.InRecord{},
 		entries: map[string]*entryView{}, bound: map[string]int{}, bundles: map[string]*bundleView{}}
@@ -144,13 +144,13 @@
 // Set applies a key's value, unless a newer one is known. It tells whether it
 // was applied.
 func (v *View) Set(path string, value json.RawMessage, stamp uint64) (bool, error) {
-	if stamp <= v.Stamps[path] {
+	if stamp <= v.Revisions[path] {
 		return false, nil
 	}
 	kind, rest, _ := strings.Cut(path, "/")
 	if kind == "node" {
 		v.setNode(rest, value)
-		v.Stamps[path] = stamp
+		v.Revisions[path] = stamp
 		return true, nil
 	}
 	rec, err := decode(path, value)
@@ -159,7 +159,7 @@
 		// guest has no right to run it.
 		v.UnreadableSpill, rec, err = path, spill.OutRecord{State: spill.Unreadable}, nil
 		if !strings.HasPrefix(path, spill.OutPrefix) {
-			v.Stamps[path] = stamp
+			v.Revisions[path] = stamp
 			return true, nil
 		}
 	}
@@ -184,13 +184,13 @@
 	kind, rest, _ := strings.Cut(path, "/")
 	switch {
 	case kind == "job" && rest != "" && !strings.Contains(rest, "/"):
-		r, err := as[block.JobRecord](path, value)
+		r, err := as[shard.JobRecord](path, value)
 		if err == nil && r.Spec == nil && r.End == "" {
 			err = fmt.Errorf("%w: %s is empty", ErrLayout, path)
 		}
 		return r, err
 	case kind == "bound":
-		return as[block.BundleRecord](path, value)
+		return as[shard.BundleRecord](path, value)
 	case kind == "leader":
 		return as[LeaderRecord](path, value)
 	case kind == "grant":
@@ -254,10 +254,10 @@
 }
 
 // Machines calls f for the latest record of every machine.
-func (v *View) Machines(f func(ref string, rec *block.MachineRecord)) {
+func (v *View) Machines(f func(ref string, rec *shard.MachineRecord)) {
 	for name, e := range v.entries {
 		if e.machine != nil {
-			f(strings.TrimPrefix(name, block.MachineEntry), e.machine)
+			f(strings.TrimPrefix(name, shard.MachineEntry), e.machine)
 		}
 	}
 }
@@ -270,12 +270,12 @@
 	if j == nil || j.Submission == nil {
 		return s
 	}
-	if e := v.entries[block.DoneEntry+ref]; e != nil {
+	if e := v.entries[shard.DoneEntry+ref]; e != nil {
 		s = model.SetOf(e.done)
 	}
 	if j.Submission.Tasks > model.TasksPerPart {
 		for k := range model.Parts(j.Submission.Tasks) {
-			if e := v.entries[block.PartEntry(ref, k)]; e != nil {
+			if e := v.entries[shard.PartEntry(ref, k)]; e != nil {
 				s.Merge(e.done, k*model.TasksPerPart)
 			}
 		}
@@ -313,14 +313,14 @@
 }
 
 // putBundle applies a bundle. What stood only in its former version is gone.
-func (v *View) putBundle(path string, r *block.BundleRecord, stamp uint64) {
+func (v *View) putBundle(path string, r *shard.BundleRecord, stamp uint64) {
 	for ref, rec := range r.Machines {
-		v.put(block.MachineEntry+ref, entryView{machine: rec, at: path}, stamp)
+		v.put(shard.MachineEntry+ref, entryView{machine: rec, at: path}, stamp)
 	}
 	for name, bits := range r.Done {
-		ref, _, _ := strings.Cut(name, block.PartMark)
+		ref, _, _ := strings.Cut(name, shard.PartMark)
 		if j := v.Jobs[ref]; j == nil || j.End == "" {
-			v.put(block.DoneEntry+name, entryView{done: bits, at: path}, stamp)
+			v.put(shard.DoneEntry+name, entryView{done: bits, at: path}, stamp)
 		}
 	}
 	if old := v.bundles[path]; old != nil {
@@ -348,10 +348,10 @@
 // Drop applies a key's removal, unless a newer value is known. Only keys that
 // are attached to a session, intents and unused bundles are ever removed.
 func (v *View) Drop(path string, stamp uint64) bool {
-	if old, ok := v.Stamps[path]; !ok || stamp < old {
+	if old, ok := v.Revisions[path]; !ok || stamp < old {
 		return false
 	}
-	delete(v.Stamps, path)
+	delete(v.Revisions, path)
 	switch kind, rest, _ := strings.Cut(path, "/"); kind {
 	case "leader":
 		v.Leader = nil
@@ -400,7 +400,7 @@
 			if e == nil || e.at != path && e.twin != path {
 				return false
 			}
-			gone := e.machine == nil && strings.HasPrefix(name, block.MachineEntry)
+			gone := e.machine == nil && strings.HasPrefix(name, shard.MachineEntry)
 			return !gone || copies[name] > 1
 		})
 		if !used {
@@ -443,7 +443,7 @@
 	case j.End != "":
 		return j.End, true
 	case j.fallen && j.Submission != nil:
-		return Withdrawn, true
+		return Cancelled, true
 	}
 	return "", false
 }
@@ -461,29 +461,29 @@
 
 // Put applies a value, unless a newer one is known.
 func (v *View) Put(path string, value any, stamp uint64) {
-	if stamp <= v.Stamps[path] {
+	if stamp <= v.Revisions[path] {
 		return
 	}
 	_, rest, _ := strings.Cut(path, "/")
 	switch x := value.(type) {
-	case block.JobRecord:
+	case shard.JobRecord:
 		j := v.job(rest)
 		fresh := j.Submission == nil && j.End == ""
 		j.Submission = x.Spec
 		if x.End == "" {
-			j.Stamp = stamp
+			j.Revision = stamp
 		} else {
 			j.End, j.endMs = x.End, x.AtMs
 			if x.End == Done {
 				j.EndTasks = x.Tasks
 			}
-			delete(v.entries, block.DoneEntry+rest)
+			delete(v.entries, shard.DoneEntry+rest)
 			if x.Spec != nil {
 				x.Tasks = x.Spec.Tasks
 			}
 			if x.Tasks > model.TasksPerPart {
 				for k := range model.Parts(x.Tasks) {
-					delete(v.entries, block.PartEntry(rest, k))
+					delete(v.entries, shard.PartEntry(rest, k))
 				}
 			}
 		}
@@ -493,7 +493,7 @@
 		if x.End != "" {
 			v.ended(j, stamp)
 		}
-	case block.BundleRecord:
+	case shard.BundleRecord:
 		if x.Dense {
 			v.Newest = LayoutDense
 		}
@@ -517,5 +517,5 @@
 	default:
 		panic("state: no such record: " + path)
 	}
-	v.Stamps[path] = stamp
+	v.Revisions[path] = stamp
 }
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -62,7 +62,7 @@
 	None Route = iota
 	Submit
 	Poll
-	Withdraw
+	Cancel
 	Up
 )
 
@@ -82,7 +82,7 @@
 		return Poll, rest
 	}
 	if ref, ok := strings.CutSuffix(rest, "/withdraw"); ok && method == "POST" && ref != "" {
-		return Withdraw, ref
+		return Cancel, ref
 	}
 	return None, ""
 }
--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 	"errors"
 
-	"woadweir/internal/core/block"
 	"woadweir/internal/core/model"
+	"woadweir/internal/core/shard"
 )
 
 type wireReport struct {
@@ -30,8 +30,8 @@
 	Stored bool   `json:"stored"`
 }
 
-// ParseReport reads a check-in.
-func ParseReport(body []byte) (*block.Report, error) {
+// ParseHeartbeat reads a check-in.
+func ParseHeartbeat(body []byte) (*shard.Report, error) {
 	var w wireReport
 	if err := json.Unmarshal(body, &w); err != nil {
 		return nil, err
@@ -39,8 +39,8 @@
 	if w.Host == "" || w.Tenure == 0 {
 		return nil, errors.New("host or tenure is missing")
 	}
-	r := &block.Report{Machine: w.Host, Addr: w.Address, MachineType: w.Build, Zone: w.Yard, Spot: w.Loaners,
-		Session: w.Tenure, Sequence: w.Tally, Token: w.Warrant, Tasks: make([]block.TaskReport, 0, len(w.Pieces))}
+	r := &shard.Report{Machine: w.Host, Addr: w.Address, MachineType: w.Build, Zone: w.Yard, Spot: w.Loaners,
+		Session: w.Tenure, Sequence: w.Tally, Token: w.Warrant, Tasks: make([]shard.TaskStatus, 0, len(w.Pieces))}
 	if w.RecallS != nil {
 		r.SpotNotice, r.ReclaimedIn = true, model.Seconds(*w.RecallS)
 	}
@@ -50,7 +50,7 @@
 		if !ok {
 			continue
 		}
-		r.Tasks = append(r.Tasks, block.TaskReport{ID: id, Attempt: p.Try, Status: model.StatusOf(p.Status), Cause: p.Cause, Stored: p.Stored})
+		r.Tasks = append(r.Tasks, shard.TaskStatus{ID: id, Attempt: p.Try, Status: model.StatusOf(p.Status), Cause: p.Cause, Stored: p.Stored})
 	}
 	return r, nil
 }
@@ -63,7 +63,7 @@
 }
 
 // Answer renders a response with commands.
-func Answer(token uint64, commands []block.Command) []byte {
+func Answer(token uint64, commands []shard.Command) []byte {
 	out := struct {
 		Warrant uint64      `json:"warrant"`
 		Orders  []wireOrder `json:"orders"`
