--- a/internal/controller/io.go
+++ b/internal/controller/io.go
@@ -141,7 +141,7 @@
 		type result struct {
 			name  string
 			alive bool
-			peer.Pinged
+			peer.Status
 		}
 		results := make(chan result, len(io.peers))
 		for _, p := range io.peers {
@@ -158,10 +158,10 @@
 				m.alive++
 			}
 			m.workers += r.Workers
-			if r.Reached {
+			if r.ReachesState {
 				m.helpers = append(m.helpers, r.name)
 			}
-			if r.Relays {
+			if r.RelaysReports {
 				m.relays = append(m.relays, r.name)
 				workers[r.name] = r.Workers
 			}
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -10,38 +10,53 @@
 	"woadweir/internal/core/model"
 )
 
-// Client speaks to one address. It never repeats a request by itself: whether
-// that is safe is for the caller to know.
+const (
+	// maxResponseSize bounds the memory that one response can take.
+	maxResponseSize = 64 << 20
+	// maxIdleTime is how long an unused connection is kept open.
+	maxIdleTime = time.Minute
+)
+
+// Client makes requests to one address. It never retries a request by itself: only the
+// caller knows whether that is safe.
 type Client struct {
-	addr string
-	hc   *fasthttp.HostClient
+	address string
+	http    *fasthttp.HostClient
 }
 
-// New makes a client with at most that many connections.
-func New(addr string, conns int) *Client {
-	return &Client{addr: addr, hc: &fasthttp.HostClient{Addr: addr, MaxConns: conns, MaxIdleConnDuration: time.Minute,
-		MaxIdemponentCallAttempts: 1, RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-		MaxResponseBodySize: 64 << 20, NoDefaultUserAgentHeader: true}}
+// New makes a client with at most maxConnections connections.
+func New(address string, maxConnections int) *Client {
+	return &Client{address: address, http: &fasthttp.HostClient{
+		Addr:                      address,
+		MaxConns:                  maxConnections,
+		MaxIdleConnDuration:       maxIdleTime,
+		MaxIdemponentCallAttempts: 1,
+		RetryIfErr:                neverRetry,
+		MaxResponseBodySize:       maxResponseSize,
+		NoDefaultUserAgentHeader:  true,
+	}}
 }
 
-// Do makes a request and hands status and body of the response to read; the
-// body is valid only there. An error means that there was no response.
+func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
+
+// Do makes a request and hands status and body of the response to read; the body is valid
+// only there. The error is that of read, or means that there was no response.
 func (c *Client) Do(method, uri string, in any, timeout model.Micros, read func(code int, body []byte) error) error {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetMethod(method)
-	req.SetRequestURI("http://" + c.addr + uri)
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.Header.SetMethod(method)
+	request.SetRequestURI("http://" + c.address + uri)
 	if in != nil {
 		body, err := json.Marshal(in)
 		if err != nil {
 			return err
 		}
-		req.SetBodyRaw(body)
-		req.Header.SetContentType("application/json")
+		request.SetBodyRaw(body)
+		request.Header.SetContentType("application/json")
 	}
-	if err := c.hc.DoTimeout(req, resp, timeout.Duration()); err != nil {
+	if err := c.http.DoTimeout(request, response, timeout.Duration()); err != nil {
 		return err
 	}
-	return read(resp.StatusCode(), resp.Body())
+	return read(response.StatusCode(), response.Body())
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer lets controllers talk to each other by gRPC.
+// Package peer is the gRPC service by which controllers call each other.
 package peer
 
 //go:generate protoc --go_out=../.. --go_opt=module=woadweir --go-grpc_out=../.. --go-grpc_opt=module=woadweir -I ../.. internal/peer/peer.proto
@@ -15,58 +15,59 @@
 	"woadweir/internal/userapi"
 )
 
-// Handler answers the other controllers' calls.
+// Handler answers the calls of the other controllers.
 type Handler interface {
 	// User answers a user's request without forwarding it.
 	User(method, path string, body []byte) userapi.Answer
-	// Ping tells whether the state service was reached lately, and how many
-	// workers reported lately.
+	// Ping tells whether the state service was reached recently, and how many workers
+	// have recently sent heartbeats to this controller.
 	Ping() (stateReached bool, workers int)
-	// Report answers a worker's report that a sibling hands on.
+	// Report answers a worker's heartbeat that another controller relays.
 	Report(body []byte) (code int, answer []byte)
-	// EndSession ends a sibling's session on its own request.
-	EndSession(id uint64)
+	// EndSession ends another controller's session lease on its own request.
+	EndSession(leaseID uint64)
 }
 
+// server translates between the generated messages and a Handler.
 type server struct {
 	UnimplementedPeerServer
-	h Handler
+	handler Handler
 }
 
 func (s *server) Forward(_ context.Context, r *UserRequest) (*UserAnswer, error) {
-	a := s.h.User(r.GetMethod(), r.GetPath(), r.GetBody())
+	a := s.handler.User(r.GetMethod(), r.GetPath(), r.GetBody())
 	return &UserAnswer{Code: int32(a.Code), Body: a.Body, RetryAfterS: int32(a.RetryAfter)}, nil
 }
 
 func (s *server) Ping(context.Context, *PingRequest) (*PingAnswer, error) {
-	reached, workers := s.h.Ping()
+	reached, workers := s.handler.Ping()
 	return &PingAnswer{StateReached: reached, Workers: int32(workers), Relays: true}, nil
 }
 
 func (s *server) Report(_ context.Context, r *ReportRequest) (*ReportAnswer, error) {
-	code, body := s.h.Report(r.GetReport())
+	code, body := s.handler.Report(r.GetReport())
 	return &ReportAnswer{Code: int32(code), Body: body}, nil
 }
 
 func (s *server) Resign(_ context.Context, r *ResignRequest) (*ResignAnswer, error) {
-	s.h.EndSession(r.GetSession())
+	s.handler.EndSession(r.GetSession())
 	return &ResignAnswer{}, nil
 }
 
-// maxCalls is how many calls of one controller may be answered at the same time: a
-// sibling may hand on the reports of some thousand workers at once.
-const maxCalls = 8192
+// maxConcurrentCalls is how many calls of one controller may be answered at the same
+// time: another controller may relay the heartbeats of some thousand workers at once.
+const maxConcurrentCalls = 8192
 
 // Serve answers calls until the context ends, those of further services too.
-func Serve(ctx context.Context, ln net.Listener, h Handler, services ...func(grpc.ServiceRegistrar)) error {
-	s := grpc.NewServer(grpc.MaxConcurrentStreams(maxCalls))
-	RegisterPeerServer(s, &server{h: h})
+func Serve(ctx context.Context, listener net.Listener, handler Handler, services ...func(grpc.ServiceRegistrar)) error {
+	grpcServer := grpc.NewServer(grpc.MaxConcurrentStreams(maxConcurrentCalls))
+	RegisterPeerServer(grpcServer, &server{handler: handler})
 	for _, register := range services {
-		register(s)
+		register(grpcServer)
 	}
-	stop := context.AfterFunc(ctx, s.Stop)
+	stop := context.AfterFunc(ctx, grpcServer.Stop)
 	defer stop()
-	return s.Serve(ln)
+	return grpcServer.Serve(listener)
 }
 
 // Client calls one other controller.
@@ -76,13 +77,23 @@
 	rpc  PeerClient
 }
 
-// Connect prepares a connection to a controller of this cell or of another. Once that is
-// back after an absence, however long, it is reached within seconds: gRPC's own backoff
-// grows to two minutes.
+// reconnectParams have a controller that is back after an absence, however long, reached
+// within seconds: gRPC's own backoff grows to two minutes.
+var reconnectParams = grpc.ConnectParams{
+	MinConnectTimeout: time.Second,
+	Backoff: backoff.Config{
+		BaseDelay:  200 * time.Millisecond,
+		Multiplier: 1.5,
+		Jitter:     0.2,
+		MaxDelay:   2 * time.Second,
+	},
+}
+
+// Connect prepares a connection to a controller of this cell or of another.
 func Connect(endpoint string) (*grpc.ClientConn, error) {
-	return grpc.NewClient("passthrough:///"+endpoint, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second,
-			Backoff: backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.2, MaxDelay: 2 * time.Second}}))
+	return grpc.NewClient("passthrough:///"+endpoint,
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithConnectParams(reconnectParams))
 }
 
 // Dial prepares a client; it connects when it is first used.
@@ -103,30 +114,30 @@
 	return userapi.Answer{Code: int(a.GetCode()), Body: a.GetBody(), RetryAfter: int(a.GetRetryAfterS())}, nil
 }
 
-// Pinged is what another controller tells of itself.
-type Pinged struct {
-	Reached bool // it reaches the state service
-	Workers int  // that reported to it lately
-	Relays  bool // it hands reports on
+// Status is what another controller tells of itself.
+type Status struct {
+	ReachesState  bool // it has reached the state service recently
+	Workers       int  // that have recently sent heartbeats to it
+	RelaysReports bool // it relays heartbeats to the leader
 }
 
-// Ping asks the other controller how it is.
-func (c *Client) Ping(ctx context.Context, self string) (Pinged, error) {
+// Ping asks the other controller for its status. self is the name of the caller.
+func (c *Client) Ping(ctx context.Context, self string) (Status, error) {
 	a, err := c.rpc.Ping(ctx, &PingRequest{Node: self})
-	return Pinged{a.GetStateReached(), int(a.GetWorkers()), a.GetRelays()}, err
+	return Status{ReachesState: a.GetStateReached(), Workers: int(a.GetWorkers()), RelaysReports: a.GetRelays()}, err
 }
 
-// Report has the other controller, which leads, answer a worker's report.
+// Report has the other controller, which leads, answer a worker's heartbeat.
 func (c *Client) Report(ctx context.Context, body []byte) (code int, answer []byte, err error) {
 	a, err := c.rpc.Report(ctx, &ReportRequest{Report: body})
 	return int(a.GetCode()), a.GetBody(), err
 }
 
-// Resign has the other controller end our session.
-func (c *Client) Resign(ctx context.Context, session uint64) error {
-	_, err := c.rpc.Resign(ctx, &ResignRequest{Session: session})
+// Resign has the other controller end this controller's session lease.
+func (c *Client) Resign(ctx context.Context, leaseID uint64) error {
+	_, err := c.rpc.Resign(ctx, &ResignRequest{Session: leaseID})
 	return err
 }
 
-// Close drops the connection.
+// Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -1,8 +1,9 @@
-// Package userapi names the users' requests and renders their answers.
+// Package userapi routes the users' HTTP requests and encodes the responses to them.
 package userapi
 
 import (
 	"encoding/json"
+	"net/http"
 	"strings"
 )
 
@@ -11,78 +12,92 @@
 	Code       int
 	Body       []byte
 	RetryAfter int // seconds, 0: no header
-	// Helper names another controller that can answer instead, when this one
-	// does not reach the state service.
+	// Helper names another controller that can answer instead, when this one does not
+	// reach the state service.
 	Helper string
 }
 
-// Error renders a failure.
-func Error(code int, why string, retryAfter int) Answer {
-	b, err := json.Marshal(map[string]string{"error": why})
-	if err != nil {
-		panic(err)
-	}
-	return Answer{Code: code, Body: b, RetryAfter: retryAfter}
+// Error makes the response to a request that failed. retryAfter is the number of seconds
+// after which the user may retry, 0 to say nothing of it.
+func Error(code int, reason string, retryAfter int) Answer {
+	answer := encode(code, errorBody{reason})
+	answer.RetryAfter = retryAfter
+	return answer
 }
 
-// Accepted renders the state of a job in answer to a submission.
-func Accepted(code int, ref, status string) Answer {
-	return render(code, jobBody{Ref: ref, Status: status})
+// Accepted makes the response to a submission or cancellation.
+func Accepted(code int, jobID, status string) Answer {
+	return encode(code, jobBody{ID: jobID, Status: status})
 }
 
-// State renders the state of a job in answer to a poll. failedMachines is on how many
-// machines a job has failed that fails everywhere; users ignore the field if they do not
-// know it.
-func State(ref, status string, done, running, failedMachines int) Answer {
-	return render(200, jobBody{Ref: ref, Status: status, Done: &done, Running: &running, FailedMachines: failedMachines})
+// State makes the response to a poll. failedMachines is the number of machines on which a
+// job has failed that fails everywhere; users that do not know the field ignore it.
+func State(jobID, status string, done, running, failedMachines int) Answer {
+	return encode(http.StatusOK, jobBody{ID: jobID, Status: status, Done: &done, Running: &running, FailedMachines: failedMachines})
 }
 
-// jobBody is what users are told of a job.
+// The JSON names below are those of the users' protocol, where a ref is the ID of a job.
+
+// jobBody is what users are told of a job. Done and Running are nil where the numbers of
+// tasks are not told.
 type jobBody struct {
-	Ref            string `json:"ref"`
+	ID             string `json:"ref"`
 	Status         string `json:"status"`
 	Done           *int   `json:"done,omitempty"`
 	Running        *int   `json:"running,omitempty"`
 	FailedMachines int    `json:"failedMachines,omitempty"`
 }
 
-func render(code int, body jobBody) Answer {
-	b, err := json.Marshal(body)
+type errorBody struct {
+	Error string `json:"error"`
+}
+
+// encode panics if the body can't be encoded, which no value of the types above causes.
+func encode(code int, body any) Answer {
+	encoded, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
 	}
-	return Answer{Code: code, Body: b}
+	return Answer{Code: code, Body: encoded}
 }
 
-// Route is what a user's request is about.
+// Route is the kind of a user's request.
 type Route uint8
 
 // The users' requests.
 const (
-	None Route = iota
-	Submit
-	Poll
-	Cancel
-	Up
+	None   Route = iota // no such request
+	Submit              // a new job
+	Poll                // the state of a job
+	Cancel              // the cancellation of a job
+	Up                  // the load balancer's health check
+)
+
+// The paths of the users' protocol, where work is a job and withdraw cancels it.
+const (
+	healthPath   = "/up"
+	jobsPath     = "/work"
+	jobPrefix    = jobsPath + "/"
+	cancelSuffix = "/withdraw"
 )
 
-// Parse finds out what a request is about.
-func Parse(method, path string) (Route, string) {
+// Parse finds the route of a request and, for Poll and Cancel, the ID of the job.
+func Parse(method, path string) (route Route, jobID string) {
 	switch {
-	case path == "/up" && method == "GET":
+	case path == healthPath && method == http.MethodGet:
 		return Up, ""
-	case path == "/work" && method == "POST":
+	case path == jobsPath && method == http.MethodPost:
 		return Submit, ""
 	}
-	rest, ok := strings.CutPrefix(path, "/work/")
+	jobPath, ok := strings.CutPrefix(path, jobPrefix)
 	if !ok {
 		return None, ""
 	}
-	if method == "GET" && rest != "" && !strings.Contains(rest, "/") {
-		return Poll, rest
+	if method == http.MethodGet && jobPath != "" && !strings.Contains(jobPath, "/") {
+		return Poll, jobPath
 	}
-	if ref, ok := strings.CutSuffix(rest, "/withdraw"); ok && method == "POST" && ref != "" {
-		return Cancel, ref
+	if jobID, ok := strings.CutSuffix(jobPath, cancelSuffix); ok && method == http.MethodPost && jobID != "" {
+		return Cancel, jobID
 	}
 	return None, ""
 }
