--- /dev/null
+++ b/internal/controller/cancellations.go
@@ -0,0 +1,47 @@
+package controller
+
+import (
+	"net/http"
+
+	"woadweir/internal/core/model"
+	"woadweir/internal/core/shard"
+	"woadweir/internal/state"
+	"woadweir/internal/userapi"
+)
+
+// cancel answers a cancellation, or queues it to be made durable. Cancelling an ended
+// job changes nothing.
+func (c *controller) cancel(m msgCancel) {
+	if end, ended := c.view.Final(m.jobID); ended {
+		m.reply <- userapi.Accepted(http.StatusOK, m.jobID, end)
+		return
+	}
+	c.withReadBarrier(m.reply, func() { c.enqueueCancellation(m) })
+}
+
+// enqueueCancellation queues a cancellation after the read barrier, before all waiting
+// submissions: a cancellation frees capacity.
+func (c *controller) enqueueCancellation(m msgCancel) {
+	if end, ended := c.view.Final(m.jobID); ended {
+		m.reply <- userapi.Accepted(http.StatusOK, m.jobID, end)
+		return
+	}
+	if _, _, _, known := c.view.Status(m.jobID); !known {
+		m.reply <- noSuchJob()
+		return
+	}
+	c.userWrites.prepend(userWrite{jobID: m.jobID, replies: []chan<- userapi.Answer{m.reply}, deadline: c.now + userWriteDeadline})
+}
+
+// cancelledRecord is the record of a cancelled job. It keeps what the job's tasks may
+// still occupy on machines. If the whole submission does not fit into a value, as when
+// the limit was larger at its acceptance, the other fields are left out.
+func (c *controller) cancelledRecord(submission *model.Submission) shard.JobRecord {
+	record := shard.JobRecord{Spec: submission, End: state.Cancelled}
+	if !c.fits(record) {
+		reduced := *submission
+		reduced.Class, reduced.Image, reduced.MachineTypes, reduced.Awaits = "-", "-", nil, nil
+		record.Spec = &reduced
+	}
+	return record
+}
--- a/internal/controller/carryout.go
+++ b/internal/controller/carryout.go
@@ -96,7 +96,7 @@
 }
 
 func (d *dutyHolder) callRent(key string, r *duty.Rental) {
-	d.c.io.rent(msgRented{rental: requestOf(r), carryOut: d.begin(key, duty.Renting, r.Trace)})
+	d.c.io.rentMachines(msgRented{rental: requestOf(r), carryOut: d.begin(key, duty.Renting, r.Trace)})
 }
 
 // requestOf is the request by which a rental intent is carried out.
@@ -105,7 +105,7 @@
 }
 
 func (d *dutyHolder) callDelete(key string, r *duty.Return) {
-	d.c.io.remove(msgDeleted{refs: r.Machines, carryOut: d.begin(key, duty.Returning, r.Trace)})
+	d.c.io.deleteMachines(msgDeleted{machineIDs: r.Machines, carryOut: d.begin(key, duty.Returning, r.Trace)})
 }
 
 // answered takes the end of a request. It returns the intent's call if an outcome is
--- a/internal/controller/cells.go
+++ b/internal/controller/cells.go
@@ -111,7 +111,7 @@
 const patienceCell = 700 * time.Millisecond
 
 // Offer answers another cell's offer.
-func (f *front) Offer(o *spill.Offer) (*spill.OfferAnswer, error) {
+func (f *frontend) Offer(o *spill.Offer) (*spill.OfferAnswer, error) {
 	reply := make(chan offerReply, 1)
 	r, got := ask(f.mail, msgOffer{o, reply}, reply, patienceCell)
 	if !got {
@@ -121,7 +121,7 @@
 }
 
 // Renew answers another cell's question for the right to run.
-func (f *front) Renew(renewal *spill.Renewal) (*spill.RenewalAnswer, error) {
+func (f *frontend) Renew(renewal *spill.Renewal) (*spill.RenewalAnswer, error) {
 	reply := make(chan renewalReply, 1)
 	r, got := ask(f.mail, msgRenewal{renewal, reply}, reply, patienceCell)
 	if !got {
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -128,7 +128,7 @@
 	s := d.situation()
 	d.noteHeld(&s)
 	d.carryOut(&s)
-	if c.busy[laneDuty] || d.resync || c.now < c.pauses[laneDuty] || s.Session == 0 {
+	if !c.lanes.free(laneDuty, c.now) || d.resync || s.Session == 0 {
 		return
 	}
 	if l := c.view.Leader; l != nil && l.Duties {
@@ -147,11 +147,11 @@
 func (d *dutyHolder) enable() {
 	c := d.c
 	l := c.leading
-	if l == nil || !l.ready || c.actsThroughIntents() || !d.wanted() || c.busy[laneMisc] || c.now < c.pauses[laneMisc] || !c.auth.Holds(c.now) {
+	if l == nil || !l.ready || c.actsThroughIntents() || !d.wanted() || !c.lanes.free(laneMisc, c.now) || !c.auth.Holds(c.now) {
 		return
 	}
 	grant := "grant/" + blockName
-	c.pauses[laneMisc] = c.now + model.Second
+	c.lanes.pauseUntil(laneMisc, c.now+model.Second)
 	c.send(laneMisc, msgCommitted{token: l.token, txn: &state.Txn{
 		Conditions: []state.Condition{{Path: "leader", Revision: c.view.Revisions["leader"]}, {Path: grant, Revision: l.token}},
 		Then:       []state.Op{{Set: "leader", Value: c.leaderRecord(), LeaseID: c.session}}}})
@@ -222,7 +222,7 @@
 		d.cloudFailingSince = 0
 	case d.c.leading == nil && s.Now-d.cloudAskedAt >= probeGap: // a leader reads the machine list anyway
 		d.cloudAskedAt = s.Now
-		d.c.io.flavors()
+		d.c.io.fetchMachineTypes()
 	}
 }
 
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -7,46 +7,72 @@
 	"woadweir/internal/state"
 )
 
-func (c *controller) sessionNews(m msgSession) {
+const (
+	electionPause = 300 * model.Millisecond // after an attempt
+	resignedPause = 5 * model.Second        // after resigning
+	// unreachedBeforeResigning is how long the state service has to be out of reach.
+	unreachedBeforeResigning = 2 * model.Second
+	// resignVotesNeeded is how many rounds of pings in a row have to speak for resigning.
+	resignVotesNeeded = 2
+)
+
+// stepDownReason is why a controller stops leading, as the log has it.
+type stepDownReason string
+
+const (
+	reasonSessionOver stepDownReason = "session over"
+	reasonNewSession  stepDownReason = "new session"
+	reasonOtherLeader stepDownReason = "the state says that another leads"
+	reasonUnreadable  stepDownReason = "unreadable records"
+	reasonGrantLost   stepDownReason = "the grant is not ours any more"
+	reasonResigned    stepDownReason = "resigned: a sibling reaches what this node does not"
+)
+
+// sessionChanged handles a new session, the renewal of the present one, or its end.
+func (c *controller) sessionChanged(m msgSession) {
 	if m.id == 0 {
 		c.auth.Ended()
 		c.session = 0
-		c.stepDown("session over")
+		c.stepDown(reasonSessionOver)
 		return
 	}
 	if m.id == c.resigned {
 		return
 	}
 	if m.id != c.session && c.session != 0 {
-		c.stepDown("new session")
+		c.stepDown(reasonNewSession)
 	}
 	c.session = m.id
 	c.auth.Touched(m.sent)
 }
 
-// elect tries for the leader's key when nobody has it. When an earlier try was
-// carried out but its answer was lost, the key is there under our own session:
-// then only the grant is written, anew, as for any takeover.
+// elect tries to become the leader when there is none. When an earlier attempt was
+// executed but its answer was lost, the leader's key is there under our own session: then
+// only the grant is written, anew, as at any takeover.
 func (c *controller) elect() {
-	if c.leading != nil || c.session == 0 || c.busy[laneElect] || c.now < c.pauses[laneElect] || !c.auth.Holds(c.now) {
+	if c.leading != nil || c.session == 0 || !c.lanes.free(laneElection, c.now) || !c.auth.Holds(c.now) {
 		return
 	}
 	ours := c.view.Leader != nil && c.view.Leader.Session == c.session
 	if c.view.Leader != nil && !ours {
 		return
 	}
-	grant := "grant/" + blockName
-	rec := state.GrantRecord{Holder: c.set.NodeName, Session: c.session, Credit: c.credit()}
-	if !c.fits(rec) {
-		rec.Credit = nil // which is the whole of every team's limit, too
-	}
-	t := &state.Txn{
-		Conditions: []state.Condition{{Path: "leader", Revision: c.view.Revisions["leader"]}, {Path: grant, Revision: c.view.Revisions[grant]}},
-		Then:       []state.Op{{Set: grant, Value: rec}}}
-	if !ours {
-		t.Then = append(t.Then, state.Op{Set: "leader", Value: c.leaderRecord(), LeaseID: c.session})
-	}
-	c.send(laneElect, msgCommitted{txn: t, token: c.session})
+	c.send(laneElection, msgCommitted{txn: c.electionTxn(ours), session: c.session})
+}
+
+// electionTxn writes the grant, and the leader's key unless that is ours already.
+func (c *controller) electionTxn(leaderKeyOurs bool) *state.Txn {
+	grant := state.GrantRecord{Holder: c.set.NodeName, Session: c.session, Credit: c.fullCredit()}
+	if !c.fits(grant) {
+		grant.Credit = nil // which means every team's whole limit as well
+	}
+	txn := &state.Txn{
+		Conditions: []state.Condition{{Path: leaderKey, Revision: c.view.Revisions[leaderKey]}, {Path: grantKey, Revision: c.view.Revisions[grantKey]}},
+		Then:       []state.Op{{Set: grantKey, Value: grant}}}
+	if !leaderKeyOurs {
+		txn.Then = append(txn.Then, state.Op{Set: leaderKey, Value: c.leaderRecord(), LeaseID: c.session})
+	}
+	return txn
 }
 
 // leaderRecord is what this controller writes as the leader.
@@ -54,52 +80,49 @@
 	return state.LeaderRecord{Node: c.set.NodeName, Session: c.session, Duties: c.duties.wanted()}
 }
 
-// credit is each team's whole limit: the one holder has it all.
-func (c *controller) credit() map[string]model.Resources {
-	m := map[string]model.Resources{}
-	for n, t := range c.teams {
-		m[n] = t.Limit
+// fullCredit is each team's whole limit: the leader owns the only block.
+func (c *controller) fullCredit() map[string]model.Resources {
+	credit := map[string]model.Resources{}
+	for name, team := range c.teams {
+		credit[name] = team.Limit
 	}
-	return m
-}
-
-func (c *controller) setShare(leads bool) {
-	share, most := c.writeShare(leads)
-	c.budget.SetRate(share, most, c.now)
+	return credit
 }
 
+// elected handles the outcome of an election's transaction.
 func (c *controller) elected(m msgCommitted) {
-	c.pauses[laneElect] = c.now + 300*model.Millisecond
+	c.lanes.pauseUntil(laneElection, c.now+electionPause)
 	if m.err != nil || !m.res.OK {
 		return
 	}
-	if m.token != c.session {
-		// The session it was won with is over, and the key with it.
+	if m.session != c.session {
+		// The session that the leader's key was bound to is over, and so is the key.
 		return
 	}
 	c.view.Apply(m.txn, m.res.Revision)
 	slog.Info("leader", "token", m.res.Revision)
-	c.setShare(true)
+	c.setWriteShare(true)
 	c.leading = newLeader(c, m.res.Revision)
 }
 
-func (c *controller) stepDown(why string) {
+// stepDown stops leading. Workers whose responses wait are sent to the next leader.
+func (c *controller) stepDown(reason stepDownReason) {
 	if c.leading == nil {
 		return
 	}
-	slog.Info("step down", "why", why)
-	for _, h := range c.leading.pendingResponses {
-		h.msg.reply <- c.elsewhere()
+	slog.Info("step down", "why", string(reason))
+	for _, pending := range c.leading.pendingResponses {
+		pending.msg.reply <- c.redirectToLeader()
 	}
 	c.leading = nil
-	c.setShare(false)
+	c.setWriteShare(false)
 }
 
-// deserted tells that this controller leads and holds machines that are up, but
-// that none has reported to it itself for a while.
-func (c *controller) deserted() bool {
+// hasNoHeartbeats reports whether this controller leads and has several machines that
+// are up, but none of them has sent it a heartbeat itself for a while.
+func (c *controller) hasNoHeartbeats() bool {
 	l := c.leading
-	if l == nil || !l.ready || c.direct() > 0 {
+	if l == nil || !l.ready || c.relay.directWorkers(c.now) > 0 {
 		return false
 	}
 	up := 0
@@ -111,29 +134,35 @@
 	return up > 1
 }
 
-// considerResigning gives leadership and duties up when a sibling can do what this
-// controller can't: reach the state service, or the workers. It stops acting
-// first, so its session can be ended at once and nobody has to wait until it
-// runs out. Two pings in a row have to say so.
+// considerResigning resigns when a sibling reaches what this controller does not: the
+// state service or the workers.
 func (c *controller) considerResigning(m msgPinged) {
-	cut := c.suspect() && c.now-c.syncOK > 2*model.Second && len(m.helpers) > 0
-	alone := c.deserted() && m.workers > 0
+	stateLost := c.sync.suspect(c.now) && c.now-c.sync.succeededAt > unreachedBeforeResigning && len(m.serving) > 0
+	workersLost := c.hasNoHeartbeats() && m.workers > 0
 	holds := c.leading != nil || len(c.duties.held) > 0
-	if !holds || c.session == 0 || !cut && !alone {
-		c.cutPings = 0
+	if !holds || c.session == 0 || !stateLost && !workersLost {
+		c.siblings.resignVotes = 0
 		return
 	}
-	if c.cutPings++; c.cutPings < 2 {
+	if c.siblings.resignVotes++; c.siblings.resignVotes < resignVotesNeeded {
 		return
 	}
-	c.cutPings = 0
-	session, helper := c.session, ""
-	if cut {
-		helper = m.helpers[0]
+	c.siblings.resignVotes = 0
+	sibling := "" // this controller ends the session itself
+	if stateLost {
+		sibling = m.serving[0]
 	}
+	c.resign(sibling)
+}
+
+// resign gives leadership and duties up, and has the session ended, by a sibling if one
+// is named. This controller stops acting first, so that the session can be ended at once
+// and nobody has to wait until it expires.
+func (c *controller) resign(sibling string) {
+	session := c.session
 	c.auth.Ended()
 	c.session, c.resigned = 0, session
-	c.pauses[laneElect] = c.now + 5*model.Second
-	c.stepDown("resigned: a sibling reaches what this node does not")
-	c.io.resign(session, helper)
+	c.lanes.pauseUntil(laneElection, c.now+resignedPause)
+	c.stepDown(reasonResigned)
+	c.io.resign(session, sibling)
 }
--- /dev/null
+++ b/internal/controller/frontend.go
@@ -0,0 +1,202 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"woadweir/internal/core/model"
+	"woadweir/internal/peer"
+	"woadweir/internal/state"
+	"woadweir/internal/userapi"
+	"woadweir/internal/workerapi"
+)
+
+// How long a request may wait for the controller actor, or for a sibling.
+const (
+	userWriteTimeout   = 4500 * time.Millisecond // a submission or a cancellation
+	statusTimeout      = 1800 * time.Millisecond // a status read
+	healthCheckTimeout = 900 * time.Millisecond
+	forwardTimeout     = 1200 * time.Millisecond // a user's request, by a sibling
+	heartbeatTimeout   = 3500 * time.Millisecond
+	relayTimeout       = 2500 * time.Millisecond // a heartbeat, by the leader
+	// endSessionTimeout is how long the state service may take to end a session.
+	endSessionTimeout = 2 * model.Second
+)
+
+// heartbeatPath is the path of workers' heartbeats.
+const heartbeatPath = "/checkin"
+
+// frontend serves HTTP to users and workers, and calls of the other controllers. It
+// turns requests into messages to the controller actor, and its answers into responses.
+type frontend struct {
+	mail  chan<- any
+	peers []*peer.Client
+	state *state.Client
+	ctx   context.Context
+}
+
+// serve handles an HTTP request.
+func (f *frontend) serve(rc *fasthttp.RequestCtx) {
+	method, path := string(rc.Method()), string(rc.Path())
+	rc.SetContentType("application/json")
+	if path == heartbeatPath && method == http.MethodPost {
+		f.serveHeartbeat(rc)
+		return
+	}
+	a := f.User(method, path, rc.PostBody())
+	if a.Helper != "" {
+		a = f.forward(a, method, path, rc.PostBody())
+	}
+	writeAnswer(rc, a)
+}
+
+// forward has a sibling answer a user's request. Without its answer, ours stands.
+func (f *frontend) forward(ours userapi.Answer, method, path string, body []byte) userapi.Answer {
+	sibling := f.peer(ours.Helper)
+	if sibling == nil {
+		return ours
+	}
+	ctx, cancel := context.WithTimeout(f.ctx, forwardTimeout)
+	defer cancel()
+	theirs, err := sibling.Forward(ctx, method, path, body)
+	if err != nil {
+		return ours
+	}
+	return theirs
+}
+
+// peer finds a sibling by its name; nil if there is none.
+func (f *frontend) peer(name string) *peer.Client {
+	for _, p := range f.peers {
+		if p.Name == name {
+			return p
+		}
+	}
+	return nil
+}
+
+// Ping answers a sibling's ping.
+func (f *frontend) Ping() (stateReached bool, workers int) {
+	reply := make(chan pingReply, 1)
+	p, _ := ask(f.mail, msgPing{reply}, reply, healthCheckTimeout)
+	return p.stateReached, p.workers
+}
+
+// EndSession ends a sibling's session on its own request.
+func (f *frontend) EndSession(id uint64) {
+	if err := f.state.End(id, endSessionTimeout); err != nil {
+		slog.Info("a sibling's session could not be ended", "id", id, "err", err)
+	}
+}
+
+// User answers a user's request by what this controller itself knows.
+func (f *frontend) User(method, path string, body []byte) userapi.Answer {
+	route, jobID := userapi.Parse(method, path)
+	if (route == userapi.Poll || route == userapi.Cancel) && !model.ValidJobID(jobID) {
+		return noSuchJob()
+	}
+	reply := make(chan userapi.Answer, 1)
+	switch route {
+	case userapi.Up:
+		return f.healthCheck()
+	case userapi.Submit:
+		submission, jobID, err := model.ParseSubmission(body)
+		if err != nil && jobID == "" {
+			return userapi.Error(http.StatusBadRequest, err.Error(), 0)
+		}
+		return askUser(f.mail, msgSubmit{jobID, submission, err, reply}, reply, userWriteTimeout)
+	case userapi.Poll:
+		return askUser(f.mail, msgStatusRequest{jobID, reply}, reply, statusTimeout)
+	case userapi.Cancel:
+		return askUser(f.mail, msgCancel{jobID, reply}, reply, userWriteTimeout)
+	}
+	return userapi.Error(http.StatusNotFound, "no such page", 0)
+}
+
+// healthCheck answers the load balancer.
+func (f *frontend) healthCheck() userapi.Answer {
+	reply := make(chan bool, 1)
+	if healthy, ok := ask(f.mail, msgHealthCheck{reply}, reply, healthCheckTimeout); !ok || !healthy {
+		return userapi.Error(http.StatusServiceUnavailable, "not ready", 1)
+	}
+	return userapi.Answer{Code: http.StatusOK, Body: []byte("{}")}
+}
+
+// serveHeartbeat answers a worker's heartbeat.
+func (f *frontend) serveHeartbeat(rc *fasthttp.RequestCtx) {
+	body := rc.PostBody()
+	heartbeat, err := workerapi.ParseHeartbeat(body)
+	if err != nil {
+		writeAnswer(rc, userapi.Error(http.StatusBadRequest, err.Error(), 0))
+		return
+	}
+	reply := make(chan workerAnswer, 1)
+	a, ok := ask(f.mail, msgHeartbeat{report: heartbeat, reply: reply}, reply, heartbeatTimeout)
+	if !ok {
+		writeAnswer(rc, userapi.Error(http.StatusServiceUnavailable, "busy", 1))
+		return
+	}
+	if a.relay != "" {
+		a = f.relay(a, body)
+	}
+	rc.SetStatusCode(a.code)
+	rc.Response.SetBodyRaw(a.body)
+}
+
+// relay passes a heartbeat to the leader. Without its answer, ours stands.
+func (f *frontend) relay(ours workerAnswer, body []byte) workerAnswer {
+	if leader := f.peer(ours.relay); leader != nil {
+		ctx, cancel := context.WithTimeout(f.ctx, relayTimeout)
+		defer cancel()
+		if code, answer, err := leader.Report(ctx, body); err == nil {
+			return workerAnswer{code: code, body: answer}
+		}
+	}
+	select {
+	case f.mail <- msgRelayFailed{}:
+	default: // the next failure will tell
+	}
+	return ours
+}
+
+// ask sends a message to the controller actor and waits for its answer. When the mailbox
+// is full, the request is refused at once.
+func ask[T any](mail chan<- any, msg any, reply <-chan T, timeout time.Duration) (answer T, ok bool) {
+	select {
+	case mail <- msg:
+	default:
+		return answer, false
+	}
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case answer = <-reply:
+		return answer, true
+	case <-timer.C:
+		return answer, false
+	}
+}
+
+// askUser asks the controller actor on behalf of a user, who may try again if there is
+// no answer.
+func askUser(mail chan<- any, msg any, reply <-chan userapi.Answer, timeout time.Duration) userapi.Answer {
+	a, ok := ask(mail, msg, reply, timeout)
+	if !ok {
+		return userapi.Error(http.StatusServiceUnavailable, "try again", 1)
+	}
+	return a
+}
+
+// writeAnswer renders an answer as the HTTP response.
+func writeAnswer(rc *fasthttp.RequestCtx, a userapi.Answer) {
+	rc.SetStatusCode(a.Code)
+	if a.RetryAfter > 0 {
+		rc.Response.Header.Set("Retry-After", strconv.Itoa(a.RetryAfter))
+	}
+	rc.Response.SetBodyRaw(a.Body)
+}
--- a/internal/controller/hosting.go
+++ b/internal/controller/hosting.go
@@ -49,7 +49,7 @@
 	switch {
 	case record == nil:
 		delete(s.hostings, key)
-		l.jobNews(jobOf(key)) // one of this cell's own by that name may begin
+		l.jobChanged(jobOf(key)) // one of this cell's own by that name may begin
 	case hosting == nil || hosting.Token != record.Token:
 		s.takeIn(key)
 		slog.Info("taken in", "job", jobOf(key), "home", record.Home, "token", record.Token)
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -138,7 +138,7 @@
 // writeIntents makes the leader's decisions durable, some at a time.
 func (l *leader) writeIntents() {
 	c := l.c
-	if c.busy[laneIntent] || l.resync || c.now < c.pauses[laneIntent] || len(l.intents.queue) == 0 {
+	if !c.lanes.free(laneIntent, c.now) || l.resync || len(l.intents.queue) == 0 {
 		return
 	}
 	most := min(c.limits.TxnOps, c.duties.intentsAtMost(l.intents.sentAt))
@@ -195,7 +195,7 @@
 	switch {
 	case m.lostGrant():
 		slog.Info("fenced write refused", "duty", duty.Reclaiming, "token", l.token, "keys", m.res.Failed)
-		c.stepDown("the grant is not ours any more")
+		c.stepDown(reasonGrantLost)
 	case c.writeFailed(m):
 		l.needSync()
 	}
--- a/internal/controller/io.go
+++ b/internal/controller/io.go
@@ -11,26 +11,46 @@
 
 	"woadweir/internal/cloud"
 	"woadweir/internal/core/model"
-	"woadweir/internal/core/shard"
 	"woadweir/internal/peer"
 	"woadweir/internal/state"
 )
 
-// effects is what the controller actor may ask of the world. Every answer comes
-// back as a message; tests put scripted peers in its place.
+// effects is what the controller actor may ask of the world. Every outcome comes back
+// as a message; tests put simulated services in its place.
 type effects interface {
+	// sync reads the changes of records after a revision, or lists all records.
 	sync(from uint64, list bool)
+	// commit sends a transaction to the state service.
 	commit(m msgCommitted)
-	flavors()
-	list()
-	rent(m msgRented)
-	remove(m msgDeleted)
+	// fetchMachineTypes, listMachines, rentMachines and deleteMachines call the cloud.
+	fetchMachineTypes()
+	listMachines()
+	rentMachines(m msgRented)
+	deleteMachines(m msgDeleted)
+	// ping asks the siblings what they reach.
 	ping()
 	// resign has a session ended, by a sibling if one is named.
-	resign(session uint64, helper string)
+	resign(session uint64, sibling string)
 }
 
-// inputOutput carries the effects out, each in a goroutine of its own.
+// How long a call may take.
+const (
+	syncTimeout       = 800 * model.Millisecond // of changes; a listing may take twice as long
+	commitTimeout     = 1500 * model.Millisecond
+	cloudTimeout      = 5 * model.Second
+	pingTimeout       = 400 * model.Millisecond
+	resignCallTimeout = 2 * time.Second
+)
+
+const (
+	rentAttempts   = 5 // of a rental without an answer
+	rentRetryPause = model.Second
+)
+
+// errTooLate means that a call was not sent, as its authority was over.
+var errTooLate = errors.New("the authority for this call is over")
+
+// inputOutput executes the effects, each in a goroutine of its own.
 type inputOutput struct {
 	mail  chan<- any
 	clock Clock
@@ -43,6 +63,7 @@
 	abandon chan<- uint64
 }
 
+// send sends the outcome of an effect to the controller actor.
 func (io *inputOutput) send(m any) {
 	select {
 	case io.mail <- m:
@@ -50,25 +71,18 @@
 	}
 }
 
-const (
-	syncPatience   = 800 * model.Millisecond
-	commitPatience = 1500 * model.Millisecond
-	cloudPatience  = 5 * model.Second
-	pingPatience   = 400 * model.Millisecond
-)
-
 func (io *inputOutput) sync(from uint64, list bool) {
 	go func() {
 		m := msgSynced{sent: io.clock()}
 		if list {
 			v := state.NewView()
 			m.view = v
-			v.Revision, m.err = io.state.List(2*syncPatience, func(e state.Entry) error {
+			v.Revision, m.err = io.state.List(2*syncTimeout, func(e state.Entry) error {
 				_, err := v.Set(e.Path, e.Value, e.Revision)
 				return err
 			})
 		} else {
-			m.changes, m.err = io.state.Watch(from, syncPatience)
+			m.changes, m.err = io.state.Watch(from, syncTimeout)
 		}
 		io.send(m)
 	}()
@@ -76,48 +90,45 @@
 
 func (io *inputOutput) commit(m msgCommitted) {
 	go func() {
-		m.res, m.err = io.state.Commit(m.txn, commitPatience)
+		m.res, m.err = io.state.Commit(m.txn, commitTimeout)
 		io.send(m)
 	}()
 }
 
-func (io *inputOutput) flavors() {
+func (io *inputOutput) fetchMachineTypes() {
 	go func() {
-		fs, err := io.cloud.MachineTypes(cloudPatience)
-		io.send(msgMachineTypes{fs, err})
+		machineTypes, err := io.cloud.MachineTypes(cloudTimeout)
+		io.send(msgMachineTypes{machineTypes, err})
 	}()
 }
 
-func (io *inputOutput) list() {
+func (io *inputOutput) listMachines() {
 	go func() {
 		sent := io.clock()
-		ms, err := io.cloud.List(cloudPatience)
-		io.send(msgListed{sent, ms, err})
+		machines, err := io.cloud.List(cloudTimeout)
+		io.send(msgListed{sent, machines, err})
 	}()
 }
 
-// errTooLate means that a call was not sent, as its authority was over.
-var errTooLate = errors.New("the authority for this call is over")
-
-// tooLate tells that a call must not be sent any more.
+// tooLate reports whether a call must not be sent any more.
 func (io *inputOutput) tooLate(call carryOut) bool {
 	return call.intent != "" && io.clock() >= call.until
 }
 
-// rent repeats a request without an answer under its own name, which rents
-// nothing twice. Whoever carries an intent out repeats it himself.
-func (io *inputOutput) rent(m msgRented) {
+// rentMachines repeats a rental without an answer under its own name, which rents
+// nothing twice. A rental that carries out an intent is repeated by whoever holds it.
+func (io *inputOutput) rentMachines(m msgRented) {
 	go func() {
-		for attempt := 0; ; attempt++ {
+		for attempt := 1; ; attempt++ {
 			if io.tooLate(m.carryOut) {
 				m.err = errTooLate
 				break
 			}
-			m.machines, m.err = io.cloud.Rent(&m.rental, cloudPatience)
-			if m.err == nil || errors.Is(m.err, cloud.ErrNoCapacity) || attempt == 4 || m.intent != "" {
+			m.machines, m.err = io.cloud.Rent(&m.rental, cloudTimeout)
+			if m.err == nil || errors.Is(m.err, cloud.ErrNoCapacity) || attempt == rentAttempts || m.intent != "" {
 				break
 			}
-			if !pause(io.ctx, model.Second) {
+			if !pause(io.ctx, rentRetryPause) {
 				break
 			}
 		}
@@ -125,88 +136,85 @@
 	}()
 }
 
-func (io *inputOutput) remove(m msgDeleted) {
+func (io *inputOutput) deleteMachines(m msgDeleted) {
 	go func() {
 		if m.err = errTooLate; !io.tooLate(m.carryOut) {
-			m.err = io.cloud.Delete(m.refs, cloudPatience)
+			m.err = io.cloud.Delete(m.machineIDs, cloudTimeout)
 		}
 		io.send(m)
 	}()
 }
 
+// pingResult is a sibling's answer to a ping.
+type pingResult struct {
+	name  string
+	alive bool
+	peer.Pinged
+}
+
 func (io *inputOutput) ping() {
 	go func() {
-		ctx, cancel := context.WithTimeout(io.ctx, pingPatience.Duration())
+		ctx, cancel := context.WithTimeout(io.ctx, pingTimeout.Duration())
 		defer cancel()
-		type result struct {
-			name  string
-			alive bool
-			peer.Pinged
-		}
-		results := make(chan result, len(io.peers))
+		results := make(chan pingResult, len(io.peers))
 		for _, p := range io.peers {
 			go func() {
-				pinged, err := p.Ping(ctx, io.name)
-				results <- result{p.Name, err == nil, pinged}
+				answer, err := p.Ping(ctx, io.name)
+				results <- pingResult{p.Name, err == nil, answer}
 			}()
 		}
-		var m msgPinged
-		workers := map[string]int{}
-		for range io.peers {
-			r := <-results
-			if r.alive {
-				m.alive++
-			}
-			m.workers += r.Workers
-			if r.Reached {
-				m.helpers = append(m.helpers, r.name)
-			}
-			if r.Relays {
-				m.relays = append(m.relays, r.name)
-				workers[r.name] = r.Workers
-			}
-		}
-		slices.SortFunc(m.relays, func(a, b string) int { return cmp.Or(workers[a]-workers[b], strings.Compare(a, b)) })
-		io.send(m)
+		io.send(collectPings(results, len(io.peers)))
 	}()
 }
 
-func (io *inputOutput) resign(session uint64, helper string) {
+// collectPings sums up the answers to a round of pings.
+func collectPings(results <-chan pingResult, pings int) msgPinged {
+	var m msgPinged
+	workers := map[string]int{}
+	for range pings {
+		r := <-results
+		if r.alive {
+			m.alive++
+		}
+		m.workers += r.Workers
+		if r.Reached {
+			m.serving = append(m.serving, r.name)
+		}
+		if r.Relays {
+			m.relays = append(m.relays, r.name)
+			workers[r.name] = r.Workers
+		}
+	}
+	slices.SortFunc(m.relays, func(a, b string) int { return cmp.Or(workers[a]-workers[b], strings.Compare(a, b)) })
+	return m
+}
+
+func (io *inputOutput) resign(session uint64, sibling string) {
 	select {
 	case io.abandon <- session:
-	default: // it has more to end than it can; their leases run out
+	default: // too many wait to be ended; they expire
 	}
 	go func() {
-		if helper == "" {
-			if err := io.state.End(session, 2*model.Second); err != nil {
+		if sibling == "" {
+			if err := io.state.End(session, endSessionTimeout); err != nil {
 				slog.Info("resign", "err", err)
 			}
 			return
 		}
-		ctx, cancel := context.WithTimeout(io.ctx, 2*time.Second)
-		defer cancel()
-		for _, p := range io.peers {
-			if p.Name == helper {
-				if err := p.Resign(ctx, session); err != nil {
-					slog.Info("resign", "helper", helper, "err", err)
-				}
-			}
-		}
+		io.resignThrough(session, sibling)
 	}()
 }
 
-// holderTxn makes a holder's transaction: it is guarded by the grant, and every
-// key by the version of it that we know, so that a copy that is carried out
-// late changes nothing.
-func holderTxn(blk string, ws []shard.Write, stamps map[string]uint64, grant state.Condition) *state.Txn {
-	t := &state.Txn{Conditions: []state.Condition{grant}}
-	for _, w := range ws {
-		key := w.Key
-		if key == "" {
-			key = state.BundleKey(blk, w.Slot)
+// resignThrough has a sibling end a session.
+func (io *inputOutput) resignThrough(session uint64, sibling string) {
+	ctx, cancel := context.WithTimeout(io.ctx, resignCallTimeout)
+	defer cancel()
+	for _, p := range io.peers {
+		if p.Name != sibling {
+			continue
+		}
+		if err := p.Resign(ctx, session); err != nil {
+			slog.Info("resign", "helper", sibling, "err", err)
 		}
-		t.Conditions = append(t.Conditions, state.Condition{Path: key, Revision: stamps[key]})
-		t.Then = append(t.Then, state.Op{Set: key, Value: w.Value})
 	}
-	return t
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -11,25 +11,23 @@
 	"woadweir/internal/state"
 )
 
-// Rhythm of placement rounds: they take so much of the processor's share that the
+// Intervals of placement rounds: these use a share of the processor time that the
 // settings grant, within bounds. Rounds that may preempt work take longer.
 const (
-	placeLeast   = 40 * model.Millisecond
-	placeMost    = 400 * model.Millisecond
-	placeShare   = 0.15
-	preemptMost  = 800 * model.Millisecond
-	preemptShare = 0.1
+	minPlacementInterval  = 40 * model.Millisecond
+	maxPlacementInterval  = 400 * model.Millisecond
+	placementCPUShare     = 0.15
+	maxPreemptionInterval = 800 * model.Millisecond
+	preemptionCPUShare    = 0.1
 )
 
-// pace is the pause after something that took so long, so that it gets no more
-// than a part of the processor's share.
-func (l *leader) pace(took model.Micros, part float64) model.Micros {
-	cores := l.c.set.Params.Quota.Cores
-	if cores <= 0 || cores > 1 {
-		cores = 1
-	}
-	return model.Micros(float64(took) / (part * cores))
-}
+const (
+	// maxTxnBytes keeps a transaction within the state service's 64 KiB, with room for
+	// keys and conditions.
+	maxTxnBytes = 48 << 10
+	// machineTypesRetry is how soon machine types are fetched again that are not known.
+	machineTypesRetry = model.Second
+)
 
 // taskSize is what a task takes, and whether it may use spot machines.
 type taskSize struct {
@@ -37,19 +35,20 @@
 	allowsSpot bool
 }
 
-// leader is what a controller has only while it leads. It is part of the
-// controller actor.
+// leader is what a controller has only while it leads: the scheduler of tasks, the
+// provisioner of machines, and what spills to other cells. It is part of the controller
+// actor.
 type leader struct {
 	c                *controller
-	token            uint64
-	ready            bool
-	resync           bool // a transaction failed: no further one before a catch-up
-	block            *shard.State
+	token            uint64       // the fencing token: the revision of the leader's grant
+	ready            bool         // it has taken over what former leaders wrote
+	resync           bool         // a transaction failed: none before a synchronization of the view
+	block            *shard.State // the scheduler
 	pendingResponses []pendingResponse
 
 	provisioner      *autoscaler.Provisioner
-	nextProvisioning model.Micros
-	provisionSoon    bool
+	nextProvisioning model.Micros // the next round at the latest
+	provisionSoon    bool         // something has changed: do not wait for that
 	lastProvisioning model.Micros
 	rentalCount      int
 	pendingRentals   map[string]cloud.Rental
@@ -71,44 +70,40 @@
 }
 
 func newLeader(c *controller, token uint64) *leader {
-	p := autoscaler.Defaults()
-	p.ExtraCapacityRate, p.Granularity, p.RefusedPause = float64(c.op.ExtraCapacityRate), int(c.op.Granularity), model.Seconds(float64(c.op.RefusedPauseS))
-	l := &leader{c: c, token: token, provisioner: autoscaler.New(p), pendingRentals: map[string]cloud.Rental{}, recentSizes: map[taskSize]model.Micros{},
-		deletedMachines: map[string]model.Micros{}, missingFromLists: map[string]int{}, pendingDeletions: map[string]model.Micros{}, intents: newIntentLog()}
+	params := autoscaler.Defaults()
+	params.ExtraCapacityRate = float64(c.op.ExtraCapacityRate)
+	params.Granularity = int(c.op.Granularity)
+	params.RefusedPause = model.Seconds(float64(c.op.RefusedPauseS))
+	l := &leader{
+		c:                c,
+		token:            token,
+		provisioner:      autoscaler.New(params),
+		pendingRentals:   map[string]cloud.Rental{},
+		recentSizes:      map[taskSize]model.Micros{},
+		deletedMachines:  map[string]model.Micros{},
+		missingFromLists: map[string]int{},
+		pendingDeletions: map[string]model.Micros{},
+		intents:          newIntentLog(),
+	}
 	l.spill = newSpiller(l, c.op.Spill)
 	return l
 }
 
-// takeOver builds the holder from a view that has everything that former
-// holders wrote: their transactions are shut out by the new grant.
+// takeOver builds the scheduler from a view that has everything that former leaders
+// wrote: the new grant has fenced off their transactions.
 func (l *leader) takeOver() {
 	c := l.c
-	w := c.set.Params.Workers
-	l.block = shard.New(shard.Params{Teams: c.teams, Report: model.Seconds(w.ReportS), Lease: model.Seconds(w.LeaseS),
-		GangWait: model.Seconds(w.GangWaitS), Margin: model.Second, MaxValue: c.maxValue(), Dense: c.dense(),
-		Waits: c.set.Waits(), Finish: c.set.Finish(), Deadlines: c.set.Deadlines(), Guarantee: c.set.Guarantee()}, l.token)
+	l.block = shard.New(l.schedulerParams(), l.token)
 	l.block.Log = logEvent
 	l.block.SetMachineTypes(c.view.MachineTypes)
 	l.spill.takeOver()
-	for ref := range c.view.Jobs {
-		l.jobNews(ref)
+	for jobID := range c.view.Jobs {
+		l.jobChanged(jobID)
 	}
-	c.view.Machines(func(ref string, rec *shard.MachineRecord) {
-		m := l.block.AddMachine(ref, rec.MachineType, rec.Zone, rec.Spot, c.now)
-		m.Stored = true
-		for job, ps := range rec.Tasks {
-			js := l.block.Jobs[job]
-			if js == nil {
-				continue // it is done, so nothing of it is on any machine
-			}
-			for _, p := range ps {
-				l.block.Restore(js, int(p[0]), p[1], m)
-			}
-		}
-	})
+	c.view.Machines(l.restoreMachine)
 	slots, names := c.view.Bundles(blockName)
-	for i, k := range slots {
-		l.block.LoadSlot(k, names[i])
+	for i, slot := range slots {
+		l.block.LoadSlot(slot, names[i])
 	}
 	l.block.StopSuperseded()
 	l.spill.afterRestore()
@@ -117,44 +112,77 @@
 	slog.Info("took over", "token", l.token, "machines", len(l.block.Machines), "jobs", len(l.block.Jobs))
 }
 
-// reload tells the holder of everything that a fresh listing has.
+func (l *leader) schedulerParams() shard.Params {
+	c := l.c
+	workers := c.set.Params.Workers
+	return shard.Params{
+		Teams:     c.teams,
+		Report:    model.Seconds(workers.ReportS),
+		Lease:     model.Seconds(workers.LeaseS),
+		GangWait:  model.Seconds(workers.GangWaitS),
+		Margin:    model.Second,
+		MaxValue:  c.maxValue(),
+		Dense:     c.dense(),
+		Waits:     c.set.Waits(),
+		Finish:    c.set.Finish(),
+		Deadlines: c.set.Deadlines(),
+		Guarantee: c.set.Guarantee(),
+	}
+}
+
+// restoreMachine adds a machine with the tasks bound to it from its record.
+func (l *leader) restoreMachine(machineID string, record *shard.MachineRecord) {
+	machine := l.block.AddMachine(machineID, record.MachineType, record.Zone, record.Spot, l.c.now)
+	machine.Stored = true
+	for jobID, tasks := range record.Tasks {
+		job := l.block.Jobs[jobID]
+		if job == nil {
+			continue // it has ended, so none of its tasks is on any machine
+		}
+		for _, task := range tasks {
+			l.block.Restore(job, int(task[0]), task[1], machine)
+		}
+	}
+}
+
+// reload tells the scheduler of everything that a new listing has.
 func (l *leader) reload() {
 	if !l.ready {
 		return
 	}
-	for ref := range l.c.view.Jobs {
-		l.jobNews(ref)
+	for jobID := range l.c.view.Jobs {
+		l.jobChanged(jobID)
 	}
 	l.spill.reload()
 }
 
-// jobNews tells the holder what the view says of a job.
-func (l *leader) jobNews(ref string) {
-	j := l.c.view.Jobs[ref]
-	if j == nil || l.spill.isGuest(ref) {
-		return // unknown, or it begins when one of that name that another cell has lent is gone
+// jobChanged tells the scheduler what the view says of a job.
+func (l *leader) jobChanged(jobID string) {
+	job := l.c.view.Jobs[jobID]
+	if job == nil || l.spill.isGuest(jobID) {
+		return // unknown, or it begins once the job of that name lent by another cell is gone
 	}
-	if js := l.block.Jobs[ref]; js != nil {
-		if j.End != "" {
-			l.block.EndJob(ref, j.End, l.c.now)
+	if scheduled := l.block.Jobs[jobID]; scheduled != nil {
+		if job.End != "" {
+			l.block.EndJob(jobID, job.End, l.c.now)
 		} else {
-			js.Priority, js.Deadline = j.Standing()
+			scheduled.Priority, scheduled.Deadline = job.Standing()
 		}
 		return
 	}
-	if j.Submission == nil || !j.Ready() || j.End != "" && l.ready {
-		// Of what is done nothing is on any machine, nor of what has not begun.
+	if job.Submission == nil || !job.Ready() || job.End != "" && l.ready {
+		// No task of a job that has ended, or not begun, is on any machine.
 		return
 	}
-	age := model.Micros(max(0, l.c.wall()-j.ReadyMs())) * model.Millisecond
-	l.block.AddJob(j.Job(), l.c.view.Done(ref), j.End, l.c.now, age)
-	l.spill.jobAdded(ref)
+	age := model.Micros(max(0, l.c.wall()-job.ReadyMs())) * model.Millisecond
+	l.block.AddJob(job.Job(), l.c.view.Done(jobID), job.End, l.c.now, age)
+	l.spill.jobAdded(jobID)
 	l.provisionSoon = true
 }
 
-// due tells that something is to be done again, and notes that it is done now.
-func (l *leader) due(at *model.Micros, gap model.Micros) bool {
-	if *at != 0 && l.c.now-*at < gap {
+// due reports whether something is to be done again, and notes that it is done now.
+func (l *leader) due(at *model.Micros, interval model.Micros) bool {
+	if *at != 0 && l.c.now-*at < interval {
 		return false
 	}
 	*at = l.c.now
@@ -179,83 +207,99 @@
 	l.writeIntents()
 	l.writeBindings()
 	l.answerPending(false)
-	if !l.machineTypesBusy && (l.machineTypesAt == 0 || c.now-l.machineTypesAt > machineTypesGap || !l.machineTypesKnown && c.now-l.machineTypesAt > model.Second) {
-		l.machineTypesAt, l.machineTypesBusy = c.now, true
-		c.io.flavors()
+	l.refreshCloudData()
+	if c.now >= l.nextProvisioning || l.provisionSoon && c.now-l.lastProvisioning >= provisionGap {
+		l.provision()
+	}
+}
+
+// refreshCloudData asks the cloud for machine types and for the list of machines, where
+// these are due.
+func (l *leader) refreshCloudData() {
+	if !l.machineTypesBusy && l.machineTypesDue() {
+		l.machineTypesAt, l.machineTypesBusy = l.c.now, true
+		l.c.io.fetchMachineTypes()
 	}
 	if !l.listBusy && l.due(&l.listAt, listGap) {
 		l.listBusy = true
-		c.io.list()
-	}
-	if c.now >= l.nextProvisioning || l.provisionSoon && c.now-l.lastProvisioning >= provisionGap {
-		l.provision()
+		l.c.io.listMachines()
 	}
 }
 
-// writeBindings makes the holder's changes durable, one transaction at a time.
+func (l *leader) machineTypesDue() bool {
+	age := l.c.now - l.machineTypesAt
+	return l.machineTypesAt == 0 || age > machineTypesGap || !l.machineTypesKnown && age > machineTypesRetry
+}
+
+// writeBindings makes the scheduler's changes durable, one transaction at a time.
 func (l *leader) writeBindings() {
 	c := l.c
-	if c.busy[laneHolder] || l.resync || c.now < c.pauses[laneHolder] || l.block.Queued() == 0 {
+	if !c.lanes.free(laneBindings, c.now) || l.resync || l.block.Queued() == 0 {
 		return
 	}
-	n := min(c.limits.TxnOps, c.budget.Left(c.now))
-	if n < 1 {
+	limit := min(c.limits.TxnOps, c.budget.Left(c.now))
+	if limit < 1 {
 		return
 	}
 	l.block.Params.Dense = c.dense()
-	ws := l.block.Writes(n, maxTxnBytes)
-	if len(ws) == 0 {
+	writes := l.block.Writes(limit, maxTxnBytes)
+	if len(writes) == 0 {
 		return
 	}
-	for i := range ws {
-		if end, ok := ws[i].Value.(shard.JobRecord); ok {
+	for i := range writes {
+		if end, ok := writes[i].Value.(shard.JobRecord); ok {
 			end.AtMs = c.wall()
-			ws[i].Value = end
+			writes[i].Value = end
 		}
 	}
-	t := holderTxn(blockName, ws, c.view.Revisions, state.Condition{Path: "grant/" + blockName, Revision: l.token})
-	c.send(laneHolder, msgCommitted{txn: t, writes: ws, token: l.token})
+	c.send(laneBindings, msgCommitted{txn: l.bindingsTxn(writes), writes: writes, token: l.token})
 }
 
-// maxTxnBytes keeps a transaction within the state service's 64 KiB, with room
-// for keys and guards.
-const maxTxnBytes = 48 << 10
+// bindingsTxn makes a transaction of the scheduler's writes. Its conditions are the
+// grant, and the known revision of every key, so that a copy that is executed late
+// changes nothing.
+func (l *leader) bindingsTxn(writes []shard.Write) *state.Txn {
+	txn := &state.Txn{Conditions: []state.Condition{{Path: grantKey, Revision: l.token}}}
+	for _, w := range writes {
+		key := w.Key
+		if key == "" {
+			key = state.BundleKey(blockName, w.Slot)
+		}
+		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: l.c.view.Revisions[key]})
+		txn.Then = append(txn.Then, state.Op{Set: key, Value: w.Value})
+	}
+	return txn
+}
 
+// committed handles the outcome of a transaction that this leader has sent.
 func (l *leader) committed(m msgCommitted) {
-	c := l.c
 	switch m.lane {
 	case laneMisc:
 		if m.err == nil && m.res.OK {
-			c.view.Apply(m.txn, m.res.Revision)
+			l.c.view.Apply(m.txn, m.res.Revision)
 		}
-		return
 	case laneIntent:
 		l.intentsCommitted(m)
-		return
 	case laneSpill:
 		l.spill.committed(m)
-		return
+	default:
+		l.bindingsCommitted(m)
 	}
+}
+
+// bindingsCommitted handles the outcome of a transaction of the scheduler's writes.
+func (l *leader) bindingsCommitted(m msgCommitted) {
+	c := l.c
 	switch {
 	case m.err != nil:
-		slog.Debug("commit", "err", m.err)
-		if errors.Is(m.err, state.ErrTooBig) {
-			c.tighten(m.err)
-			l.block.Params.MaxValue = c.maxValue()
-			l.block.Recut(m.writes)
-		} else {
-			l.block.Retry(m.writes, !state.NotExecuted(m.err))
-		}
-		if c.writeFailed(m) {
-			l.needSync()
-		}
+		l.bindingsFailed(m)
 	case m.res.OK:
 		c.view.Apply(m.txn, m.res.Revision)
 		l.block.Committed(m.writes, c.now)
 	default:
 		slog.Info("conflict", "keys", m.res.Failed)
 		if m.lostGrant() {
-			c.stepDown("the grant is not ours any more")
+			c.stepDown(reasonGrantLost)
 			return
 		}
 		l.block.Retry(m.writes, false)
@@ -263,25 +307,51 @@
 	}
 }
 
+// bindingsFailed has the scheduler retry writes that were refused or got no answer, in
+// smaller pieces if they were too large.
+func (l *leader) bindingsFailed(m msgCommitted) {
+	slog.Debug("commit", "err", m.err)
+	if errors.Is(m.err, state.ErrTooBig) {
+		l.c.lowerStateLimits(m.err)
+		l.block.Params.MaxValue = l.c.maxValue()
+		l.block.Recut(m.writes)
+	} else {
+		l.block.Retry(m.writes, !state.NotExecuted(m.err))
+	}
+	if l.c.writeFailed(m) {
+		l.needSync()
+	}
+}
+
 func (l *leader) needSync() {
 	l.c.needSync(&l.resync)
 }
 
-// place runs a placement round if one is due. On a large fleet reports come much
-// faster than rounds can be had: a round then serves many of them.
+// place runs a placement round if one is due. On a large fleet heartbeats come much
+// faster than rounds can be run: a round then serves many of them.
 func (l *leader) place() {
 	c := l.c
 	if !l.block.NeedsPlacement || !l.due(&l.placeAt, l.placeGap) {
 		return
 	}
-	displace := l.due(&l.preemptAt, l.preemptGap)
+	preempt := l.due(&l.preemptAt, l.preemptGap)
 	start := c.clock()
-	l.block.Place(c.now, displace)
+	l.block.Place(c.now, preempt)
 	took := c.clock() - start
-	if displace {
-		l.preemptGap = min(l.pace(took, preemptShare), preemptMost)
+	if preempt {
+		l.preemptGap = min(l.intervalFor(took, preemptionCPUShare), maxPreemptionInterval)
 	} else {
-		l.placeGap = min(max(placeLeast, l.pace(took, placeShare)), placeMost)
+		l.placeGap = min(max(minPlacementInterval, l.intervalFor(took, placementCPUShare)), maxPlacementInterval)
 	}
 	l.provisionSoon = true
 }
+
+// intervalFor is the interval at which something that took so long uses only a share of
+// the processor time that the settings grant.
+func (l *leader) intervalFor(took model.Micros, share float64) model.Micros {
+	cores := l.c.set.Params.Quota.Cores
+	if cores <= 0 || cores > 1 {
+		cores = 1
+	}
+	return model.Micros(float64(took) / (share * cores))
+}
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -361,7 +361,7 @@
 	if s.policy == nil {
 		return nil, spill.ErrNotHolder
 	}
-	answer := &spill.RenewalAnswer{Home: s.policy.Cell, Age: c.now - c.syncOK}
+	answer := &spill.RenewalAnswer{Home: s.policy.Cell, Age: c.now - c.sync.succeededAt}
 	for i := range r.Jobs {
 		answer.Jobs = append(answer.Jobs, s.verdict(r, &r.Jobs[i]))
 	}
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -9,117 +9,122 @@
 	"woadweir/internal/userapi"
 )
 
-// The messages that the controller actor takes. Whoever sends one with a reply
-// channel gives it a buffer of one, so that the actor never waits.
+// Requests to the controller actor. Whoever sends one with a reply channel gives it a
+// buffer of one, so that the actor never blocks.
 type (
-	// msgStatusRequest, msgSubmit and msgCancel are users' requests.
+	// msgTick has the controller look for what is due.
+	msgTick struct{}
+	// msgStatusRequest is a user's read of a job's status.
 	msgStatusRequest struct {
-		ref   string
+		jobID string
 		reply chan<- userapi.Answer
 	}
+	// msgSubmit is a user's submission of a job.
 	msgSubmit struct {
-		ref   string
-		sub   *model.Submission
-		err   error
-		reply chan<- userapi.Answer
+		jobID      string
+		submission *model.Submission
+		err        error // why the submission is not valid
+		reply      chan<- userapi.Answer
 	}
+	// msgCancel is a user's cancellation of a job.
 	msgCancel struct {
-		ref   string
+		jobID string
 		reply chan<- userapi.Answer
 	}
-	// msgUp is a health check.
-	msgUp struct{ reply chan<- bool }
-	// msgHeartbeat is a worker's report.
+	// msgHealthCheck is a health check of the load balancer.
+	msgHealthCheck struct{ reply chan<- bool }
+	// msgHeartbeat is a worker's heartbeat.
 	msgHeartbeat struct {
 		report *shard.Report
 		reply  chan<- workerAnswer
-		// relayed tells that it came through a sibling.
+		// relayed tells that a sibling has relayed it.
 		relayed bool
 	}
-	// msgRelayFailed tells that a report could not be handed on to the leader.
+	// msgPing is a sibling's ping.
+	msgPing struct{ reply chan<- pingReply }
+)
+
+// Outcomes of what the controller actor has asked for.
+type (
+	// msgRelayFailed tells that a heartbeat could not be relayed to the leader.
 	msgRelayFailed struct{}
-	// msgSession tells of the session: a new one, a touch, or its end (id 0).
+	// msgSession tells of the session: a new one, a renewal, or its end (id 0).
 	msgSession struct {
 		id   uint64
 		sent model.Micros
 	}
-	// msgSynced is the end of a catch-up.
+	// msgSynced is the end of a synchronization of the view.
 	msgSynced struct {
 		sent    model.Micros
 		changes *state.Changes
 		view    *state.View // after a listing
 		err     error
 	}
-	// msgCommitted is the end of a transaction.
+	// msgCommitted is the outcome of a transaction.
 	msgCommitted struct {
-		lane   int
+		lane   lane
+		txn    *state.Txn
 		res    *state.Result
 		err    error
-		writes []shard.Write
-		users  []userWrite
-		txn    *state.Txn
-		token  uint64 // the grant it ran under
+		writes []shard.Write // of the leader's scheduler
+		users  []userWrite   // in the order of the transaction's operations
+		// token is the fencing token that the transaction was sent under: the revision of
+		// the leader's grant or of a duty's lease.
+		token uint64
+		// session is the session that an election binds the leader's key to.
+		session uint64
 	}
-	// Answers of the cloud.
+	// msgMachineTypes has the cloud's machine types.
 	msgMachineTypes struct {
-		builds []model.MachineType
-		err    error
+		machineTypes []model.MachineType
+		err          error
 	}
+	// msgListed has the cloud's list of machines.
 	msgListed struct {
 		sent     model.Micros
 		machines []cloud.Machine
 		err      error
 	}
+	// msgRented is the outcome of a rental.
 	msgRented struct {
 		rental   cloud.Rental
 		offer    autoscaler.Offer
 		machines []string
 		err      error
-		term     uint64
+		token    uint64 // the leader's fencing token
 		carryOut
 	}
+	// msgDeleted is the outcome of a deletion of machines.
 	msgDeleted struct {
-		refs []string
-		err  error
-		term uint64
+		machineIDs []string
+		err        error
+		token      uint64 // the leader's fencing token
 		carryOut
 	}
-	msgTick struct{}
-	// msgPinged tells which siblings answer, and which of them reach the state
-	// service.
+	// msgPinged has the answers to a round of pings.
 	msgPinged struct {
-		alive   int
-		helpers []string
-		workers int      // that reported to siblings lately
-		relays  []string // siblings that hand reports on, those with fewest workers first
+		alive   int      // siblings that answered
+		serving []string // siblings that reach the state service
+		workers int      // that have sent heartbeats to siblings lately
+		relays  []string // siblings that relay heartbeats, those with fewest workers first
 	}
-	// msgReached is a sibling's ping.
-	msgReached struct{ reply chan<- pinged }
 )
 
-// pinged is the answer to a sibling's ping.
-type pinged struct {
-	reached bool
-	workers int
+// pingReply is the answer to a sibling's ping.
+type pingReply struct {
+	stateReached bool
+	workers      int
 }
 
-// workerAnswer is a response to a worker. If relay is set, the report may be handed on
-// to that sibling, which leads: its answer then counts instead.
+// workerAnswer is a response to a worker. If relay is set, the heartbeat may be relayed
+// to that sibling, which leads: its answer then replaces this one.
 type workerAnswer struct {
 	code  int
 	body  []byte
 	relay string
 }
 
-// userWrite is an acceptance or a cancellation on its way to being durable.
-type userWrite struct {
-	ref    string
-	sub    *model.Submission // nil: a cancellation
-	reply  []chan<- userapi.Answer
-	expiry model.Micros
-}
-
-// carryOut marks a call of the cloud that carries an intent out.
+// carryOut marks a call of the cloud that carries out an intent.
 type carryOut struct {
 	intent string // its key, "": none
 	stamp  uint64 // its revision
--- /dev/null
+++ b/internal/controller/probing.go
@@ -0,0 +1,62 @@
+package controller
+
+import "woadweir/internal/core/model"
+
+const (
+	probeInterval  = 500 * model.Millisecond // between rounds of pings, at least
+	probeFreshness = 2 * model.Second        // how long the answers of a round count
+	// relayProbeInterval is how often a leader with many connections looks for
+	// siblings that relay heartbeats.
+	relayProbeInterval = 2 * model.Second
+)
+
+// siblingProbe holds what the last round of pings to the other controllers has told.
+type siblingProbe struct {
+	inProgress bool
+	startedAt  model.Micros // when the last round was sent
+	answeredAt model.Micros // when its answers were complete
+	alive      int          // siblings that answered
+	serving    []string     // siblings that reach the state service, and so can serve in our place
+	relays     []string     // siblings that relay heartbeats
+	// resignVotes counts the rounds in a row that spoke for resigning.
+	resignVotes int
+}
+
+// fresh reports whether the answers of the last round are recent.
+func (p *siblingProbe) fresh(now model.Micros) bool { return now-p.answeredAt < probeFreshness }
+
+// pickServing returns a sibling that can serve users, or "" if none is known to.
+func (p *siblingProbe) pickServing(now model.Micros) string {
+	if len(p.serving) == 0 || !p.fresh(now) {
+		return ""
+	}
+	return p.serving[int(now)%len(p.serving)]
+}
+
+func (p *siblingProbe) answered(m msgPinged, now model.Micros) {
+	p.inProgress, p.answeredAt = false, now
+	p.alive, p.serving, p.relays = m.alive, m.serving, m.relays
+}
+
+// startProbe pings the siblings if that may tell something of use: which of them reach
+// the state service while this controller may not, whether workers reach them while
+// none reaches this leader, or which of them relay heartbeats when this leader's
+// connections run short.
+func (c *controller) startProbe() {
+	p := &c.siblings
+	if p.inProgress || len(c.set.Siblings) == 0 || p.startedAt != 0 && c.now-p.startedAt < probeInterval {
+		return
+	}
+	needsRelays := c.leading != nil && c.now-p.startedAt >= relayProbeInterval && c.relay.connectionLoad(c.now) >= relayProbeWatermark
+	if !needsRelays && !c.sync.suspect(c.now) && !c.hasNoHeartbeats() {
+		return
+	}
+	p.inProgress, p.startedAt = true, c.now
+	c.io.ping()
+}
+
+// siblingsProbed handles the answers to a round of pings.
+func (c *controller) siblingsProbed(m msgPinged) {
+	c.siblings.answered(m, c.now)
+	c.considerResigning(m)
+}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -26,20 +26,20 @@
 func (l *leader) gotMachineTypes(m msgMachineTypes) {
 	c := l.c
 	l.machineTypesBusy = false
-	if m.err != nil || len(m.builds) == 0 {
+	if m.err != nil || len(m.machineTypes) == 0 {
 		slog.Debug("machine types", "err", m.err)
 		l.cloudBad = c.now
 		return
 	}
 	l.machineTypesKnown, l.cloudGood = true, c.now
-	same := len(m.builds) == len(c.view.MachineTypes)
-	for i := range m.builds {
-		same = same && m.builds[i].Name == c.view.MachineTypes[i].Name && m.builds[i].Size() == c.view.MachineTypes[i].Size()
+	same := len(m.machineTypes) == len(c.view.MachineTypes)
+	for i := range m.machineTypes {
+		same = same && m.machineTypes[i].Name == c.view.MachineTypes[i].Name && m.machineTypes[i].Size() == c.view.MachineTypes[i].Size()
 	}
-	if !same && !c.busy[laneMisc] {
+	if !same && !c.lanes.busy[laneMisc] {
 		// As many as a value bears: with some of them it can be told of most
 		// submissions, after an outage of the cloud, that they can run.
-		rec := state.MachineTypesRecord{MachineTypes: m.builds}
+		rec := state.MachineTypesRecord{MachineTypes: m.machineTypes}
 		for len(rec.MachineTypes) > 0 && !c.fits(rec) {
 			rec.MachineTypes = rec.MachineTypes[:len(rec.MachineTypes)-1]
 		}
@@ -48,7 +48,7 @@
 		c.send(laneMisc, msgCommitted{txn: t, token: l.token})
 	}
 	if l.ready {
-		l.block.SetMachineTypes(m.builds)
+		l.block.SetMachineTypes(m.machineTypes)
 		l.provisionSoon = true
 	}
 }
@@ -107,7 +107,7 @@
 		c.duties.rented(m)
 		return
 	}
-	if l == nil || l.token != m.term {
+	if l == nil || l.token != m.token {
 		return
 	}
 	delete(l.pendingRentals, m.rental.RequestID)
@@ -140,18 +140,18 @@
 		c.duties.deleted(m)
 		return
 	}
-	if l == nil || l.token != m.term {
+	if l == nil || l.token != m.token {
 		return
 	}
 	if m.err != nil {
 		l.cloudBad = c.now
-		for _, ref := range m.refs {
+		for _, ref := range m.machineIDs {
 			l.pendingDeletions[ref] = c.now + model.Second // again then
 		}
 		return
 	}
 	l.cloudGood = c.now
-	for _, ref := range m.refs {
+	for _, ref := range m.machineIDs {
 		l.machineGone(ref)
 	}
 	l.provisionSoon = true
@@ -263,7 +263,7 @@
 		l.decideReturn(refs)
 		return
 	}
-	c.io.remove(msgDeleted{refs: refs, term: l.token})
+	c.io.deleteMachines(msgDeleted{machineIDs: refs, token: l.token})
 }
 
 // deletionSent stands in pendingDeletions for a deletion that is on its way.
@@ -388,6 +388,6 @@
 			l.decideRental(rental)
 			continue
 		}
-		l.c.io.rent(msgRented{rental: rental, offer: autoscaler.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot}, term: l.token})
+		l.c.io.rentMachines(msgRented{rental: rental, offer: autoscaler.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot}, token: l.token})
 	}
 }
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -1,153 +1,211 @@
 package controller
 
 import (
+	"net/http"
+
+	"woadweir/internal/config"
 	"woadweir/internal/core/model"
 	"woadweir/internal/userapi"
 	"woadweir/internal/workerapi"
 )
 
-// A leader has a socket for each worker, and so many sockets only. When they get
-// short, it sends workers that come anew to siblings, which hand their reports on and
-// its answers back. All that is decided is decided by the leader, as if the worker
-// had come itself: how long an answer may take, and what a late one does, depends on
-// the worker alone.
+// A leader has a connection to each worker, and a limit of connections. When they run
+// short, it redirects workers that come anew to siblings, which relay their heartbeats to
+// the leader and its responses back. The leader decides everything as if the worker had
+// come itself: how long a response may take, and what a late one does, depends on the
+// worker alone. The watermarks are parts of the connection limit.
+const (
+	relayHighWatermark  = 0.62 // from here on, workers that come anew are redirected
+	relayLowWatermark   = 0.55 // below, relayed workers are asked to return
+	relayProbeWatermark = 0.45 // from here on, the leader looks for siblings that relay
+)
+
 const (
-	crowdFull  = 0.62 // of the sockets: from here on workers that come anew are sent on
-	crowdHome  = 0.55 // below, those that come through siblings are asked to come themselves
-	crowdPing  = 0.45 // from here on it asks which siblings hand reports on
-	crowdFresh = 250 * model.Millisecond
-	pingCrowd  = 2 * model.Second
-	failedFor  = 3 * model.Second // how long a sibling does not try again
+	pruneInterval   = 250 * model.Millisecond
+	relayRetryPause = 3 * model.Second // after a relay to the leader that failed
+	// returnWindow is how long a worker that was asked to return counts as on its way.
+	returnWindow = model.Second
 )
 
-// A worker that comes through a sibling although it came here itself not long ago,
-// or was asked to, can't reach this controller. It is not sent to and fro, or its
-// lease would run out.
+// A worker whose heartbeat is relayed although it came to the leader itself not long
+// ago, or was asked to, can't reach the leader. It is not redirected to and fro, or its
+// lease would expire.
 const (
-	cameLately  = 15 * model.Second
-	askedLately = 20 * model.Second
-	routesFor   = 60 * model.Second
+	directLately  = 15 * model.Second
+	askedLately   = 20 * model.Second
+	routeLifetime = 60 * model.Second
 )
 
-// route is how a worker came here.
+// route is how a worker's heartbeats reach this leader.
 type route struct {
-	direct model.Micros // when it last reported here itself
-	asked  model.Micros // when it was last asked to
+	directAt model.Micros // when it last sent one itself
+	askedAt  model.Micros // when it was last asked to
 }
 
-// direct is how many workers have reported to this controller itself in the last two
-// reports' time.
-func (c *controller) direct() int {
-	if c.seenAt == 0 || c.now-c.seenAt >= crowdFresh {
-		c.seenAt = c.now
-		fresh := 2 * model.Seconds(c.set.Params.Workers.ReportS)
-		for ref, at := range c.seen {
-			if c.now-at > fresh {
-				delete(c.seen, ref)
-			}
+// heartbeatRelay decides which workers send their heartbeats to this controller itself
+// and which through siblings, within the limit of connections.
+type heartbeatRelay struct {
+	connectionLimit int // 0: no limit
+	// freshFor is how long a worker counts as connected after a heartbeat.
+	freshFor  model.Micros
+	directAt  map[string]model.Micros // by machine: the last heartbeat that came itself
+	routes    map[string]route        // by machine, while this controller leads
+	prunedAt  model.Micros
+	askedFrom model.Micros // when the window of asked began
+	asked     int          // workers asked to return in this window
+	nextRelay int
+	// retryAt is before when no heartbeat is relayed to the leader.
+	retryAt model.Micros
+}
+
+func newHeartbeatRelay(set *config.Settings) heartbeatRelay {
+	return heartbeatRelay{connectionLimit: set.Params.Quota.FDLimit, freshFor: 2 * model.Seconds(set.Params.Workers.ReportS),
+		directAt: map[string]model.Micros{}, routes: map[string]route{}}
+}
+
+// received notes a heartbeat that a worker sent to this controller itself.
+func (r *heartbeatRelay) received(machineID string, leads bool, now model.Micros) {
+	r.directAt[machineID] = now
+	if leads {
+		known := r.routes[machineID]
+		known.directAt = now
+		r.routes[machineID] = known
+	}
+}
+
+// directWorkers is how many workers have sent heartbeats to this controller itself in
+// the last two heartbeat intervals.
+func (r *heartbeatRelay) directWorkers(now model.Micros) int {
+	if r.prunedAt == 0 || now-r.prunedAt >= pruneInterval {
+		r.prune(now)
+	}
+	return len(r.directAt)
+}
+
+// prune forgets workers that do not come any more.
+func (r *heartbeatRelay) prune(now model.Micros) {
+	r.prunedAt = now
+	for machineID, at := range r.directAt {
+		if now-at > r.freshFor {
+			delete(r.directAt, machineID)
 		}
-		for ref, r := range c.routes {
-			if c.now-max(r.direct, r.asked) > routesFor {
-				delete(c.routes, ref)
-			}
+	}
+	for machineID, known := range r.routes {
+		if now-max(known.directAt, known.askedAt) > routeLifetime {
+			delete(r.routes, machineID)
 		}
 	}
-	return len(c.seen)
 }
 
-// crowd is about how many workers report to this controller itself, as a part of
-// its sockets; 0 if these are not limited.
-func (c *controller) crowd() float64 {
-	limit := c.set.Params.Quota.FDLimit
-	if limit <= 0 {
+// connectionLoad is about how many workers are connected to this controller, as a part
+// of the limit; 0 without a limit.
+func (r *heartbeatRelay) connectionLoad(now model.Micros) float64 {
+	if r.connectionLimit <= 0 {
 		return 0
 	}
-	return float64(c.direct()) / float64(limit)
+	return float64(r.directWorkers(now)) / float64(r.connectionLimit)
 }
 
-// askHome tells that a worker whose report was handed on had better come itself.
-func (c *controller) askHome(machine string) bool {
-	if c.now-c.homeAt >= model.Second {
-		c.homeAt, c.home = c.now, 0
+// askToReturn decides whether a relayed worker is asked to come itself, and notes it.
+func (r *heartbeatRelay) askToReturn(machineID string, now model.Micros) bool {
+	if now-r.askedFrom >= returnWindow {
+		r.askedFrom, r.asked = now, 0
 	}
 	// Those asked a moment ago are still on their way.
-	if limit := c.set.Params.Quota.FDLimit; limit > 0 && float64(c.direct()+c.home) >= crowdHome*float64(limit) {
+	if r.connectionLimit > 0 && float64(r.directWorkers(now)+r.asked) >= relayLowWatermark*float64(r.connectionLimit) {
 		return false
 	}
-	r := c.routes[machine]
-	if r.direct != 0 && c.now-r.direct < cameLately || r.asked != 0 && c.now-r.asked < askedLately {
+	known := r.routes[machineID]
+	if known.directAt != 0 && now-known.directAt < directLately || known.askedAt != 0 && now-known.askedAt < askedLately {
 		return false
 	}
-	r.asked = c.now
-	c.routes[machine] = r
-	c.home++
+	known.askedAt = now
+	r.routes[machineID] = known
+	r.asked++
 	return true
 }
 
-// sendOn gives the sibling to which a worker that comes anew is to go, "" if it may
-// stay.
-func (c *controller) sendOn(machine string) string {
-	if _, here := c.seen[machine]; here || len(c.relays) == 0 || c.now-c.pingedAt > 2*pingCrowd || c.crowd() < crowdFull {
+// target returns the sibling to which a worker that comes anew is redirected, or "" if
+// it may stay.
+func (r *heartbeatRelay) target(machineID string, siblings *siblingProbe, now model.Micros) string {
+	if _, known := r.directAt[machineID]; known {
+		return ""
+	}
+	relays := siblings.relays
+	if len(relays) == 0 || now-siblings.answeredAt > 2*relayProbeInterval || r.connectionLoad(now) < relayHighWatermark {
 		return ""
 	}
-	c.relayNext++
-	return c.relays[c.relayNext%len(c.relays)]
+	r.nextRelay++
+	return relays[r.nextRelay%len(relays)]
 }
 
-// elsewhere tells a worker where to go, or whom to hand its report on to.
-func (c *controller) elsewhere() workerAnswer {
-	a := workerAnswer{code: 421, body: workerapi.Elsewhere("")}
-	if l := c.view.Leader; l != nil && l.Node != c.set.NodeName && c.auth.Fresh(c.now) {
-		a.body = workerapi.Elsewhere(l.Node)
-		if c.now >= c.relayNotBy {
-			a.relay = l.Node
-		}
+// relayFailed pauses relaying to the leader after a relay that got no answer.
+func (r *heartbeatRelay) relayFailed(now model.Micros) { r.retryAt = now + relayRetryPause }
+
+// redirectTo is a response that sends a worker to another controller, or to any if none
+// is named.
+func redirectTo(node string) workerAnswer {
+	return workerAnswer{code: http.StatusMisdirectedRequest, body: workerapi.Elsewhere(node)}
+}
+
+// workerUnavailable is a response that has a worker try again.
+func workerUnavailable() workerAnswer {
+	return workerAnswer{code: http.StatusServiceUnavailable, body: []byte("{}")}
+}
+
+// redirectToLeader is a response that sends a worker to the leader, or has its
+// heartbeat relayed there.
+func (c *controller) redirectToLeader() workerAnswer {
+	l := c.view.Leader
+	if l == nil || l.Node == c.set.NodeName || !c.auth.Fresh(c.now) {
+		return redirectTo("")
+	}
+	a := redirectTo(l.Node)
+	if c.now >= c.relay.retryAt {
+		a.relay = l.Node
 	}
 	return a
 }
 
-func (c *controller) report(m msgHeartbeat) {
+// handleHeartbeat answers a worker's heartbeat, which the leader alone can take.
+func (c *controller) handleHeartbeat(m msgHeartbeat) {
 	leads := c.leading != nil
+	machineID := m.report.Machine
 	if leads && !m.relayed {
-		if to := c.sendOn(m.report.Machine); to != "" {
-			m.reply <- workerAnswer{code: 421, body: workerapi.Elsewhere(to)}
+		if sibling := c.relay.target(machineID, &c.siblings, c.now); sibling != "" {
+			m.reply <- redirectTo(sibling)
 			return
 		}
 	}
 	if !m.relayed {
-		c.seen[m.report.Machine] = c.now
-		if leads {
-			r := c.routes[m.report.Machine]
-			r.direct = c.now
-			c.routes[m.report.Machine] = r
-		}
+		c.relay.received(machineID, leads, c.now)
 	}
 	switch {
 	case !leads:
-		a := c.elsewhere()
+		a := c.redirectToLeader()
 		if m.relayed {
-			a.relay = "" // once is enough
+			a.relay = "" // a heartbeat is relayed once
 		}
 		m.reply <- a
 	case !c.leading.ready || !c.auth.Holds(c.now):
-		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
-	case m.relayed && c.askHome(m.report.Machine):
-		m.reply <- workerAnswer{code: 421, body: workerapi.Elsewhere(c.set.NodeName)}
+		m.reply <- workerUnavailable()
+	case m.relayed && c.relay.askToReturn(machineID, c.now):
+		m.reply <- redirectTo(c.set.NodeName)
 	default:
-		c.leading.report(m)
+		c.leading.handleHeartbeat(m)
 	}
 }
 
-// Report answers a report that a sibling hands on.
-func (f *front) Report(body []byte) (code int, answer []byte) {
-	r, err := workerapi.ParseHeartbeat(body)
+// Report answers a heartbeat that a sibling relays.
+func (f *frontend) Report(body []byte) (code int, answer []byte) {
+	heartbeat, err := workerapi.ParseHeartbeat(body)
 	if err != nil {
-		return 400, userapi.Error(400, err.Error(), 0).Body
+		return http.StatusBadRequest, userapi.Error(http.StatusBadRequest, err.Error(), 0).Body
 	}
 	reply := make(chan workerAnswer, 1)
-	a, got := ask(f.mail, msgHeartbeat{report: r, reply: reply, relayed: true}, reply, patienceRelay)
-	if !got {
-		return 503, []byte("{}")
+	a, ok := ask(f.mail, msgHeartbeat{report: heartbeat, reply: reply, relayed: true}, reply, relayTimeout)
+	if !ok {
+		a = workerUnavailable()
 	}
 	return a.code, a.body
 }
--- a/internal/controller/responses.go
+++ b/internal/controller/responses.go
@@ -1,84 +1,102 @@
 package controller
 
 import (
+	"net/http"
+
 	"woadweir/internal/core/model"
 	"woadweir/internal/core/shard"
 	"woadweir/internal/workerapi"
 )
 
-// report takes a worker's report. The response may wait a moment for bindings that the
-// report made possible.
-func (l *leader) report(m msgHeartbeat) {
-	c := l.c
-	if l.deletedMachines[m.report.Machine] != 0 {
-		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
+const (
+	// maxResponseDelay is how long a response waits for bindings to become durable.
+	maxResponseDelay = 250 * model.Millisecond
+	// maxWithheldDelay is how long a response waits for the right to run a lent job.
+	maxWithheldDelay = 1500 * model.Millisecond
+)
+
+// pendingResponse is a response to a worker that waits for bindings to become durable.
+type pendingResponse struct {
+	msg   msgHeartbeat
+	until model.Micros
+}
+
+// handleHeartbeat takes a worker's heartbeat. The response may wait a moment for
+// bindings that the heartbeat made possible.
+func (l *leader) handleHeartbeat(m msgHeartbeat) {
+	machineID := m.report.Machine
+	if l.deletedMachines[machineID] != 0 {
+		m.reply <- workerUnavailable()
 		return
 	}
-	switch l.block.ApplyHeartbeat(m.report, c.now) {
+	switch l.block.ApplyHeartbeat(m.report, l.c.now) {
 	case shard.Stale:
-		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
+		m.reply <- workerUnavailable()
 		return
 	case shard.Deposed:
-		c.afterSync(func(bool) {})
-		m.reply <- workerAnswer{code: 421, body: workerapi.Elsewhere("")}
+		l.c.sync.request()
+		m.reply <- redirectTo("")
 		return
 	case shard.Introduced:
-		m.reply <- workerAnswer{code: 200, body: workerapi.Answer(l.token, nil)}
+		m.reply <- workerAnswer{code: http.StatusOK, body: workerapi.Answer(l.token, nil)}
 		return
 	}
 	l.place()
-	if l.awaits(m.report.Machine) {
-		until := c.now + maxResponseDelay
-		if l.spill.withheld(m.report.Machine) {
-			// Sent to the next controller, the worker would lose seconds of its lease.
-			until = c.now + maxWithheldDelay
-		}
-		l.pendingResponses = append(l.pendingResponses, pendingResponse{m, until})
+	if l.shouldDelay(machineID) {
+		l.pendingResponses = append(l.pendingResponses, pendingResponse{m, l.c.now + l.responseDelay(machineID)})
 		return
 	}
 	l.respond(m)
 }
 
-// maxWithheldDelay is how long a response waits for the right to run a lent job.
-const maxWithheldDelay = 1500 * model.Millisecond
+// responseDelay is how long a machine's response may wait at most.
+func (l *leader) responseDelay(machineID string) model.Micros {
+	if l.spill.withheld(machineID) {
+		// A refused worker would try the next controller, and lose seconds of its lease.
+		return maxWithheldDelay
+	}
+	return maxResponseDelay
+}
 
-// awaits tells whether the response to a machine's report had better wait: for its
-// bindings to be durable, for the round that may give it some, or for the right to run
-// lent tasks.
-func (l *leader) awaits(ref string) bool {
-	if l.block.Pending(ref) || l.spill.withheld(ref) {
+// shouldDelay reports whether the response to a machine's heartbeat should wait: for its
+// bindings to become durable, for the placement round that may give it some, or for the
+// right to run lent tasks.
+func (l *leader) shouldDelay(machineID string) bool {
+	if l.block.Pending(machineID) || l.spill.withheld(machineID) {
 		return true
 	}
-	m := l.block.Machines[ref]
-	return l.block.NeedsPlacement && m != nil && m.HasNews
+	machine := l.block.Machines[machineID]
+	return l.block.NeedsPlacement && machine != nil && machine.HasNews
 }
 
+// respond sends a machine its commands, unless a newer heartbeat of it has come since or
+// this controller may not command it any more.
 func (l *leader) respond(m msgHeartbeat) {
-	h := l.block.Machines[m.report.Machine]
+	machine := l.block.Machines[m.report.Machine]
 	l.spill.applyRights()
 	if l.spill.withheld(m.report.Machine) {
-		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
+		m.reply <- workerUnavailable()
 		return
 	}
-	if h == nil || h.Incarnation != m.report.Session || h.Sequence != m.report.Sequence || h.Deleting || !l.c.auth.Holds(l.c.now) {
-		m.reply <- workerAnswer{code: 503, body: []byte("{}")}
+	if machine == nil || machine.Incarnation != m.report.Session || machine.Sequence != m.report.Sequence || machine.Deleting || !l.c.auth.Holds(l.c.now) {
+		m.reply <- workerUnavailable()
 		return
 	}
-	m.reply <- workerAnswer{code: 200, body: workerapi.Answer(l.token, l.block.Commands(m.report, l.c.now))}
+	m.reply <- workerAnswer{code: http.StatusOK, body: workerapi.Answer(l.token, l.block.Commands(m.report, l.c.now))}
 }
 
-// answerPending answers reports whose bindings are durable, or that waited enough.
+// answerPending sends the responses that need not wait any more, or all of them.
 func (l *leader) answerPending(all bool) {
 	if len(l.pendingResponses) == 0 {
 		return
 	}
-	keep := l.pendingResponses[:0]
-	for _, h := range l.pendingResponses {
-		if !all && l.awaits(h.msg.report.Machine) && l.c.now < h.until {
-			keep = append(keep, h)
+	waiting := l.pendingResponses[:0]
+	for _, pending := range l.pendingResponses {
+		if !all && l.shouldDelay(pending.msg.report.Machine) && l.c.now < pending.until {
+			waiting = append(waiting, pending)
 			continue
 		}
-		l.respond(h.msg)
+		l.respond(pending.msg)
 	}
-	l.pendingResponses = keep
+	l.pendingResponses = waiting
 }
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -1,5 +1,9 @@
-// Package controller wires a controller: sockets and timers round the core, and the
-// actors that own the state.
+// Package controller runs a controller of the cluster scheduler. All of its state belongs
+// to one goroutine, the controller actor, which takes messages from a mailbox: users'
+// requests, workers' heartbeats, and the outcomes of what it has asked of the state
+// service, the cloud and the other controllers. One of the controllers is elected the
+// leader, which schedules tasks and provisions machines; the others serve users' requests
+// and single-holder duties, and relay heartbeats.
 package controller
 
 import (
@@ -7,7 +11,6 @@
 	"errors"
 	"log/slog"
 	"net"
-	"strconv"
 	"time"
 
 	"github.com/valyala/fasthttp"
@@ -22,11 +25,9 @@
 	"woadweir/internal/peer"
 	"woadweir/internal/state"
 	"woadweir/internal/tracing"
-	"woadweir/internal/userapi"
-	"woadweir/internal/workerapi"
 )
 
-// Clock gives the steady time of this process.
+// Clock gives the monotonic time of this process.
 type Clock func() model.Micros
 
 // SteadyClock counts from its own start.
@@ -35,19 +36,35 @@
 	return func() model.Micros { return model.Micros(time.Since(start) / time.Microsecond) }
 }
 
-// mailboxSize is how many messages may wait for the controller actor. After a takeover
-// all workers of some thousand machines report within a second.
-const mailboxSize = 16384
+const (
+	// mailboxSize is how many messages may wait for the controller actor. After a
+	// takeover all workers of some thousand machines send heartbeats within a second.
+	mailboxSize = 16384
+	// tickInterval is how often the controller actor looks for what is due.
+	tickInterval = 50 * time.Millisecond
+	// abandonedSessions is how many sessions may wait to be ended.
+	abandonedSessions = 8
+)
+
+// Limits of the HTTP server.
+const (
+	maxRequestBytes  = 64 << 10
+	readBufferBytes  = 4096
+	readTimeout      = 30 * time.Second
+	writeTimeout     = 10 * time.Second
+	minIdleTimeout   = 30 * time.Second
+	idleHeartbeats   = 6  // heartbeat intervals after which a connection is idle
+	minConcurrency   = 64 // requests at a time, where connections are limited
+	concurrencyShare = 9  // tenths of the connection limit
+)
 
 // Run serves until the context ends or a listener fails.
 func Run(ctx context.Context, set *config.Settings, op *config.Operator) error {
-	clock := SteadyClock()
-	ln, err := net.Listen("tcp4", set.ServeOn)
+	listener, err := net.Listen("tcp4", set.ServeOn)
 	if err != nil {
 		return err
 	}
-	spans := set.Spans(op)
-	slog.Info("start", "node", set.NodeName, "session_s", spans.TTL.Seconds())
+	slog.Info("start", "node", set.NodeName, "session_s", set.Spans(op).TTL.Seconds())
 
 	if op.Duties != nil && op.Duties.TraceEndpoint != "" {
 		shutdown, err := tracing.Setup(ctx, op.Duties.TraceEndpoint, set.NodeName)
@@ -56,49 +73,70 @@
 		}
 		defer func() { _ = shutdown(context.WithoutCancel(ctx)) }() // what is not sent by now is lost
 	}
-	g, ctx := errgroup.WithContext(ctx)
-	mail := make(chan any, mailboxSize)
-	st := state.NewClient(set.Services.State)
-	peers, err := dialSiblings(set)
+	group, ctx := errgroup.WithContext(ctx)
+	p, err := newProcess(ctx, set, op)
 	if err != nil {
 		return err
 	}
-	back, err := net.Listen("tcp4", set.Back)
-	if err != nil {
+	p.start(ctx, group, listener)
+	if err := group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
 	}
-	f := &front{mail: mail, peers: peers, state: st, ctx: ctx}
-	var services []func(grpc.ServiceRegistrar)
-	if op.Spill != nil {
-		services = append(services, func(s grpc.ServiceRegistrar) { cellrpc.Register(s, f) })
+	return nil
+}
+
+// process is a controller with all that it runs: the actors and the servers.
+type process struct {
+	mail         chan any
+	controller   *controller
+	session      *session
+	frontend     *frontend
+	http         *fasthttp.Server
+	peerListener net.Listener
+	peerServices []func(grpc.ServiceRegistrar)
+}
+
+// newProcess sets a controller up, without starting anything.
+func newProcess(ctx context.Context, set *config.Settings, op *config.Operator) (*process, error) {
+	clock, spans := SteadyClock(), set.Spans(op)
+	mail := make(chan any, mailboxSize)
+	stateClient := state.NewClient(set.Services.State)
+	peers, err := dialSiblings(set)
+	if err != nil {
+		return nil, err
 	}
-	g.Go(func() error { return peer.Serve(ctx, back, f, services...) })
-	abandon := make(chan uint64, 8)
-	io := &inputOutput{mail: mail, clock: clock, state: st, cloud: cloud.NewClient(set.Services.Cloud), peers: peers, name: set.NodeName, ctx: ctx,
-		abandon: abandon}
-	c := newController(set, op, spans, clock, io)
-	if op.Spill != nil {
-		if c.cells, err = newCellIO(io, op.Spill); err != nil {
-			return err
-		}
+	p := &process{mail: mail, frontend: &frontend{mail: mail, peers: peers, state: stateClient, ctx: ctx}}
+	p.http = newHTTPServer(set, p.frontend)
+	if p.peerListener, err = net.Listen("tcp4", set.Back); err != nil {
+		return nil, err
 	}
-	g.Go(func() error { return c.run(ctx, mail) })
-	ses := &session{state: st, clock: clock, mail: mail, name: set.NodeName, serve: set.ServeOn, ttl: spans.TTL, duties: op.Duties != nil, spills: op.Spill != nil, abandon: abandon}
-	g.Go(func() error { return ses.run(ctx) })
-	g.Go(func() error { return tick(ctx, mail) })
-	srv := newServer(set, f)
-	g.Go(func() error { return srv.Serve(ln) })
-	g.Go(func() error { <-ctx.Done(); return srv.Shutdown() })
-	if err := g.Wait(); err != nil && !errors.Is(err, context.Canceled) {
-		return err
+	abandon := make(chan uint64, abandonedSessions)
+	io := &inputOutput{mail: mail, clock: clock, state: stateClient, cloud: cloud.NewClient(set.Services.Cloud), peers: peers, name: set.NodeName, ctx: ctx,
+		abandon: abandon}
+	p.controller = newController(set, op, spans, clock, io)
+	p.session = &session{state: stateClient, clock: clock, mail: mail, name: set.NodeName, serve: set.ServeOn, ttl: spans.TTL, duties: op.Duties != nil, spills: op.Spill != nil, abandon: abandon}
+	if op.Spill == nil {
+		return p, nil
 	}
-	return nil
+	p.peerServices = append(p.peerServices, func(s grpc.ServiceRegistrar) { cellrpc.Register(s, p.frontend) })
+	p.controller.cells, err = newCellIO(io, op.Spill)
+	return p, err
+}
+
+// start starts the actors and the servers.
+func (p *process) start(ctx context.Context, group *errgroup.Group, listener net.Listener) {
+	group.Go(func() error { return peer.Serve(ctx, p.peerListener, p.frontend, p.peerServices...) })
+	group.Go(func() error { return p.controller.run(ctx, p.mail) })
+	group.Go(func() error { return p.session.run(ctx) })
+	group.Go(func() error { return tick(ctx, p.mail) })
+	group.Go(func() error { return p.http.Serve(listener) })
+	group.Go(func() error { <-ctx.Done(); return p.http.Shutdown() })
 }
 
 // dialSiblings prepares the calls to the other controllers.
 func dialSiblings(set *config.Settings) (peers []*peer.Client, err error) {
-	for _, s := range set.Siblings {
-		p, err := peer.Dial(s.NodeName, s.Endpoint)
+	for _, sibling := range set.Siblings {
+		p, err := peer.Dial(sibling.NodeName, sibling.Endpoint)
 		if err != nil {
 			return nil, err
 		}
@@ -107,209 +145,47 @@
 	return peers, nil
 }
 
-// newServer answers users and workers.
-func newServer(set *config.Settings, f *front) *fasthttp.Server {
-	srv := &fasthttp.Server{Handler: f.serve, Name: "woadweir", MaxRequestBodySize: 64 << 10, NoDefaultDate: true,
-		ReadBufferSize: 4096, IdleTimeout: idleTimeout(set), ReadTimeout: 30 * time.Second, WriteTimeout: 10 * time.Second,
-		Logger: quiet{}, NoDefaultContentType: true, DisablePreParseMultipartForm: true}
-	if n := set.Params.Quota.FDLimit; n > 0 {
-		srv.Concurrency = max(64, n*9/10)
+// newHTTPServer answers users and workers.
+func newHTTPServer(set *config.Settings, f *frontend) *fasthttp.Server {
+	server := &fasthttp.Server{Handler: f.serve, Name: "woadweir", MaxRequestBodySize: maxRequestBytes, NoDefaultDate: true,
+		ReadBufferSize: readBufferBytes, IdleTimeout: idleTimeout(set), ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
+		Logger: discardLogger{}, NoDefaultContentType: true, DisablePreParseMultipartForm: true}
+	if limit := set.Params.Quota.FDLimit; limit > 0 {
+		server.Concurrency = max(minConcurrency, limit*concurrencyShare/10)
 	}
-	return srv
+	return server
 }
 
-// idleTimeout is how long a connection may be silent. Workers whose machines were
-// cut off come back on new connections, hundreds at once, while nothing ends their
-// old ones: those must be gone before they are too many.
+// idleTimeout is how long a connection may be idle. Workers whose machines were
+// partitioned off come back on new connections, hundreds at once, while nothing closes
+// their old ones: those must be closed before there are too many.
 func idleTimeout(set *config.Settings) time.Duration {
-	return max(30*time.Second, (6 * model.Seconds(set.Params.Workers.ReportS)).Duration())
+	return max(minIdleTimeout, (idleHeartbeats * model.Seconds(set.Params.Workers.ReportS)).Duration())
 }
 
-// quiet drops the HTTP server's own complaints about broken connections.
-type quiet struct{}
+// discardLogger drops what the HTTP server logs about broken connections.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
+// tick sends the controller actor a message at every interval.
 func tick(ctx context.Context, mail chan<- any) error {
-	t := time.NewTicker(50 * time.Millisecond)
-	defer t.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-t.C:
+		case <-ticker.C:
 			select {
 			case mail <- msgTick{}:
-			default: // the actor is behind; it has work enough
+			default: // the mailbox is full, so the actor runs anyway
 			}
 		}
 	}
 }
 
-// How long a request may wait for the controller actor.
-const (
-	patienceUser   = 4500 * time.Millisecond
-	patiencePoll   = 1800 * time.Millisecond
-	patienceWorker = 3500 * time.Millisecond
-	patienceRelay  = 2500 * time.Millisecond
-	patienceUp     = 900 * time.Millisecond
-)
-
-// front turns requests into messages and answers into responses.
-type front struct {
-	mail  chan<- any
-	peers []*peer.Client
-	state *state.Client
-	ctx   context.Context
-}
-
-func (f *front) serve(rc *fasthttp.RequestCtx) {
-	method, path := string(rc.Method()), string(rc.Path())
-	rc.SetContentType("application/json")
-	if path == "/checkin" && method == "POST" {
-		f.checkin(rc)
-		return
-	}
-	a := f.User(method, path, rc.PostBody())
-	if a.Helper != "" {
-		a = f.forward(a, method, path, rc.PostBody())
-	}
-	answer(rc, a)
-}
-
-const patienceForward = 1200 * time.Millisecond
-
-// forward has a sibling answer; without its answer, ours stands.
-func (f *front) forward(a userapi.Answer, method, path string, body []byte) userapi.Answer {
-	for _, p := range f.peers {
-		if p.Name != a.Helper {
-			continue
-		}
-		ctx, cancel := context.WithTimeout(f.ctx, patienceForward)
-		defer cancel()
-		if b, err := p.Forward(ctx, method, path, body); err == nil {
-			return b
-		}
-	}
-	return a
-}
-
-// Ping answers a sibling's ping.
-func (f *front) Ping() (stateReached bool, workers int) {
-	reply := make(chan pinged, 1)
-	p, _ := ask(f.mail, msgReached{reply}, reply, patienceUp)
-	return p.reached, p.workers
-}
-
-// EndSession ends a sibling's session on its own request.
-func (f *front) EndSession(id uint64) {
-	if err := f.state.End(id, 2*model.Second); err != nil {
-		slog.Info("a sibling's session could not be ended", "id", id, "err", err)
-	}
-}
-
-// User answers a user's request by what this controller itself knows.
-func (f *front) User(method, path string, body []byte) userapi.Answer {
-	route, ref := userapi.Parse(method, path)
-	if (route == userapi.Poll || route == userapi.Cancel) && !model.ValidJobID(ref) {
-		return userapi.Error(404, "no such job", 0)
-	}
-	reply := make(chan userapi.Answer, 1)
-	switch route {
-	case userapi.Up:
-		up := make(chan bool, 1)
-		if ok, got := ask(f.mail, msgUp{up}, up, patienceUp); !got || !ok {
-			return userapi.Error(503, "not ready", 1)
-		}
-		return userapi.Answer{Code: 200, Body: []byte("{}")}
-	case userapi.Submit:
-		sub, ref, err := model.ParseSubmission(body)
-		if err != nil && ref == "" {
-			return userapi.Error(400, err.Error(), 0)
-		}
-		return askUser(f.mail, msgSubmit{ref, sub, err, reply}, reply, patienceUser)
-	case userapi.Poll:
-		return askUser(f.mail, msgStatusRequest{ref, reply}, reply, patiencePoll)
-	case userapi.Cancel:
-		return askUser(f.mail, msgCancel{ref, reply}, reply, patienceUser)
-	}
-	return userapi.Error(404, "no such page", 0)
-}
-
-func (f *front) checkin(rc *fasthttp.RequestCtx) {
-	body := rc.PostBody()
-	r, err := workerapi.ParseHeartbeat(body)
-	if err != nil {
-		answer(rc, userapi.Error(400, err.Error(), 0))
-		return
-	}
-	reply := make(chan workerAnswer, 1)
-	a, got := ask(f.mail, msgHeartbeat{report: r, reply: reply}, reply, patienceWorker)
-	if !got {
-		answer(rc, userapi.Error(503, "busy", 1))
-		return
-	}
-	if a.relay != "" {
-		a = f.relay(a, body)
-	}
-	rc.SetStatusCode(a.code)
-	rc.Response.SetBodyRaw(a.body)
-}
-
-// relay hands a report on to the leader; without its answer, ours stands.
-func (f *front) relay(a workerAnswer, body []byte) workerAnswer {
-	for _, p := range f.peers {
-		if p.Name != a.relay {
-			continue
-		}
-		ctx, cancel := context.WithTimeout(f.ctx, patienceRelay)
-		defer cancel()
-		if code, answer, err := p.Report(ctx, body); err == nil {
-			return workerAnswer{code: code, body: answer}
-		}
-	}
-	select {
-	case f.mail <- msgRelayFailed{}:
-	default: // the next will tell
-	}
-	return a
-}
-
-// ask sends a message and waits for its answer. When the actor's mailbox is
-// full, the request is refused at once.
-func ask[T any](mail chan<- any, msg any, reply <-chan T, patience time.Duration) (answer T, got bool) {
-	select {
-	case mail <- msg:
-	default:
-		return answer, false
-	}
-	t := time.NewTimer(patience)
-	defer t.Stop()
-	select {
-	case answer = <-reply:
-		return answer, true
-	case <-t.C:
-		return answer, false
-	}
-}
-
-func askUser(mail chan<- any, msg any, reply <-chan userapi.Answer, patience time.Duration) userapi.Answer {
-	a, got := ask(mail, msg, reply, patience)
-	if !got {
-		return userapi.Error(503, "try again", 1)
-	}
-	return a
-}
-
-func answer(rc *fasthttp.RequestCtx, a userapi.Answer) {
-	rc.SetStatusCode(a.Code)
-	if a.RetryAfter > 0 {
-		rc.Response.Header.Set("Retry-After", strconv.Itoa(a.RetryAfter))
-	}
-	rc.Response.SetBodyRaw(a.Body)
-}
-
-// logEvent writes a decision of the core.
+// logEvent logs an event of the leader's scheduler.
 func logEvent(e shard.Event) {
 	if !slog.Default().Enabled(context.Background(), slog.LevelInfo) {
 		return
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -12,8 +12,15 @@
 	"woadweir/internal/state"
 )
 
-// session is the actor that makes the requests which keep this process's lease
-// in the state service.
+// Timeouts of the requests that keep the session: a part of its time to live, within a
+// maximum.
+const (
+	sessionTimeoutPart = 5
+	maxSessionTimeout  = 2 * model.Second
+)
+
+// session is the actor that keeps this process's session with the state service, whose
+// end deletes the keys bound to it: it makes the requests that leadership.Session decides.
 type session struct {
 	state *state.Client
 	clock Clock
@@ -29,6 +36,7 @@
 	abandon chan uint64
 }
 
+// pause waits, and returns whether the context still stands.
 func pause(ctx context.Context, d model.Micros) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -43,6 +51,7 @@
 	}
 }
 
+// run keeps the session until the context ends, and tells the controller actor of it.
 func (s *session) run(ctx context.Context) error {
 	core := leadership.NewSession(s.ttl)
 	for {
@@ -57,7 +66,7 @@
 		default:
 		}
 		core.Sending(s.clock())
-		reply, err := s.make(call)
+		reply, err := s.execute(call)
 		if err != nil {
 			slog.Debug("session", "err", err)
 		}
@@ -76,33 +85,20 @@
 	}
 }
 
-// make carries a request of the session out.
-func (s *session) make(call leadership.Call) (r leadership.Reply, err error) {
-	patience := min(s.ttl/5, 2*model.Second)
-	key := "node/" + s.name
+// execute makes a request to the state service.
+func (s *session) execute(call leadership.Call) (r leadership.Reply, err error) {
+	timeout := min(s.ttl/sessionTimeoutPart, maxSessionTimeout)
 	switch call.Kind {
 	case leadership.CallRead:
-		var e *state.Entry
-		if e, err = s.state.Get(key, patience); err == nil {
-			var rec state.NodeRecord
-			if err := json.Unmarshal(e.Value, &rec); err != nil {
-				slog.Error("node key is not readable", "err", err)
-			}
-			r.ID, r.Revision = rec.Session, e.Revision
-		}
+		r, err = s.readNode(timeout)
 	case leadership.CallEnd:
-		err = s.state.End(call.ID, patience)
+		err = s.state.End(call.ID, timeout)
 	case leadership.CallGrant:
-		r.ID, err = s.state.Grant(s.ttl, patience)
+		r.ID, err = s.state.Grant(s.ttl, timeout)
 	case leadership.CallPut:
-		var res *state.Result
-		res, err = s.state.Commit(&state.Txn{Conditions: []state.Condition{{Path: key, Revision: call.Revision}},
-			Then: []state.Op{{Set: key, Value: state.NodeRecord{Session: call.ID, Serve: s.serve, Layout: state.Layout(s.spills), Duties: s.duties}, LeaseID: call.ID}}}, patience)
-		if err == nil && !res.OK {
-			r.Outcome = leadership.Conflict
-		}
+		r, err = s.putNode(call, timeout)
 	case leadership.CallTouch:
-		err = s.state.Touch(call.ID, patience)
+		err = s.state.Touch(call.ID, timeout)
 	}
 	switch {
 	case err == nil:
@@ -113,3 +109,32 @@
 	}
 	return r, err
 }
+
+// nodeKey is the key of this process's record, which is bound to its session.
+func (s *session) nodeKey() string { return "node/" + s.name }
+
+// readNode reads which session a former process of this name had.
+func (s *session) readNode(timeout model.Micros) (r leadership.Reply, err error) {
+	entry, err := s.state.Get(s.nodeKey(), timeout)
+	if err != nil {
+		return r, err
+	}
+	var record state.NodeRecord
+	if err := json.Unmarshal(entry.Value, &record); err != nil {
+		slog.Error("node key is not readable", "err", err)
+	}
+	r.ID, r.Revision = record.Session, entry.Revision
+	return r, nil
+}
+
+// putNode writes this process's record, unless another has written it meanwhile.
+func (s *session) putNode(call leadership.Call, timeout model.Micros) (r leadership.Reply, err error) {
+	record := state.NodeRecord{Session: call.ID, Serve: s.serve, Layout: state.Layout(s.spills), Duties: s.duties}
+	res, err := s.state.Commit(&state.Txn{
+		Conditions: []state.Condition{{Path: s.nodeKey(), Revision: call.Revision}},
+		Then:       []state.Op{{Set: s.nodeKey(), Value: record, LeaseID: call.ID}}}, timeout)
+	if err == nil && !res.OK {
+		r.Outcome = leadership.Conflict
+	}
+	return r, err
+}
--- a/internal/controller/spill.go
+++ b/internal/controller/spill.go
@@ -128,7 +128,7 @@
 // has ended is never lent.
 func (s *spiller) write() {
 	c := s.l.c
-	if c.busy[laneSpill] || s.resync || c.now < c.pauses[laneSpill] || len(s.changes) == 0 {
+	if !c.lanes.free(laneSpill, c.now) || s.resync || len(s.changes) == 0 {
 		return
 	}
 	n := min(c.limits.TxnOps, c.budget.Left(c.now))
@@ -194,7 +194,7 @@
 		return
 	}
 	if m.lostGrant() {
-		c.stepDown("the grant is not ours any more")
+		c.stepDown(reasonGrantLost)
 		return
 	}
 	if c.writeFailed(m) {
--- /dev/null
+++ b/internal/controller/status.go
@@ -0,0 +1,116 @@
+package controller
+
+import (
+	"net/http"
+
+	"woadweir/internal/core/model"
+	"woadweir/internal/userapi"
+)
+
+// healthySyncAge is how old the last successful view synchronization of a healthy
+// controller may be.
+const healthySyncAge = 3 * model.Second
+
+// The limit of status reads that wait for a read barrier: never below the minimum, and
+// the default where connections are not limited.
+const (
+	minWaitingReads     = 64
+	defaultWaitingReads = 1024
+)
+
+// healthy reports whether the load balancer should send users to this controller. A
+// controller that alone lost the state service can have siblings answer. When no
+// controller reaches the state service, leaving the load balancer would only delay the
+// return.
+func (c *controller) healthy() bool {
+	if !c.loaded {
+		return false
+	}
+	return c.now-c.sync.succeededAt < healthySyncAge || c.siblings.alive > 0 && c.siblings.fresh(c.now)
+}
+
+// stateUnreachable is the answer to a user when the state service is not reached. It
+// names a sibling that can answer instead, if one is known.
+func (c *controller) stateUnreachable() userapi.Answer {
+	a := userapi.Error(http.StatusServiceUnavailable, "state not reachable", 1)
+	a.Helper = c.siblings.pickServing(c.now)
+	return a
+}
+
+// withReadBarrier runs f after a linearizable read barrier, or answers that the state
+// service is not reached.
+func (c *controller) withReadBarrier(reply chan<- userapi.Answer, f func()) {
+	if c.sync.failed {
+		reply <- c.stateUnreachable()
+		return
+	}
+	c.sync.afterReadBarrier(func(ok bool) {
+		if !ok {
+			reply <- c.stateUnreachable()
+			return
+		}
+		f()
+	})
+}
+
+// readStatus answers a read of a job's status. All waiting reads share one read barrier,
+// so reads stay linearizable at a cost that does not grow with their number. Reads
+// beyond the limit are refused at once.
+func (c *controller) readStatus(m msgStatusRequest) {
+	switch _, ended := c.view.Final(m.jobID); {
+	case ended:
+		// A final status never changes, so no read barrier is needed.
+		m.reply <- c.statusAnswer(m.jobID)
+		return
+	case c.sync.failed:
+		m.reply <- c.stateUnreachable()
+		return
+	case c.waitingReads >= c.maxWaitingReads():
+		m.reply <- userapi.Error(http.StatusTooManyRequests, "too many questions", 1)
+		return
+	}
+	c.waitingReads++
+	c.sync.afterReadBarrier(func(ok bool) {
+		c.waitingReads--
+		if !ok {
+			m.reply <- c.stateUnreachable()
+			return
+		}
+		m.reply <- c.statusAnswer(m.jobID)
+	})
+}
+
+// maxWaitingReads limits the status reads that wait for a read barrier: each holds a
+// connection, and while the state service is slow they must leave enough of them to the
+// workers' heartbeats.
+func (c *controller) maxWaitingReads() int {
+	if limit := c.set.Params.Quota.FDLimit; limit > 0 {
+		return max(minWaitingReads, limit/4)
+	}
+	return defaultWaitingReads
+}
+
+// statusAnswer renders the status of a job. While a job fails on every machine, the
+// leader adds on how many it has failed, as the submission may be mistaken.
+func (c *controller) statusAnswer(jobID string) userapi.Answer {
+	status, done, running, known := c.view.Status(jobID)
+	if !known {
+		return noSuchJob()
+	}
+	return userapi.State(jobID, status, done, running, c.failedMachines(jobID))
+}
+
+func noSuchJob() userapi.Answer { return userapi.Error(http.StatusNotFound, "no such job", 0) }
+
+// failedMachines returns on how many machines a job has failed that fails everywhere; 0
+// for any other job, and on a controller that does not lead.
+func (c *controller) failedMachines(jobID string) int {
+	if c.leading == nil || !c.leading.ready {
+		return 0
+	}
+	job := c.leading.block.Jobs[jobID]
+	if job == nil || !job.NeedsBackoff() {
+		return 0
+	}
+	return len(job.FailedMachines)
+}
--- /dev/null
+++ b/internal/controller/submissions.go
@@ -0,0 +1,116 @@
+package controller
+
+import (
+	"net/http"
+
+	"woadweir/internal/core/model"
+	"woadweir/internal/core/shard"
+	"woadweir/internal/state"
+	"woadweir/internal/userapi"
+)
+
+// serviceKind is the kind of submissions of services, which never end.
+const serviceKind = "service"
+
+// submit answers a submission, or queues it to be made durable. Submissions are
+// idempotent: one of a known job is answered with that job's status.
+func (c *controller) submit(m msgSubmit) {
+	if status, ended := c.view.Final(m.jobID); ended {
+		m.reply <- userapi.Accepted(http.StatusOK, m.jobID, status)
+		return
+	}
+	if c.sync.failed {
+		m.reply <- c.stateUnreachable()
+		return
+	}
+	if c.view.Known(m.jobID) {
+		c.withReadBarrier(m.reply, func() { m.reply <- c.repeatedSubmission(m.jobID) })
+		return
+	}
+	c.submitNew(m)
+}
+
+// repeatedSubmission is the answer to a submission of a job that is known already.
+func (c *controller) repeatedSubmission(jobID string) userapi.Answer {
+	status, _, _, _ := c.view.Status(jobID)
+	return userapi.Accepted(http.StatusOK, jobID, status)
+}
+
+// submitNew validates a submission whose job the view does not know, and queues it.
+func (c *controller) submitNew(m msgSubmit) {
+	if m.err != nil {
+		c.refuseUnlessKnown(m, http.StatusBadRequest, m.err.Error())
+		return
+	}
+	if len(c.view.MachineTypes) == 0 {
+		m.reply <- userapi.Error(http.StatusServiceUnavailable, "machine types not known yet", 1)
+		return
+	}
+	if reason := m.submission.Job(0).CanEverRun(c.teams, c.view.MachineTypes); reason != "" {
+		c.refuseUnlessKnown(m, http.StatusUnprocessableEntity, reason)
+		return
+	}
+	if !c.fits(shard.JobRecord{Spec: m.submission, End: state.Cancelled}) {
+		c.refuseUnlessKnown(m, http.StatusUnprocessableEntity, "too large")
+		return
+	}
+	if c.invalidDependency(m.submission) == "" {
+		c.enqueueSubmission(m)
+		return
+	}
+	// Another controller may have accepted the dependency a moment ago.
+	c.withReadBarrier(m.reply, func() {
+		if reason := c.invalidDependency(m.submission); reason != "" {
+			c.refuseUnlessKnown(m, http.StatusUnprocessableEntity, reason)
+			return
+		}
+		c.enqueueSubmission(m)
+	})
+}
+
+// invalidDependency returns why a submission can't depend on the jobs that it names, or
+// "" if it can.
+func (c *controller) invalidDependency(submission *model.Submission) string {
+	for _, dependency := range submission.Awaits {
+		job := c.view.Jobs[dependency]
+		switch {
+		case dependency == submission.ID:
+			return "awaits itself"
+		case !c.view.Known(dependency):
+			return "awaits " + dependency + ", which was never accepted"
+		case job.Submission != nil && job.Submission.Kind == serviceKind:
+			return "awaits " + dependency + ", a service"
+		}
+	}
+	return ""
+}
+
+// enqueueSubmission queues an acceptance to be made durable. Concurrent submissions of
+// one job share a write.
+func (c *controller) enqueueSubmission(m msgSubmit) {
+	if len(c.userWrites.queue) >= c.maxQueuedSubmissions() {
+		m.reply <- userapi.Error(http.StatusTooManyRequests, "too many submissions", 2)
+		return
+	}
+	if c.userWrites.joinSubmission(m.jobID, m.reply) {
+		return
+	}
+	m.submission.AcceptedMs = c.wall()
+	c.userWrites.append(userWrite{jobID: m.jobID, submission: m.submission, replies: []chan<- userapi.Answer{m.reply}, deadline: c.now + userWriteDeadline})
+}
+
+// maxQueuedSubmissions limits the queue to about a second's worth of writes: more could
+// not be written in time, and are refused at once.
+func (c *controller) maxQueuedSubmissions() int { return max(4, int(c.budget.Rate())) }
+
+// refuseUnlessKnown refuses a submission, unless its job turns out to be known: a
+// repeated submission of a known job never gets a client error, whatever it says.
+func (c *controller) refuseUnlessKnown(m msgSubmit, code int, reason string) {
+	c.withReadBarrier(m.reply, func() {
+		if status, _, _, known := c.view.Status(m.jobID); known {
+			m.reply <- userapi.Accepted(http.StatusOK, m.jobID, status)
+			return
+		}
+		m.reply <- userapi.Error(code, reason, 0)
+	})
+}
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -8,14 +8,95 @@
 	"woadweir/internal/state"
 )
 
-// writePause is how long a lane waits after a transaction that failed.
-const writePause = 100 * model.Millisecond
-
-// writeFailed paces what follows a transaction that was refused or got no answer. It tells
-// whether the view has to catch up before the next one of that lane: what got no answer may
-// have been carried out, and what a condition refused rested on an old view.
-func (c *controller) writeFailed(m msgCommitted) (catchUp bool) {
-	c.pauses[m.lane] = c.now + writePause
+// lane is a class of transactions of which at most one is in flight at a time.
+type lane int
+
+// The lanes. Users' writes have several, as the state service now and then takes very
+// long for one transaction: no two of them change the same job without a condition, and
+// they need no order.
+const (
+	laneElection lane = iota // the leader's key and grant
+	laneBindings             // the leader's bindings of tasks to machines, and ends of jobs
+	laneMisc                 // the leader's other records
+	laneIntent               // intents to rent or return machines
+	laneDuty                 // leases of duties, outcomes of intents, and cleanup
+	laneSpill                // jobs lent to other cells or by them
+	laneUsers                // the first of the userLanes lanes of users' writes
+)
+
+const (
+	userLanes = 4
+	laneCount = laneUsers + userLanes
+)
+
+const (
+	// writePause is how long a lane waits after a transaction that failed.
+	writePause = 100 * model.Millisecond
+	// jobPrefix begins the keys of job records.
+	jobPrefix = "job/"
+	// leaderKey is the key of the leader's record.
+	leaderKey = "leader"
+	// blockName names the only block: the leader owns it.
+	blockName = state.FirstBlock
+	// grantKey is the key of the grant whose revision is the leader's fencing token.
+	grantKey = "grant/" + blockName
+)
+
+// transactionLanes tracks which lanes have a transaction in flight or have to wait.
+type transactionLanes struct {
+	busy        [laneCount]bool
+	pausedUntil [laneCount]model.Micros
+}
+
+// free reports whether a lane may send a transaction.
+func (t *transactionLanes) free(l lane, now model.Micros) bool {
+	return !t.busy[l] && now >= t.pausedUntil[l]
+}
+
+// pauseUntil keeps a lane from sending transactions for a while. The users' lanes share
+// the pause of the first of them.
+func (t *transactionLanes) pauseUntil(l lane, until model.Micros) { t.pausedUntil[l] = until }
+
+// freeUserLane finds a lane for users' writes.
+func (t *transactionLanes) freeUserLane(now model.Micros) (free lane, ok bool) {
+	i := slices.Index(t.busy[laneUsers:], false)
+	if i < 0 || now < t.pausedUntil[laneUsers] {
+		return 0, false
+	}
+	return laneUsers + lane(i), true
+}
+
+// send starts a transaction in a lane. Its outcome arrives as a message.
+func (c *controller) send(on lane, m msgCommitted) {
+	m.lane = on
+	c.lanes.busy[on] = true
+	c.budget.Spend(len(m.txn.Then), c.now)
+	c.io.commit(m)
+}
+
+// committed passes the outcome of a transaction to the owner of its lane.
+func (c *controller) committed(m msgCommitted) {
+	c.lanes.busy[m.lane] = false
+	switch {
+	case m.lane == laneElection:
+		c.elected(m)
+	case m.lane >= laneUsers:
+		c.userWritesCommitted(m)
+	case m.lane == laneDuty:
+		c.duties.committed(m)
+	default:
+		if c.leading != nil && c.leading.token == m.token {
+			c.leading.committed(m)
+		}
+	}
+}
+
+// writeFailed pauses a lane after a transaction that was refused or got no answer. It
+// returns whether the view has to be synchronized before the lane's next transaction: a
+// transaction without an answer may have been executed, and one whose condition did not
+// hold was based on an outdated view.
+func (c *controller) writeFailed(m msgCommitted) (syncFirst bool) {
+	c.lanes.pauseUntil(m.lane, c.now+writePause)
 	if errors.Is(m.err, state.ErrBusy) {
 		c.budget.Drain(c.now)
 		return false
@@ -23,13 +104,15 @@
 	return true
 }
 
-// lostGrant tells that a transaction was refused as the grant is another's by now.
+// lostGrant reports whether a transaction was refused because another controller has
+// the grant by now.
 func (m *msgCommitted) lostGrant() bool {
-	return m.err == nil && slices.Contains(m.res.Failed, "grant/"+blockName)
+	return m.err == nil && slices.Contains(m.res.Failed, grantKey)
 }
 
-// needSync keeps a lane's user from writing until the view has caught up.
+// needSync sets resync, which keeps a lane's owner from writing, and requests the
+// synchronization of the view that clears it.
 func (c *controller) needSync(resync *bool) {
 	*resync = true
-	c.afterSync(func(bool) {})
+	c.sync.request()
 }
--- /dev/null
+++ b/internal/controller/user_writes.go
@@ -0,0 +1,242 @@
+package controller
+
+import (
+	"encoding/json"
+	"errors"
+	"net/http"
+	"slices"
+	"strings"
+
+	"woadweir/internal/core/model"
+	"woadweir/internal/core/shard"
+	"woadweir/internal/state"
+	"woadweir/internal/userapi"
+)
+
+const (
+	// userWriteDeadline is how long a user's write may wait in the queue.
+	userWriteDeadline = 4 * model.Second
+	// maxUserTxnBytes limits the values of a transaction of user writes.
+	maxUserTxnBytes = 40_000
+	// userWriteOverhead estimates a write's key and condition in a transaction.
+	userWriteOverhead = 200
+	// cancellationBytes estimates the record of a cancelled job.
+	cancellationBytes = 600
+)
+
+// userWrite is an acceptance or a cancellation of a job that waits to be made durable.
+type userWrite struct {
+	jobID      string
+	submission *model.Submission // nil: a cancellation
+	replies    []chan<- userapi.Answer
+	deadline   model.Micros
+}
+
+func (w *userWrite) isCancellation() bool { return w.submission == nil }
+
+func (w *userWrite) answer(a userapi.Answer) {
+	for _, reply := range w.replies {
+		reply <- a
+	}
+	w.replies = nil
+}
+
+// userWriteQueue holds the user writes that wait for a transaction, in the order in
+// which they are to be written.
+type userWriteQueue struct {
+	queue []userWrite
+}
+
+func (q *userWriteQueue) append(writes ...userWrite) { q.queue = append(q.queue, writes...) }
+
+// prepend queues writes before all others.
+func (q *userWriteQueue) prepend(writes ...userWrite) { q.queue = append(writes, q.queue...) }
+
+// joinSubmission adds a reply to a queued submission of the same job, if there is one.
+func (q *userWriteQueue) joinSubmission(jobID string, reply chan<- userapi.Answer) bool {
+	for i := range q.queue {
+		if w := &q.queue[i]; w.jobID == jobID && !w.isCancellation() {
+			w.replies = append(w.replies, reply)
+			return true
+		}
+	}
+	return false
+}
+
+// expire answers and removes the writes whose deadline has passed.
+func (q *userWriteQueue) expire(now model.Micros) {
+	q.queue = slices.DeleteFunc(q.queue, func(w userWrite) bool {
+		if now < w.deadline {
+			return false
+		}
+		w.answer(userapi.Error(http.StatusServiceUnavailable, "try again", 1))
+		return true
+	})
+}
+
+// userBatch is a transaction of user writes in the making. The transaction's operations
+// are in the order of the writes.
+type userBatch struct {
+	txn    *state.Txn
+	writes []userWrite
+	jobIDs map[string]bool
+	bytes  int
+}
+
+func newUserBatch() *userBatch {
+	return &userBatch{txn: &state.Txn{}, jobIDs: map[string]bool{}}
+}
+
+// accepts reports whether a write fits. No batch has two writes to the same job, as the
+// condition of the second would not hold.
+func (b *userBatch) accepts(jobID string, size, limit int) bool {
+	return len(b.writes) < limit && b.bytes+size <= maxUserTxnBytes && !b.jobIDs[jobID]
+}
+
+// add adds a write under the condition that the job's record is at a revision.
+func (b *userBatch) add(w userWrite, record shard.JobRecord, size int, revision uint64) {
+	key := jobPrefix + w.jobID
+	b.txn.Conditions = append(b.txn.Conditions, state.Condition{Path: key, Revision: revision})
+	b.txn.Then = append(b.txn.Then, state.Op{Set: key, Value: record})
+	b.writes = append(b.writes, w)
+	b.jobIDs[w.jobID] = true
+	b.bytes += size + userWriteOverhead
+}
+
+// writeUserChanges sends the next transaction of queued user writes, if a lane is free.
+func (c *controller) writeUserChanges() {
+	if len(c.userWrites.queue) == 0 {
+		return
+	}
+	c.userWrites.expire(c.now)
+	free, ok := c.lanes.freeUserLane(c.now)
+	if !ok {
+		return
+	}
+	limit := min(len(c.userWrites.queue), c.limits.TxnOps, c.budget.Left(c.now))
+	if limit <= 0 {
+		return
+	}
+	batch := c.takeUserBatch(limit)
+	if len(batch.writes) == 0 {
+		return
+	}
+	c.send(free, msgCommitted{txn: batch.txn, users: batch.writes})
+}
+
+// takeUserBatch moves as many queued writes as fit into a batch. Writes that need no
+// transaction any more, or can't be encoded, are answered.
+func (c *controller) takeUserBatch(limit int) *userBatch {
+	batch := newUserBatch()
+	var rest []userWrite
+	for _, w := range c.userWrites.queue {
+		if end, ended := c.view.Final(w.jobID); ended && w.isCancellation() {
+			// The job ended while its cancellation was queued. The condition would hold
+			// against the end, which the view has by now, and the end would be overwritten.
+			w.answer(userapi.Accepted(http.StatusOK, w.jobID, end))
+			continue
+		}
+		record, size, err := c.userRecord(&w)
+		if err != nil {
+			w.answer(userapi.Error(http.StatusBadRequest, err.Error(), 0))
+			continue
+		}
+		if !batch.accepts(w.jobID, size, limit) {
+			rest = append(rest, w)
+			continue
+		}
+		batch.add(w, record, size, c.expectedRevision(&w))
+	}
+	c.userWrites.queue = rest
+	return batch
+}
+
+// userRecord returns the job record that a write stores, and about its size in bytes.
+func (c *controller) userRecord(w *userWrite) (record shard.JobRecord, size int, err error) {
+	if w.isCancellation() {
+		return c.cancelledRecord(c.view.Jobs[w.jobID].Submission), cancellationBytes, nil
+	}
+	raw, err := json.Marshal(w.submission)
+	if err != nil {
+		return shard.JobRecord{}, 0, err
+	}
+	return shard.JobRecord{Spec: w.submission}, len(raw), nil
+}
+
+// expectedRevision is the revision that a write requires of the job's record: an
+// acceptance requires that there is none.
+func (c *controller) expectedRevision(w *userWrite) uint64 {
+	if w.isCancellation() {
+		return c.view.Revisions[jobPrefix+w.jobID]
+	}
+	return 0
+}
+
+// userWritesCommitted handles the outcome of a transaction of user writes.
+func (c *controller) userWritesCommitted(m msgCommitted) {
+	switch {
+	case errors.Is(m.err, state.ErrBusy):
+		c.budget.Drain(c.now)
+		c.lanes.pauseUntil(laneUsers, c.now+writePause)
+		c.userWrites.prepend(m.users...)
+	case errors.Is(m.err, state.ErrTooBig):
+		c.lowerStateLimits(m.err)
+		c.userWrites.prepend(m.users...)
+	case m.err != nil:
+		c.lanes.pauseUntil(laneUsers, c.now+writePause)
+		for i := range m.users {
+			m.users[i].answer(userapi.Error(http.StatusServiceUnavailable, "state not reachable", 1))
+		}
+	case m.res.OK:
+		c.userWritesDurable(m)
+	default:
+		c.userWritesConflicted(m)
+	}
+}
+
+// userWritesDurable takes durable writes into the view, and answers them.
+func (c *controller) userWritesDurable(m msgCommitted) {
+	for i := range m.users {
+		w := &m.users[i]
+		op := m.txn.Then[i]
+		c.view.Put(op.Set, op.Value, m.res.Revision)
+		if w.isCancellation() {
+			w.answer(userapi.Accepted(http.StatusOK, w.jobID, state.Cancelled))
+		} else {
+			w.answer(userapi.Accepted(http.StatusCreated, w.jobID, "pending"))
+		}
+		c.jobChanged(w.jobID)
+	}
+}
+
+// userWritesConflicted handles a transaction whose conditions did not all hold. Writes
+// whose own condition held are queued again; the others are answered by what the state
+// service has, after a read barrier.
+func (c *controller) userWritesConflicted(m msgCommitted) {
+	conflicted := map[string]bool{}
+	for _, path := range m.res.Failed {
+		conflicted[strings.TrimPrefix(path, jobPrefix)] = true
+	}
+	for _, w := range m.users {
+		if !conflicted[w.jobID] {
+			c.userWrites.append(w)
+			continue
+		}
+		c.sync.afterReadBarrier(func(ok bool) { c.resolveConflict(w, ok) })
+	}
+}
+
+// resolveConflict answers a write whose job another write has changed first, or queues
+// it again if the change does not decide the answer.
+func (c *controller) resolveConflict(w userWrite, synced bool) {
+	status, _, _, known := c.view.Status(w.jobID)
+	_, ended := c.view.Final(w.jobID)
+	switch {
+	case !synced:
+		w.answer(c.stateUnreachable())
+	case known && (!w.isCancellation() || ended):
+		w.answer(userapi.Accepted(http.StatusOK, w.jobID, status))
+	default:
+		c.userWrites.append(w)
+	}
+}
