--- a/internal/controller/sim_users_test.go
+++ b/internal/controller/sim_users_test.go
@@ -35,6 +35,11 @@
 	return u
 }
 
+// allDone tells whether users were told that all of these jobs are done.
+func allDone(us []*user) bool {
+	return !slices.ContainsFunc(us, func(u *user) bool { return u.ended != "done" })
+}
+
 // call asks a node, any one if it is nil; f gets code 0 if there is no answer.
 func (w *world) call(to *simNode, patience model.Micros, msg func(chan<- userapi.Answer) any, f func(userapi.Answer)) {
 	answered := false
