--- a/internal/core/autoscaler/candidates.go
+++ b/internal/core/autoscaler/candidates.go
@@ -10,22 +10,22 @@
 // candidateMachine is a machine of the round, existing or to be rented, with the room
 // that is left beside the tasks and placeholders that the round has put there.
 type candidateMachine struct {
-	machine      *model.Machine // nil: to be rented
-	offer        Offer
-	size         model.Resources
-	free         model.Resources // after real and waiting tasks
-	open         model.Resources // after those that need ordinary machines, on one of these
-	spare        model.Resources // what placeholders leave of open
-	used         bool            // a waiting task was put here
-	needed       bool            // a task that needs an ordinary machine is here
-	surplus      bool            // an ordinary machine that is to become empty
-	placeholders []*placeholder
+	machine          *model.Machine // nil: to be rented
+	offer            Offer
+	size             model.Resources
+	free             model.Resources // after real and waiting tasks
+	freeForOnDemand  model.Resources // after those that need ordinary machines, on one of these
+	spare            model.Resources // what placeholders leave of open
+	assigned         bool            // a waiting task was put here
+	runsOnDemandTask bool            // a task that needs an ordinary machine is here
+	surplus          bool            // an ordinary machine that is to become empty
+	placeholders     []*placeholder
 }
 
-func (m *candidateMachine) ordinary() bool { return !m.offer.Spot }
+func (m *candidateMachine) isOnDemand() bool { return !m.offer.Spot }
 
-// usable reports whether a machine can be counted on for work.
-func (l *Provisioner) usable(machine *model.Machine, machineType *model.MachineType, now model.Micros) bool {
+// isUsable reports whether a machine can be counted on for work.
+func (l *Provisioner) isUsable(machine *model.Machine, machineType *model.MachineType, now model.Micros) bool {
 	if machine.Lost || machine.Draining || machine.Deleting || machine.SpotNotice || machine.Quarantined || machine.Failed || machineType == nil {
 		return false
 	}
@@ -36,13 +36,13 @@
 func (l *Provisioner) candidates(in *Input) []*candidateMachine {
 	candidates := make([]*candidateMachine, 0, len(in.Machines))
 	for _, machine := range in.Machines {
-		if !l.usable(machine, in.MachineTypes[machine.MachineType], in.Now) {
+		if !l.isUsable(machine, in.MachineTypes[machine.MachineType], in.Now) {
 			continue
 		}
 		candidate := &candidateMachine{machine: machine, offer: Offer{machine.MachineType, machine.Zone, machine.Spot}, size: machine.Size, free: machine.Free()}
-		candidate.open = candidate.free
-		if !machine.Spot && len(in.OrdinarySizes) > 0 {
-			candidate.openPreemptible(in)
+		candidate.freeForOnDemand = candidate.free
+		if !machine.Spot && len(in.OnDemandSizes) > 0 {
+			candidate.addPreemptibleRoom(in)
 		}
 		candidates = append(candidates, candidate)
 	}
@@ -50,40 +50,40 @@
 	return candidates
 }
 
-// openPreemptible counts the room of preemptible work on an ordinary machine as open to
+// addPreemptibleRoom counts the room of preemptible work on an ordinary machine as open to
 // work that needs ordinary machines and to the placeholders that stand for it.
 // Preemptible is work that may use spot machines, is of lower priority, and is stopped
 // sooner than a machine could boot. Else each such task that is placed there while the
 // room is idle would have one more ordinary machine rented, at several times the price of
 // the spot machine that it could have had.
-func (m *candidateMachine) openPreemptible(in *Input) {
-	fasterThanBoot := in.OrdinaryMaxWait < model.Seconds(in.MachineTypes[m.offer.MachineType].BootS)
+func (m *candidateMachine) addPreemptibleRoom(in *Input) {
+	fasterThanBoot := in.OnDemandMaxWait < model.Seconds(in.MachineTypes[m.offer.MachineType].BootS)
 	for _, binding := range m.machine.Bindings {
 		job := binding.Job
-		if fasterThanBoot && job.AllowsSpot && job.Kind != model.Gang && job.Priority < in.OrdinaryPriority {
-			m.open = m.open.Plus(job.Request)
+		if fasterThanBoot && job.AllowsSpot && job.Kind != model.Gang && job.Priority < in.OnDemandPriority {
+			m.freeForOnDemand = m.freeForOnDemand.Plus(job.Request)
 		}
-		m.needed = m.needed || !job.AllowsSpot
+		m.runsOnDemandTask = m.runsOnDemandTask || !job.AllowsSpot
 	}
 }
 
-// countZones counts the ordinary machines of each zone where jobs have to be spread over
+// countOnDemandByZone counts the ordinary machines of each zone where jobs have to be spread over
 // zones. Room in one zone alone is no use to such a job beyond its share there, so
 // placeholders and rentals go to the zones by turns.
-func (l *Provisioner) countZones(in *Input, candidates []*candidateMachine) {
-	l.zoneMachines = nil
+func (l *Provisioner) countOnDemandByZone(in *Input, candidates []*candidateMachine) {
+	l.onDemandByZone = nil
 	if !in.Spread {
 		return
 	}
-	l.zoneMachines = map[string]int{}
+	l.onDemandByZone = map[string]int{}
 	for _, machineType := range in.MachineTypes {
 		for _, zone := range machineType.Zones {
-			l.zoneMachines[zone] += 0
+			l.onDemandByZone[zone] += 0
 		}
 	}
 	for _, candidate := range candidates {
-		if candidate.ordinary() {
-			l.zoneMachines[candidate.offer.Zone]++
+		if candidate.isOnDemand() {
+			l.onDemandByZone[candidate.offer.Zone]++
 		}
 	}
 }
--- a/internal/core/autoscaler/drain.go
+++ b/internal/core/autoscaler/drain.go
@@ -12,20 +12,20 @@
 // machine which has its image is down for about a report period. That is worth it where
 // it empties a machine that is mostly unused, and not more often than this.
 const (
-	drainGap   = 5 * model.Second  // between two machines that are drained
-	settledFor = 60 * model.Second // a replica that began later is not moved
-	drainShare = 2                 // no more than one part in so many of the machine is used
+	drainInterval     = 5 * model.Second  // between two machines that are drained
+	minRunBeforeMove  = 60 * model.Second // a replica that began later is not moved
+	drainUsageDivisor = 2                 // no more than one part in so many of the machine is used
 )
 
 // drain chooses a machine that is mostly unused and whose replicas all have room on
 // other machines that have their images, beside the placeholders.
 func (l *Provisioner) drain(in *Input, candidates []*candidateMachine) []*model.Machine {
-	if in.Now-l.lastDrain < drainGap {
+	if in.Now-l.lastDrain < drainInterval {
 		return nil
 	}
 	var drainable []*candidateMachine
 	for _, candidate := range candidates {
-		if l.drainable(in, candidate) {
+		if l.isDrainable(in, candidate) {
 			drainable = append(drainable, candidate)
 		}
 	}
@@ -41,27 +41,27 @@
 	return nil
 }
 
-// drainable reports whether a machine is mostly unused and has only settled replicas.
-func (l *Provisioner) drainable(in *Input, candidate *candidateMachine) bool {
+// isDrainable reports whether a machine is mostly unused and has only settled replicas.
+func (l *Provisioner) isDrainable(in *Input, candidate *candidateMachine) bool {
 	machine := candidate.machine
-	if !machine.Up || machine.Spot || candidate.used || len(machine.Bindings) == 0 || in.Now-machine.RentedAt < l.Params.MinHeld {
+	if !machine.Up || machine.Spot || candidate.assigned || len(machine.Bindings) == 0 || in.Now-machine.RentedAt < l.Params.MinBilled {
 		return false
 	}
-	used := machine.Used.Times(drainShare)
+	used := machine.Used.Times(drainUsageDivisor)
 	if used.Cores > machine.Size.Cores || used.GPUs > machine.Size.GPUs || used.Mem > machine.Size.Mem {
 		return false
 	}
 	for _, binding := range machine.Bindings {
-		if !settled(binding, in.Now) {
+		if !isMovable(binding, in.Now) {
 			return false
 		}
 	}
 	return true
 }
 
-// settled reports whether a binding is a replica that has run for long enough to be moved.
-func settled(binding *model.Binding, now model.Micros) bool {
-	return binding.Job.Kind == model.Service && !binding.Stopping && binding.RunningSince != 0 && now-binding.RunningSince >= settledFor
+// isMovable reports whether a binding is a replica that has run for long enough to be moved.
+func isMovable(binding *model.Binding, now model.Micros) bool {
+	return binding.Job.Kind == model.Service && !binding.Stopping && binding.RunningSince != 0 && now-binding.RunningSince >= minRunBeforeMove
 }
 
 // fitsElsewhere tells whether all that is on a machine has room on others of its zone that
--- a/internal/core/autoscaler/offers.go
+++ b/internal/core/autoscaler/offers.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	maxPerCall     = 50      // how many machines the cloud rents in one call
-	unlimitedTasks = 1 << 20 // stands for as many tasks as a machine holds
+	maxMachinesPerRequest = 50      // how many machines the cloud rents in one call
+	unlimitedTasks        = 1 << 20 // stands for as many tasks as a machine holds
 )
 
 // Rental is a request to be made.
@@ -43,10 +43,10 @@
 	search := offerSearch{provisioner: l, now: in.Now, need: need, lowestPrice: math.Inf(1)}
 	for _, name := range slices.Sorted(maps.Keys(in.MachineTypes)) {
 		machineType := in.MachineTypes[name]
-		if need.request.Count(machineType.Size(), need.count) == 0 {
+		if need.request.FitCount(machineType.Size(), need.count) == 0 {
 			continue
 		}
-		called := calledOffers(toRent, name)
+		called := plannedRequests(toRent, name)
 		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{true, false} {
 				if need.allows(name, zone, spot) {
@@ -55,7 +55,7 @@
 			}
 		}
 	}
-	if search.tooExpensive() {
+	if search.isTooExpensive() {
 		return nil
 	}
 	return search.best
@@ -73,59 +73,59 @@
 
 // consider makes an offer the best if it can be had and is cheaper than the best so far.
 // Called is what the round requests of its type and kind already.
-func (s *offerSearch) consider(offer Offer, machineType *model.MachineType, called call) {
-	size, price := machineType.Size(), machineType.PriceOf(offer.Spot)
-	s.lowestPrice = min(s.lowestPrice, price/float64(s.need.request.Count(size, unlimitedTasks)))
-	if s.now < s.provisioner.refused[offer] || called.machines > 0 && called.offer != offer || called.machines >= maxPerCall {
+func (s *offerSearch) consider(offer Offer, machineType *model.MachineType, called plannedRequest) {
+	size, price := machineType.Size(), machineType.HourlyPrice(offer.Spot)
+	s.lowestPrice = min(s.lowestPrice, price/float64(s.need.request.FitCount(size, unlimitedTasks)))
+	if s.now < s.provisioner.refusedUntil[offer] || called.machines > 0 && called.offer != offer || called.machines >= maxMachinesPerRequest {
 		return
 	}
-	perTask := price / float64(s.need.request.Count(size, s.need.count))
-	if s.best == nil || perTask < s.bestPrice || perTask == s.bestPrice && s.evensZones(offer) {
-		s.best = &candidateMachine{offer: offer, size: size, free: size, open: size, spare: size}
+	perTask := price / float64(s.need.request.FitCount(size, s.need.count))
+	if s.best == nil || perTask < s.bestPrice || perTask == s.bestPrice && s.balancesZones(offer) {
+		s.best = &candidateMachine{offer: offer, size: size, free: size, freeForOnDemand: size, spare: size}
 		s.bestPrice = perTask
 	}
 }
 
-// evensZones reports whether an ordinary machine of an offer makes the zones more even
+// balancesZones reports whether an ordinary machine of an offer makes the zones more even
 // than one of the best offer.
-func (s *offerSearch) evensZones(offer Offer) bool {
-	machines := s.provisioner.zoneMachines
+func (s *offerSearch) balancesZones(offer Offer) bool {
+	machines := s.provisioner.onDemandByZone
 	return !offer.Spot && machines[offer.Zone] < machines[s.best.offer.Zone]
 }
 
-// tooExpensive reports whether waiting for a cheaper machine is better than the best offer.
-func (s *offerSearch) tooExpensive() bool {
+// isTooExpensive reports whether waiting for a cheaper machine is better than the best offer.
+func (s *offerSearch) isTooExpensive() bool {
 	if s.best == nil || s.need.anyPrice {
 		return false
 	}
 	request, size := s.need.request, s.best.size
-	price := s.bestPrice * float64(request.Count(size, s.need.count))
-	return price > s.provisioner.Params.MaxPriceRatio*s.lowestPrice*float64(request.Count(size, unlimitedTasks))
+	price := s.bestPrice * float64(request.FitCount(size, s.need.count))
+	return price > s.provisioner.Params.MaxPriceRatio*s.lowestPrice*float64(request.FitCount(size, unlimitedTasks))
 }
 
-// available reports whether an ordinary machine may be had in a zone now.
-func (l *Provisioner) available(in *Input, zone string) bool {
+// onDemandAvailable reports whether an ordinary machine may be had in a zone now.
+func (l *Provisioner) onDemandAvailable(in *Input, zone string) bool {
 	for name, machineType := range in.MachineTypes {
-		if machineType.In(zone) && in.Now >= l.refused[Offer{name, zone, false}] {
+		if machineType.OfferedIn(zone) && in.Now >= l.refusedUntil[Offer{name, zone, false}] {
 			return true
 		}
 	}
 	return false
 }
 
-// call is what a round requests of one type and kind.
-type call struct {
+// plannedRequest is what a round requests of one type and kind.
+type plannedRequest struct {
 	offer    Offer
 	machines int
 }
 
-// calledOffers are the calls for a type among the machines to be rented, by kind: true
+// plannedRequests are the calls for a type among the machines to be rented, by kind: true
 // for spot machines.
-func calledOffers(toRent []*candidateMachine, machineType string) map[bool]call {
-	called := map[bool]call{}
+func plannedRequests(toRent []*candidateMachine, machineType string) map[bool]plannedRequest {
+	called := map[bool]plannedRequest{}
 	for _, candidate := range toRent {
 		if candidate.offer.MachineType == machineType {
-			called[candidate.offer.Spot] = call{candidate.offer, called[candidate.offer.Spot].machines + 1}
+			called[candidate.offer.Spot] = plannedRequest{candidate.offer, called[candidate.offer.Spot].machines + 1}
 		}
 	}
 	return called
--- a/internal/core/autoscaler/placeholder_sizes.go
+++ b/internal/core/autoscaler/placeholder_sizes.go
@@ -7,10 +7,10 @@
 	"woadweir/internal/core/model"
 )
 
-// flexibleShare is how many times the extra share of ordinary machines is held on spot
+// spotExtraFactor is how many times the extra share of ordinary machines is held on spot
 // machines. A spot machine that is idle costs a fraction of an ordinary one, and those
 // that are taken without notice take their tasks with them, which then need room at once.
-const flexibleShare = 2
+const spotExtraFactor = 2
 
 // placeholderGroup is the placeholders for one class of work, on machines with or without
 // GPUs.
@@ -37,11 +37,11 @@
 // ordinary machines, each kind of machine has its own, and those on ordinary ones are a
 // share of the whole fleet.
 func (l *Provisioner) resize(in *Input, candidates []*candidateMachine) {
-	if len(in.OrdinarySizes) == 0 {
+	if len(in.OnDemandSizes) == 0 {
 		l.resizeClass(in, candidates, anyWork, in.Sizes)
 	} else {
-		l.resizeClass(in, candidates, ordinaryWork, in.OrdinarySizes)
-		l.resizeClass(in, candidates, flexibleWork, in.FlexibleSizes)
+		l.resizeClass(in, candidates, onDemandWork, in.OnDemandSizes)
+		l.resizeClass(in, candidates, spotTolerantWork, in.SpotTolerantSizes)
 	}
 	// The largest first: they are the hardest to place.
 	slices.SortStableFunc(l.placeholders, func(a, b *placeholder) int { return cmp.Compare(b.size.Cores, a.size.Cores) })
@@ -60,14 +60,14 @@
 func (l *Provisioner) groupSizes(in *Input, group placeholderGroup, candidates []*candidateMachine, taskSizes []model.Resources) groupSizes {
 	capacity, machines := group.capacity(candidates)
 	sizes := groupSizes{
-		largest: minOfEach(group.largestTask(taskSizes), group.largestMachine(in.MachineTypes)),
+		largest: minResources(group.largestTask(taskSizes), group.largestMachine(in.MachineTypes)),
 		count:   machines * l.Params.Granularity,
 	}
 	rate := l.Params.ExtraCapacityRate
-	if group.work == flexibleWork {
-		rate *= flexibleShare
+	if group.work == spotTolerantWork {
+		rate *= spotExtraFactor
 	}
-	extra := model.Resources{Cores: share(capacity.Cores, rate), GPUs: share(capacity.GPUs, rate), Mem: share(capacity.Mem, rate)}
+	extra := model.Resources{Cores: scaled(capacity.Cores, rate), GPUs: scaled(capacity.GPUs, rate), Mem: scaled(capacity.Mem, rate)}
 	if sizes.count > 0 {
 		sizes.each = evenSplit(extra.Minus(sizes.largest), sizes.count)
 	}
@@ -80,7 +80,7 @@
 // capacity is the size and number of the machines that a group's share is taken of.
 func (g placeholderGroup) capacity(candidates []*candidateMachine) (capacity model.Resources, machines int) {
 	for _, candidate := range candidates {
-		if (candidate.size.GPUs > 0) == g.gpu && (g.work != flexibleWork || candidate.offer.Spot) {
+		if (candidate.size.GPUs > 0) == g.gpu && (g.work != spotTolerantWork || candidate.offer.Spot) {
 			capacity = capacity.Plus(candidate.size)
 			machines++
 		}
@@ -135,11 +135,11 @@
 	l.placeholders = kept
 }
 
-func share(amount model.Milli, rate float64) model.Milli {
+func scaled(amount model.Milli, rate float64) model.Milli {
 	return model.Milli(float64(amount) * rate)
 }
 
-func minOfEach(a, b model.Resources) model.Resources {
+func minResources(a, b model.Resources) model.Resources {
 	return model.Resources{Cores: min(a.Cores, b.Cores), GPUs: min(a.GPUs, b.GPUs), Mem: min(a.Mem, b.Mem)}
 }
 
--- a/internal/core/autoscaler/placeholders.go
+++ b/internal/core/autoscaler/placeholders.go
@@ -7,18 +7,18 @@
 	"woadweir/internal/core/model"
 )
 
-// minHoldShare is the least part of the cheapest machine's IdleHold for which a machine
+// minHoldDivisor is the least part of the cheapest machine's IdleHold for which a machine
 // has to be kept to be worth renting for placeholders: one that is more expensive would
 // soon be released unused.
-const minHoldShare = 3
+const minHoldDivisor = 3
 
 // workClass tells which work a placeholder holds room for.
 type workClass uint8
 
 const (
-	anyWork      workClass = iota // no work needs ordinary machines: all is alike
-	ordinaryWork                  // work that needs ordinary machines
-	flexibleWork                  // work that may use spot machines
+	anyWork          workClass = iota // no work needs ordinary machines: all is alike
+	onDemandWork                      // work that needs ordinary machines
+	spotTolerantWork                  // work that may use spot machines
 )
 
 // placeholder is a virtual task.
@@ -31,24 +31,24 @@
 	zone    string // the only zone, "": any
 }
 
-// suits tells whether a placeholder may hold room on a machine: on a spot machine that
+// isAllowedOn tells whether a placeholder may hold room on a machine: on a spot machine that
 // is none for work which needs ordinary ones, and on an ordinary one it would cost
 // several times as much as work that may use spot machines has to pay.
-func (p *placeholder) suits(candidate *candidateMachine) bool {
+func (p *placeholder) isAllowedOn(candidate *candidateMachine) bool {
 	return (candidate.size.GPUs > 0) == p.gpu && p.allows(candidate.offer.Zone, candidate.offer.Spot)
 }
 
 // allows reports whether a placeholder's work and zone permit such a machine.
 func (p *placeholder) allows(zone string, spot bool) bool {
 	switch {
-	case p.work == ordinaryWork && spot, p.work == flexibleWork && !spot:
+	case p.work == onDemandWork && spot, p.work == spotTolerantWork && !spot:
 		return false
 	}
 	return p.zone == "" || p.zone == zone
 }
 
-// like tells that two placeholders may use the same machines.
-func (p *placeholder) like(other *placeholder) bool {
+// hasSameConstraints tells that two placeholders may use the same machines.
+func (p *placeholder) hasSameConstraints(other *placeholder) bool {
 	return p.gpu == other.gpu && p.work == other.work && p.zone == other.zone
 }
 
@@ -57,11 +57,11 @@
 func (l *Provisioner) placePlaceholders(placeholders []*placeholder, candidates []*candidateMachine) (unplaced []*placeholder) {
 	var failed *placeholder // the last that found none: its like need not look
 	for _, p := range placeholders {
-		if failed != nil && failed.like(p) && failed.size.Fits(p.size) {
+		if failed != nil && failed.hasSameConstraints(p) && failed.size.Fits(p.size) {
 			unplaced = append(unplaced, p)
 			continue
 		}
-		best := p.fullest(candidates)
+		best := p.fullestMachine(candidates)
 		if best == nil {
 			failed = p
 			unplaced = append(unplaced, p)
@@ -76,11 +76,11 @@
 	return unplaced
 }
 
-// fullest is the machine with the fewest spare cores that has room for a placeholder.
-func (p *placeholder) fullest(candidates []*candidateMachine) *candidateMachine {
+// fullestMachine is the machine with the fewest spare cores that has room for a placeholder.
+func (p *placeholder) fullestMachine(candidates []*candidateMachine) *candidateMachine {
 	var best *candidateMachine
 	for _, candidate := range candidates {
-		if !p.suits(candidate) || !p.size.Fits(candidate.spare) {
+		if !p.isAllowedOn(candidate) || !p.size.Fits(candidate.spare) {
 			continue
 		}
 		if best == nil || candidate.spare.Cores < best.spare.Cores {
@@ -101,11 +101,11 @@
 		byID[candidate.machine.ID] = candidate
 	}
 	for _, p := range l.placeholders {
-		if (p.work == flexibleWork) != flexible {
+		if (p.work == spotTolerantWork) != flexible {
 			continue
 		}
 		candidate := byID[p.machine]
-		if candidate != nil && p.suits(candidate) && p.size.Fits(candidate.spare) {
+		if candidate != nil && p.isAllowedOn(candidate) && p.size.Fits(candidate.spare) {
 			candidate.spare = candidate.spare.Minus(p.size)
 			candidate.placeholders = append(candidate.placeholders, p)
 			continue
@@ -119,7 +119,7 @@
 // resetSpare has placeholders find all that tasks leave of a machine. Once flexible work
 // is placed, that is on spot machines what this work leaves, too.
 func (m *candidateMachine) resetSpare(flexiblePlaced bool) {
-	m.spare = m.open
+	m.spare = m.freeForOnDemand
 	if flexiblePlaced && m.offer.Spot {
 		m.spare = m.free
 	}
@@ -127,20 +127,20 @@
 
 // assignZones spreads the placeholders evenly over the zones where jobs have to be spread.
 func (l *Provisioner) assignZones() {
-	zones := slices.Sorted(maps.Keys(l.zoneMachines))
+	zones := slices.Sorted(maps.Keys(l.onDemandByZone))
 	next := 0
 	for _, p := range l.placeholders {
 		p.zone = ""
-		if len(zones) > 1 && p.work == ordinaryWork {
+		if len(zones) > 1 && p.work == onDemandWork {
 			p.zone = zones[next%len(zones)]
 			next++
 		}
 	}
 }
 
-// detachFromUnknown has the placeholders of machines that are to be rented, which have no
+// detachFromUnlisted has the placeholders of machines that are to be rented, which have no
 // ID yet, be placed again in the next round.
-func (l *Provisioner) detachFromUnknown(candidates []*candidateMachine) {
+func (l *Provisioner) detachFromUnlisted(candidates []*candidateMachine) {
 	known := make(map[string]bool, len(candidates))
 	for _, candidate := range candidates {
 		known[candidate.machine.ID] = true
@@ -162,7 +162,7 @@
 	unplaced = l.moveToOtherZones(in, candidates, unplaced)
 	var failed *placeholder // none can be rented for it, nor for its like
 	for _, p := range unplaced {
-		if failed != nil && failed.like(p) && failed.size.Fits(p.size) {
+		if failed != nil && failed.hasSameConstraints(p) && failed.size.Fits(p.size) {
 			continue
 		}
 		if len(l.placePlaceholders([]*placeholder{p}, toRent)) == 0 {
@@ -185,7 +185,7 @@
 func (l *Provisioner) moveToOtherZones(in *Input, candidates []*candidateMachine, unplaced []*placeholder) []*placeholder {
 	var moved []*placeholder
 	for _, p := range unplaced {
-		if p.zone != "" && !l.available(in, p.zone) {
+		if p.zone != "" && !l.onDemandAvailable(in, p.zone) {
 			p.zone = ""
 			moved = append(moved, p)
 		}
@@ -201,8 +201,8 @@
 // is none. Placeholders for any task to come need an ordinary machine.
 func (l *Provisioner) cheapestForPlaceholder(in *Input, toRent []*candidateMachine, p *placeholder) *candidateMachine {
 	allows := func(machineType, zone string, spot bool) bool {
-		return p.allows(zone, spot) && (p.work == flexibleWork || !spot) &&
-			l.idleHold(in, in.MachineTypes[machineType], spot) >= l.Params.IdleHold/minHoldShare
+		return p.allows(zone, spot) && (p.work == spotTolerantWork || !spot) &&
+			l.idleHold(in, in.MachineTypes[machineType], spot) >= l.Params.IdleHold/minHoldDivisor
 	}
 	return l.cheapest(in, toRent, rentalNeed{request: p.size, count: 1, allows: allows})
 }
--- a/internal/core/autoscaler/scale_in.go
+++ b/internal/core/autoscaler/scale_in.go
@@ -8,9 +8,9 @@
 	"woadweir/internal/core/model"
 )
 
-// idleBootShare is the part of its boot time that a machine has to be empty before it is
+// idleBootDivisor is the part of its boot time that a machine has to be empty before it is
 // released: one in so many.
-const idleBootShare = 2
+const idleBootDivisor = 2
 
 // idleHold is how long placeholders alone keep a machine: the more expensive it is per
 // core than the cheapest, the shorter.
@@ -21,7 +21,7 @@
 			lowest = min(lowest, other.Price/other.Cores)
 		}
 	}
-	own := machineType.PriceOf(spot) / max(machineType.Cores, 1)
+	own := machineType.HourlyPrice(spot) / max(machineType.Cores, 1)
 	return model.Micros(float64(l.Params.IdleHold) * min(1, lowest/own))
 }
 
@@ -31,42 +31,42 @@
 // price, the most expensive first.
 func (l *Provisioner) scaleIn(in *Input, candidates []*candidateMachine) (released []*model.Machine) {
 	price := func(candidate *candidateMachine) float64 {
-		return in.MachineTypes[candidate.offer.MachineType].PriceOf(candidate.offer.Spot)
+		return in.MachineTypes[candidate.offer.MachineType].HourlyPrice(candidate.offer.Spot)
 	}
 	slices.SortStableFunc(candidates, func(a, b *candidateMachine) int { return cmp.Compare(price(b), price(a)) })
 	for i, candidate := range candidates {
-		if !l.idle(in, candidate) {
+		if !l.isIdle(in, candidate) {
 			continue
 		}
 		others := slices.Concat(candidates[:i:i], candidates[i+1:])
 		others = slices.DeleteFunc(others, func(other *candidateMachine) bool { return slices.Contains(released, other.machine) })
-		if l.yields(in, candidate, others) {
+		if l.tryVacate(in, candidate, others) {
 			released = append(released, candidate.machine)
 		}
 	}
 	return released
 }
 
-// idle reports whether a machine is empty and has been held and empty for long enough.
-func (l *Provisioner) idle(in *Input, candidate *candidateMachine) bool {
+// isIdle reports whether a machine is empty and has been held and empty for long enough.
+func (l *Provisioner) isIdle(in *Input, candidate *candidateMachine) bool {
 	machine := candidate.machine
-	if !machine.Up || len(machine.Bindings) > 0 || candidate.used {
+	if !machine.Up || len(machine.Bindings) > 0 || candidate.assigned {
 		return false
 	}
-	minEmpty := model.Seconds(in.MachineTypes[candidate.offer.MachineType].BootS / idleBootShare)
-	return in.Now-machine.RentedAt >= l.Params.MinHeld && in.Now-machine.EmptySince >= minEmpty
+	minEmpty := model.Seconds(in.MachineTypes[candidate.offer.MachineType].BootS / idleBootDivisor)
+	return in.Now-machine.RentedAt >= l.Params.MinBilled && in.Now-machine.EmptySince >= minEmpty
 }
 
-// yields moves a machine's placeholders to others and reports whether the machine can be
+// tryVacate moves a machine's placeholders to others and reports whether the machine can be
 // released. If placeholders that find no other room keep it, all stay where they are.
-func (l *Provisioner) yields(in *Input, candidate *candidateMachine, others []*candidateMachine) bool {
+func (l *Provisioner) tryVacate(in *Input, candidate *candidateMachine, others []*candidateMachine) bool {
 	spare := saveSpare(others)
 	machineIDs := make([]string, len(candidate.placeholders))
 	for i, p := range candidate.placeholders {
 		machineIDs[i] = p.machine
 	}
 	unplaced := l.placePlaceholders(candidate.placeholders, others)
-	if len(unplaced) == 0 || !l.keptByPlaceholders(in, candidate) {
+	if len(unplaced) == 0 || !l.isKeptByPlaceholders(in, candidate) {
 		return true
 	}
 	restoreSpare(others, spare)
@@ -76,12 +76,12 @@
 	return false
 }
 
-// keptByPlaceholders tells whether placeholders that find no other room keep an empty
+// isKeptByPlaceholders tells whether placeholders that find no other room keep an empty
 // machine. Those that stand for work which needs ordinary machines keep what they would
 // rent again at once; others keep it for a while.
-func (l *Provisioner) keptByPlaceholders(in *Input, candidate *candidateMachine) bool {
+func (l *Provisioner) isKeptByPlaceholders(in *Input, candidate *candidateMachine) bool {
 	hold := l.idleHold(in, in.MachineTypes[candidate.offer.MachineType], candidate.offer.Spot)
-	if len(in.OrdinarySizes) > 0 && hold >= l.Params.IdleHold/minHoldShare {
+	if len(in.OnDemandSizes) > 0 && hold >= l.Params.IdleHold/minHoldDivisor {
 		return true
 	}
 	return in.Now-candidate.machine.EmptySince < hold
--- a/internal/core/autoscaler/waiting.go
+++ b/internal/core/autoscaler/waiting.go
@@ -43,11 +43,11 @@
 		(a.Request.GPUs > 0) == (b.Request.GPUs > 0) && slices.Equal(a.MachineTypes, b.MachineTypes)
 }
 
-// split parts the waiting tasks into those that are served first and those that may
+// splitWaiting parts the waiting tasks into those that are served first and those that may
 // use spot machines, which take what the first and the placeholders leave of the
 // ordinary ones. Where no work needs ordinary machines all are alike.
-func (in *Input) split() (first, flexible []Demand) {
-	if len(in.OrdinarySizes) == 0 {
+func (in *Input) splitWaiting() (first, flexible []Demand) {
+	if len(in.OnDemandSizes) == 0 {
 		return in.Waiting, nil
 	}
 	for _, demand := range in.Waiting {
@@ -72,14 +72,14 @@
 			continue
 		}
 		if demand.Job.SameZone {
-			zones.choose(candidates, demand)
+			zones.chooseZone(candidates, demand)
 		}
 		left := placeTasks(candidates, zones, demand.Count)
 		if left == 0 {
 			continue
 		}
 		tasks := unplacedTasks{demand, left, zones}
-		if !zones.bound() {
+		if !zones.applies() {
 			failed = append(failed, tasks)
 		}
 		unplaced = append(unplaced, tasks)
@@ -94,10 +94,10 @@
 		if left == 0 {
 			break
 		}
-		if fits := zones.count(candidate, left); fits > 0 {
-			zones.take(candidate, fits)
-			candidate.used = true
-			candidate.needed = candidate.needed || !zones.flexible
+		if fits := zones.fittingTasks(candidate, left); fits > 0 {
+			zones.assign(candidate, fits)
+			candidate.assigned = true
+			candidate.runsOnDemandTask = candidate.runsOnDemandTask || !zones.spotTolerant
 			left -= fits
 		}
 	}
@@ -113,7 +113,7 @@
 		}
 		var complete bool
 		toRent, complete = l.rentForJob(in, toRent, tasks)
-		if !complete && !tasks.zones.bound() {
+		if !complete && !tasks.zones.applies() {
 			failed = append(failed, tasks)
 		}
 	}
@@ -130,8 +130,8 @@
 			if left == 0 {
 				break
 			}
-			if fits := zones.count(candidate, left); fits > 0 {
-				zones.take(candidate, fits)
+			if fits := zones.fittingTasks(candidate, left); fits > 0 {
+				zones.assign(candidate, fits)
 				left -= fits
 			}
 		}
@@ -140,8 +140,8 @@
 		}
 		need := rentalNeed{request: job.Request, count: left, anyPrice: job.Priority >= model.HighPriority, allows: zones.allows}
 		candidate := l.cheapest(in, toRent, need)
-		if candidate == nil && l.zoneExhausted(in, zones) {
-			zones.elsewhere()
+		if candidate == nil && l.isZoneExhausted(in, zones) {
+			zones.excludeChosenZone()
 			left = tasks.demand.Count
 			continue
 		}
@@ -149,7 +149,7 @@
 			return toRent, false
 		}
 		if job.SameZone && len(job.Bindings) == 0 {
-			zones.only = candidate.offer.Zone
+			zones.chosenZone = candidate.offer.Zone
 		}
 		toRent = append(toRent, candidate)
 	}
--- a/internal/core/autoscaler/zones.go
+++ b/internal/core/autoscaler/zones.go
@@ -9,102 +9,102 @@
 // that they may not use must not count as theirs: nothing would be rented for them
 // where they may go, and they would wait beside it for ever.
 type zoneLimits struct {
-	job  *model.JobState
-	left map[string]int // by zone, for those that were asked for
-	// only is the one zone that is considered for a job whose tasks have to be
+	job        *model.JobState
+	leftByZone map[string]int // by zone, for those that were asked for
+	// chosenZone is the one zone that is considered for a job whose tasks have to be
 	// together and of which none is anywhere yet.
-	only string
-	// flexible tells that the tasks take only room that is free now, and leave what is
+	chosenZone string
+	// spotTolerant tells that the tasks take only room that is free now, and leave what is
 	// open to work that needs ordinary machines.
-	flexible bool
+	spotTolerant bool
 }
 
 func newZoneLimits(job *model.JobState, flexible bool) *zoneLimits {
-	return &zoneLimits{job: job, left: map[string]int{}, flexible: flexible}
+	return &zoneLimits{job: job, leftByZone: map[string]int{}, spotTolerant: flexible}
 }
 
-// bound tells that rules on zones apply.
-func (z *zoneLimits) bound() bool { return z.job.SameZone || z.job.Spread }
+// applies tells that rules on zones apply.
+func (z *zoneLimits) applies() bool { return z.job.SameZone || z.job.Spread }
 
-// room is how many more tasks may go to a zone.
-func (z *zoneLimits) room(zone string) int {
-	if z.only != "" && zone != z.only {
+// roomIn is how many more tasks may go to a zone.
+func (z *zoneLimits) roomIn(zone string) int {
+	if z.chosenZone != "" && zone != z.chosenZone {
 		return 0
 	}
-	n, ok := z.left[zone]
+	n, ok := z.leftByZone[zone]
 	if !ok {
 		n = placement.ZoneRoom(z.job, zone)
-		z.left[zone] = n
+		z.leftByZone[zone] = n
 	}
 	return n
 }
 
-// count is how many of n tasks may go to a machine.
-func (z *zoneLimits) count(candidate *candidateMachine, n int) int {
+// fittingTasks is how many of n tasks may go to a machine.
+func (z *zoneLimits) fittingTasks(candidate *candidateMachine, n int) int {
 	offer := candidate.offer
 	if !z.job.Allows(offer.MachineType, offer.Zone, offer.Spot) || candidate.machine != nil && !suitsJob(z.job, candidate) {
 		return 0
 	}
-	room := candidate.open
-	if z.flexible {
+	room := candidate.freeForOnDemand
+	if z.spotTolerant {
 		room = candidate.free
 	}
-	fits := z.job.Request.Count(room, n)
-	if fits > 0 && z.bound() {
-		fits = min(fits, z.room(offer.Zone))
+	fits := z.job.Request.FitCount(room, n)
+	if fits > 0 && z.applies() {
+		fits = min(fits, z.roomIn(offer.Zone))
 	}
 	return fits
 }
 
-// take puts tasks on a machine.
-func (z *zoneLimits) take(candidate *candidateMachine, tasks int) {
+// assign puts tasks on a machine.
+func (z *zoneLimits) assign(candidate *candidateMachine, tasks int) {
 	taken := z.job.Request.Times(tasks)
 	candidate.free = candidate.free.Minus(taken)
-	if !z.flexible {
-		candidate.open = candidate.open.Minus(taken)
+	if !z.spotTolerant {
+		candidate.freeForOnDemand = candidate.freeForOnDemand.Minus(taken)
 	}
-	if z.bound() {
-		z.left[candidate.offer.Zone] -= tasks
+	if z.applies() {
+		z.leftByZone[candidate.offer.Zone] -= tasks
 	}
 }
 
 // allows tells whether a machine of that kind may be rented.
 func (z *zoneLimits) allows(machineType, zone string, spot bool) bool {
-	return z.job.Allows(machineType, zone, spot) && (!z.bound() || z.room(zone) > 0)
+	return z.job.Allows(machineType, zone, spot) && (!z.applies() || z.roomIn(zone) > 0)
 }
 
-// choose settles on the zone that has most room for tasks that have to be together.
-func (z *zoneLimits) choose(candidates []*candidateMachine, demand Demand) {
+// chooseZone settles on the zone that has most room for tasks that have to be together.
+func (z *zoneLimits) chooseZone(candidates []*candidateMachine, demand Demand) {
 	if len(z.job.Bindings) > 0 {
 		return // they are where the others are
 	}
 	room := map[string]int{}
 	for _, candidate := range candidates {
-		room[candidate.offer.Zone] += z.count(candidate, demand.Count)
+		room[candidate.offer.Zone] += z.fittingTasks(candidate, demand.Count)
 	}
 	best := 0
 	for zone, tasks := range room {
-		if tasks > best || tasks == best && tasks > 0 && zone < z.only {
-			z.only, best = zone, tasks
+		if tasks > best || tasks == best && tasks > 0 && zone < z.chosenZone {
+			z.chosenZone, best = zone, tasks
 		}
 	}
 }
 
-// elsewhere gives the chosen zone up for any other: all tasks need a place there.
-func (z *zoneLimits) elsewhere() { z.left[z.only], z.only = 0, "" }
+// excludeChosenZone gives the chosen zone up for any other: all tasks need a place there.
+func (z *zoneLimits) excludeChosenZone() { z.leftByZone[z.chosenZone], z.chosenZone = 0, "" }
 
-// zoneExhausted tells that nothing can be rented at present in the zone that was chosen for
+// isZoneExhausted tells that nothing can be rented at present in the zone that was chosen for
 // tasks that have to be together.
-func (l *Provisioner) zoneExhausted(in *Input, zones *zoneLimits) bool {
-	if zones.only == "" {
+func (l *Provisioner) isZoneExhausted(in *Input, zones *zoneLimits) bool {
+	if zones.chosenZone == "" {
 		return false
 	}
 	for name, machineType := range in.MachineTypes {
-		if !machineType.In(zones.only) || !zones.job.Request.Fits(machineType.Size()) {
+		if !machineType.OfferedIn(zones.chosenZone) || !zones.job.Request.Fits(machineType.Size()) {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
-			if zones.allows(name, zones.only, spot) && in.Now >= l.refused[Offer{name, zones.only, spot}] {
+			if zones.allows(name, zones.chosenZone, spot) && in.Now >= l.refusedUntil[Offer{name, zones.chosenZone, spot}] {
 				return false
 			}
 		}
--- a/internal/core/model/binding.go
+++ b/internal/core/model/binding.go
@@ -8,11 +8,11 @@
 	Job     *Job
 	Machine *Machine
 	Version uint64 // version of the machine's record that first holds it
-	Status  Status
+	Status  TaskState
 	// SentIncarnation and SentTally name the report whose response last carried the
 	// start; both 0 if this process never sent it.
 	SentIncarnation, SentSequence uint64
-	Seen                          bool   // a report under our token has shown it
+	Reported                      bool   // a report under our token has shown it
 	BoundAt                       Micros // when it was bound
 	RunningSince                  Micros // first seen running, 0 if not yet
 	ExpectedFetch                 Micros // how long its image was thought to take when it was bound
--- a/internal/core/model/failures.go
+++ b/internal/core/model/failures.go
@@ -8,25 +8,25 @@
 
 // How the failures of a job without any task done are judged.
 const (
-	// failsAfterMachines is on how many machines a job has to fail until it is retried
+	// backoffMachineThreshold is on how many machines a job has to fail until it is retried
 	// with backoff.
-	failsAfterMachines = 3
-	// leastRetryBackoff is what the waits of a job that has never run begin with. They
+	backoffMachineThreshold = 3
+	// minRetryBackoff is what the waits of a job that has never run begin with. They
 	// double with each failed retry, and are at least failsEverywhereBackoff once it has
 	// failed on so many machines.
-	leastRetryBackoff      = Second
-	failsEverywhereBackoff = 8 * Second
-	// mostRetryBackoff bounds that wait.
-	mostRetryBackoff = 64 * Second
+	minRetryBackoff        = Second
+	minMultiMachineBackoff = 8 * Second
+	// maxRetryBackoff bounds that wait.
+	maxRetryBackoff = 64 * Second
 )
 
 // Failures is what a job's failed tasks tell of it.
 type Failures struct {
 	FailedMachines map[string]bool // machines on which tasks of it failed
 	failedRetries  int             // retries that failed, with nothing of it known to run
-	// AtFault tells that it failed where other work runs, or on another machine after one
+	// FaultSuspected tells that it failed where other work runs, or on another machine after one
 	// had been set aside for it, before anything of it had run.
-	AtFault bool
+	FaultSuspected bool
 }
 
 // NoteFailure records that a task of the job failed on a machine, and tells whether the
@@ -46,11 +46,11 @@
 	if j.failedRetries == 1 && !j.NeedsBackoff() {
 		return false
 	}
-	backoff := leastRetryBackoff << min(j.failedRetries, 8)
+	backoff := minRetryBackoff << min(j.failedRetries, 8)
 	if j.NeedsBackoff() {
-		backoff = max(backoff, failsEverywhereBackoff)
+		backoff = max(backoff, minMultiMachineBackoff)
 	}
-	j.NotBefore = now + min(backoff, mostRetryBackoff)
+	j.NotBefore = now + min(backoff, maxRetryBackoff)
 	return true
 }
 
@@ -59,18 +59,18 @@
 
 // IsAtFault tells whether the job itself is thought to be at fault, not the machines
 // that it fails on.
-func (j *JobState) IsAtFault() bool { return j.AtFault && !j.IsKnownToRun() }
+func (j *JobState) IsAtFault() bool { return j.FaultSuspected && !j.IsKnownToRun() }
 
 // NeedsBackoff tells whether the job has failed on so many machines, with nothing
 // done, that it is retried with backoff until a task completes.
 func (j *JobState) NeedsBackoff() bool {
-	return j.Done.Len() == 0 && len(j.FailedMachines) >= failsAfterMachines
+	return j.Done.Len() == 0 && len(j.FailedMachines) >= backoffMachineThreshold
 }
 
-// TasksAtOnce is how many of n waiting tasks of an array or a service may be bound
+// BindableTasks is how many of n waiting tasks of an array or a service may be bound
 // now: of a job that fails everywhere it is tried one at a time, so that it takes up
 // one machine's room and not the fleet's.
-func (j *JobState) TasksAtOnce(n int) int {
+func (j *JobState) BindableTasks(n int) int {
 	if !j.NeedsBackoff() || j.HasRun || j.Kind == Gang {
 		return n
 	}
@@ -84,23 +84,23 @@
 	At  Micros
 }
 
-// maxFailuresInRow is how many failures in a row a machine keeps.
-const maxFailuresInRow = 8
+// maxConsecutiveFailures is how many failures in a row a machine keeps.
+const maxConsecutiveFailures = 8
 
 // NoteFailure records a failure of a job's tasks on the machine. Several tasks of one
 // job that fail in the same report are one failure.
 func (m *Machine) NoteFailure(job string, at Micros) {
 	failure := TaskFailure{Job: job, At: at}
-	if slices.Contains(m.FailuresInRow, failure) {
+	if slices.Contains(m.ConsecutiveFailures, failure) {
 		return
 	}
-	m.FailuresInRow = append(m.FailuresInRow, failure)
-	if n := len(m.FailuresInRow); n > maxFailuresInRow {
-		m.FailuresInRow = m.FailuresInRow[n-maxFailuresInRow:]
+	m.ConsecutiveFailures = append(m.ConsecutiveFailures, failure)
+	if n := len(m.ConsecutiveFailures); n > maxConsecutiveFailures {
+		m.ConsecutiveFailures = m.ConsecutiveFailures[n-maxConsecutiveFailures:]
 	}
 }
 
 // ForgetFailures drops the failures of a job that turned out to be at fault itself.
 func (m *Machine) ForgetFailures(job string) {
-	m.FailuresInRow = slices.DeleteFunc(m.FailuresInRow, func(f TaskFailure) bool { return f.Job == job })
+	m.ConsecutiveFailures = slices.DeleteFunc(m.ConsecutiveFailures, func(f TaskFailure) bool { return f.Job == job })
 }
--- a/internal/core/model/job.go
+++ b/internal/core/model/job.go
@@ -99,8 +99,8 @@
 	return j.Tasks
 }
 
-// CanEverRun tells why a job can never run, or "".
-func (j *Job) CanEverRun(teams map[string]*Team, machineTypes []MachineType) string {
+// InfeasibleReason tells why a job can never run, or "".
+func (j *Job) InfeasibleReason(teams map[string]*Team, machineTypes []MachineType) string {
 	t := teams[j.Team]
 	if t == nil {
 		return "unknown team"
@@ -109,7 +109,7 @@
 	if j.Kind == Array {
 		n = 1
 	}
-	if !t.Within(j.Request.Times(n)) {
+	if !t.WithinLimit(j.Request.Times(n)) {
 		return "needs more than the team's limit"
 	}
 	for i := range machineTypes {
--- a/internal/core/model/job_state.go
+++ b/internal/core/model/job_state.go
@@ -1,7 +1,7 @@
 package model
 
 // Versions counts the changes of a record, and tells which is durable.
-type Versions struct{ Now, Stored uint64 }
+type Versions struct{ Current, Stored uint64 }
 
 // JobState is a job as the leader knows it, with what has become of its tasks.
 type JobState struct {
@@ -10,13 +10,13 @@
 	// Its tasks. Waiting are those that are neither bound nor done, ascending.
 	Waiting  []int
 	Bindings map[int][]*Binding // by task, old attempts included
-	Done     Set
+	Done     TaskSet
 	// DoneVersions are the versions of Done, by part: one if it is stored as a whole.
 	DoneVersions []Versions
 
 	// Its end.
-	Ended      string // JobDone or JobCancelled once that is durable, else ""
-	EndPending bool   // all tasks are done: the end is to be written
+	FinalStatus string // JobDone or JobCancelled once that is durable, else ""
+	EndPending  bool   // all tasks are done: the end is to be written
 
 	// Attempts of a gang.
 	Attempt       uint64
@@ -39,16 +39,16 @@
 	// HomeCell is the cell that has lent it, "": it is a job of this one. Confirmed are then
 	// the finished tasks that its home has stored.
 	HomeCell  string
-	Confirmed Set
+	Confirmed TaskSet
 
 	// The estimates of the last placement round.
-	WithinGuarantee bool // within its team's guarantee
-	GuaranteeInTime bool // and can still start in the time that such work is to start in
-	Starved         bool // it has waited too long to begin
-	// LossMakesLate tells that it misses an objective if one of its tasks has to begin anew.
-	LossMakesLate bool
-	HasPreempted  bool // others have been preempted to make room for it
-	DueAt         Micros
+	WithinGuarantee  bool // within its team's guarantee
+	CanMeetGuarantee bool // and can still start in the time that such work is to start in
+	Starved          bool // it has waited too long to begin
+	// LateIfTaskLost tells that it misses an objective if one of its tasks has to begin anew.
+	LateIfTaskLost bool
+	HasPreempted   bool // others have been preempted to make room for it
+	DueAt          Micros
 }
 
 // BindingCount is the number of bound tasks, old attempts included.
--- a/internal/core/model/machine.go
+++ b/internal/core/model/machine.go
@@ -23,13 +23,13 @@
 	Stored         bool   // a record of it is in the state service
 
 	// What its worker's heartbeats tell.
-	Up            bool   // a heartbeat has shown that it knows the leader's token
-	Incarnation   uint64 // of the worker; counts the expiries of its lease
-	Sequence      uint64 // of the newest heartbeat of that incarnation
-	Token         uint64 // highest fencing token that it has told
-	LastHeartbeat Micros // when the newest heartbeat was applied
-	LastAnswer    Micros // latest time at which a leader may have renewed its lease
-	HasNews       bool   // its newest heartbeat freed resources, or showed it up
+	Up             bool   // a heartbeat has shown that it knows the leader's token
+	Incarnation    uint64 // of the worker; counts the expiries of its lease
+	Sequence       uint64 // of the newest heartbeat of that incarnation
+	Token          uint64 // highest fencing token that it has told
+	LastHeartbeat  Micros // when the newest heartbeat was applied
+	LastAnswer     Micros // latest time at which a leader may have renewed its lease
+	HasNewCapacity bool   // its newest heartbeat freed resources, or showed it up
 	// ReceivesAnswers tells that its newest heartbeat showed that the answer to the one
 	// before had arrived.
 	ReceivesAnswers bool
@@ -50,9 +50,9 @@
 	Quarantined bool   // tasks fail on it: no new work, released once it is empty
 	Deleting    bool   // a deletion is in progress
 	SlowUntil   Micros // it seemed slow: other machines are preferred until then
-	// FailuresInRow are the failures of tasks on it since a task last ran or completed
+	// ConsecutiveFailures are the failures of tasks on it since a task last ran or completed
 	// there: at most one a job and heartbeat, the latest few.
-	FailuresInRow []TaskFailure
+	ConsecutiveFailures []TaskFailure
 
 	// Its image cache.
 	Cache   []string // images, most recently used last
--- a/internal/core/model/model.go
+++ b/internal/core/model/model.go
@@ -63,8 +63,8 @@
 // IsZero tells whether nothing is asked.
 func (n Resources) IsZero() bool { return n == Resources{} }
 
-// Count tells how many times n fits into room, at most limit.
-func (n Resources) Count(room Resources, limit int) int {
+// FitCount tells how many times n fits into room, at most limit.
+func (n Resources) FitCount(room Resources, limit int) int {
 	k := Milli(limit)
 	for _, p := range [...][2]Milli{{n.Cores, room.Cores}, {n.GPUs, room.GPUs}, {n.Mem, room.Mem}} {
 		if p[0] > 0 {
@@ -93,8 +93,8 @@
 	return Resources{ToMilli(f.Cores), ToMilli(f.GPUs), ToMilli(f.MemoryGB)}
 }
 
-// In tells whether the type is offered in the zone.
-func (f *MachineType) In(zone string) bool {
+// OfferedIn tells whether the type is offered in the zone.
+func (f *MachineType) OfferedIn(zone string) bool {
 	for _, y := range f.Zones {
 		if y == zone {
 			return true
@@ -103,8 +103,8 @@
 	return false
 }
 
-// PriceOf is the current price per hour.
-func (f *MachineType) PriceOf(spot bool) float64 {
+// HourlyPrice is the current price per hour.
+func (f *MachineType) HourlyPrice(spot bool) float64 {
 	if spot {
 		return f.SpotPrice
 	}
@@ -122,9 +122,9 @@
 	Limit      Resources
 }
 
-// Within tells whether use stays inside the team's limit (memory is not
+// WithinLimit tells whether use stays inside the team's limit (memory is not
 // limited).
-func (t *Team) Within(use Resources) bool {
+func (t *Team) WithinLimit(use Resources) bool {
 	return use.Cores <= t.Limit.Cores && use.GPUs <= t.Limit.GPUs
 }
 
--- a/internal/core/model/model_test.go
+++ b/internal/core/model/model_test.go
@@ -64,7 +64,7 @@
 	check := func(what string, want bool, change func(*Submission)) {
 		c := *s
 		change(&c)
-		if why := c.Job(0).CanEverRun(teams, machineTypes); (why == "") != want {
+		if why := c.Job(0).InfeasibleReason(teams, machineTypes); (why == "") != want {
 			t.Errorf("%s: %q", what, why)
 		}
 	}
@@ -81,14 +81,14 @@
 func TestSet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		want := map[int]bool{}
-		var s Set
+		var s TaskSet
 		for _, i := range rapid.SliceOfN(rapid.IntRange(0, MaxTasks-1), 0, 50).Draw(rt, "members") {
 			if s.Add(i) == want[i] {
 				rt.Fatalf("%d is added twice, or not at all", i)
 			}
 			want[i] = true
 		}
-		back := SetOf(s.Bytes())
+		back := TaskSetFromBytes(s.Bytes())
 		if back.Len() != len(want) {
 			rt.Fatalf("%d members, want %d", back.Len(), len(want))
 		}
@@ -98,7 +98,7 @@
 			}
 		}
 	})
-	var full Set
+	var full TaskSet
 	for i := range MaxTasks {
 		full.Add(i)
 	}
@@ -108,15 +108,15 @@
 }
 
 func TestCount(t *testing.T) {
-	if n := (Resources{Cores: 2, Mem: 3}).Count(Resources{Cores: 10, Mem: 9, GPUs: -1}, 100); n != 3 {
+	if n := (Resources{Cores: 2, Mem: 3}).FitCount(Resources{Cores: 10, Mem: 9, GPUs: -1}, 100); n != 3 {
 		t.Errorf("%d", n)
 	}
 	// A room that is overdrawn in what is not asked for is no obstacle, one that
 	// is overdrawn in what is asked for is none at all.
-	if n := (Resources{Cores: 2}).Count(Resources{Cores: 4, Mem: -5}, 100); n != 2 {
+	if n := (Resources{Cores: 2}).FitCount(Resources{Cores: 4, Mem: -5}, 100); n != 2 {
 		t.Errorf("%d", n)
 	}
-	if n := (Resources{Cores: 2}).Count(Resources{Cores: -4}, 100); n != 0 {
+	if n := (Resources{Cores: 2}).FitCount(Resources{Cores: -4}, 100); n != 0 {
 		t.Errorf("%d", n)
 	}
 }
--- a/internal/core/model/submission.go
+++ b/internal/core/model/submission.go
@@ -44,8 +44,8 @@
 	AcceptedMs int64 `json:"atMs,omitempty"`
 }
 
-// required lists the fields that may be neither missing nor null.
-var required = []string{"ref", "jobclass", "owner", "shape", "rank", "pieces", "cores", "gpus", "memoryGb",
+// requiredFields lists the fields that may be neither missing nor null.
+var requiredFields = []string{"ref", "jobclass", "owner", "shape", "rank", "pieces", "cores", "gpus", "memoryGb",
 	"bundle", "imageGb", "samePlace", "apart", "loaners", "guessS", "keepsakeS", "stowS"}
 
 // ParseSubmission reads a user's POST body. Any error means 400. The ref is
@@ -64,7 +64,7 @@
 			ref = ""
 		}
 	}
-	for _, f := range required {
+	for _, f := range requiredFields {
 		if raw, ok := fields[f]; !ok || string(raw) == "null" {
 			return nil, ref, &FieldError{f, "is missing"}
 		}
--- a/internal/core/model/task.go
+++ b/internal/core/model/task.go
@@ -25,12 +25,12 @@
 	return TaskID{job, i}, err == nil && i >= 0
 }
 
-// Status is the state of a bound task, as its worker last reported it.
-type Status uint8
+// TaskState is the state of a bound task, as its worker last reported it.
+type TaskState uint8
 
 // The states of a task. Unreported means that no heartbeat has shown it yet.
 const (
-	Unreported Status = iota
+	Unreported TaskState = iota
 	Fetching
 	WaitingForGang
 	Running
--- a/internal/core/placement/cost.go
+++ b/internal/core/placement/cost.go
@@ -17,7 +17,7 @@
 )
 
 // fetchTime is how long it takes until a machine has the job's image.
-func (w *World) fetchTime(job *model.JobState, machine *model.Machine) model.Micros {
+func (w *Round) fetchTime(job *model.JobState, machine *model.Machine) model.Micros {
 	machineType := w.MachineTypes[machine.MachineType]
 	if machineType == nil || machineType.FetchGBps <= 0 {
 		return 0
@@ -31,7 +31,7 @@
 
 // cost ranks a machine for a job of which so many tasks fit there: by the time until it
 // has the image, and by what the choice makes worse for other jobs.
-func (w *World) cost(job *model.JobState, open *openMachine, tasks int) model.Micros {
+func (w *Round) cost(job *model.JobState, open *target, tasks int) model.Micros {
 	machine := open.machine
 	cost := w.fetchTime(job, machine)
 	cost += cost / model.Micros(max(1, tasks)) // the fewer tasks share a fetch, the more each costs
@@ -42,7 +42,7 @@
 }
 
 // gpuCost is the cost of taking resources that GPU tasks could use.
-func (w *World) gpuCost(job *model.JobState, open *openMachine) model.Micros {
+func (w *Round) gpuCost(job *model.JobState, open *target) model.Micros {
 	if open.machine.Size.GPUs == 0 || job.Request.GPUs > 0 {
 		return 0
 	}
@@ -53,22 +53,22 @@
 }
 
 // spotCost is the cost of the wrong choice between spot and ordinary machines.
-func (w *World) spotCost(job *model.JobState, machine *model.Machine) model.Micros {
+func (w *Round) spotCost(job *model.JobState, machine *model.Machine) model.Micros {
 	switch {
-	case machine.Spot && job.LossMakesLate:
+	case machine.Spot && job.LateIfTaskLost:
 		return costLoss
-	case !machine.Spot && job.AllowsSpot && !job.LossMakesLate:
+	case !machine.Spot && job.AllowsSpot && !job.LateIfTaskLost:
 		return w.spotPremium(job, machine)
 	}
 	return 0
 }
 
 // riskCost is the cost of a machine on which the job may fail or be slow.
-func (w *World) riskCost(job *model.JobState, machine *model.Machine) (cost model.Micros) {
+func (w *Round) riskCost(job *model.JobState, machine *model.Machine) (cost model.Micros) {
 	if job.FailedMachines[machine.ID] {
 		cost += costFailedBefore
 	}
-	if len(machine.FailuresInRow) > 0 {
+	if len(machine.ConsecutiveFailures) > 0 {
 		cost += costSuspect
 	}
 	if w.Now < machine.SlowUntil {
@@ -77,16 +77,16 @@
 	return cost
 }
 
-// suitsBest tells whether a machine is of the kind that a job is better off on: a spot
+// isPreferredKind tells whether a machine is of the kind that a job is better off on: a spot
 // machine if it may use one, unless it would be late if that were taken away.
-func suitsBest(job *model.JobState, machine *model.Machine) bool {
-	return !job.AllowsSpot || machine.Spot != job.LossMakesLate
+func isPreferredKind(job *model.JobState, machine *model.Machine) bool {
+	return !job.AllowsSpot || machine.Spot != job.LateIfTaskLost
 }
 
 // spotPremium is what running on an ordinary machine costs a task that could use a spot
 // machine, as the time that its run would last longer on a spot machine for the same
 // money. A fetch that takes less than that is worth it.
-func (w *World) spotPremium(job *model.JobState, machine *model.Machine) model.Micros {
+func (w *Round) spotPremium(job *model.JobState, machine *model.Machine) model.Micros {
 	machineType := w.MachineTypes[machine.MachineType]
 	if machineType == nil || machineType.SpotPrice <= 0 || machineType.Price <= machineType.SpotPrice {
 		return minSpotPremium
@@ -95,17 +95,17 @@
 	return max(minSpotPremium, model.Micros(float64(job.EstimatedRun)*surcharge))
 }
 
-// minFragmentRatio is by how much GPUs have to be worth more than a gang's request so
+// minFragmentPercent is by how much GPUs have to be worth more than a gang's request so
 // that the gang avoids leaving them unusable, in percent.
-const minFragmentRatio = 150
+const minFragmentPercent = 150
 
 // fragmentsGPUs tells that a gang without GPUs would leave GPUs unusable on a machine
 // that are wanted and worth more than what the gang takes. It goes there only when it
 // can't wait any longer.
-func (w *World) fragmentsGPUs(job *model.JobState, machine *model.Machine) bool {
+func (w *Round) fragmentsGPUs(job *model.JobState, machine *model.Machine) bool {
 	if machine.Size.GPUs == 0 || job.Request.GPUs > 0 || w.WantedGPUs == 0 || machine.Size.Cores == 0 || !w.gangCanWait(job) {
 		return false
 	}
 	unusable := model.Resources{GPUs: machine.Size.GPUs * job.Request.Cores / machine.Size.Cores}
-	return 100*coreEquivalents(unusable) > minFragmentRatio*coreEquivalents(job.Request)
+	return 100*coreEquivalents(unusable) > minFragmentPercent*coreEquivalents(job.Request)
 }
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -2,9 +2,9 @@
 
 import "woadweir/internal/core/model"
 
-// startAimWaits is the time in which a job that must start now is to start, in
+// startObjectiveWaits is the time in which a job that must start now is to start, in
 // multiples of its longest wait.
-const startAimWaits = 4
+const startObjectiveWaits = 4
 
 // assignment is a choice of one machine for each task of a gang.
 type assignment struct {
@@ -15,7 +15,7 @@
 // placeGang binds all tasks or none. As long as tasks of an earlier attempt may still be
 // on a machine, the next attempt has to wait. It tells whether the gang waits for
 // resources that were reserved for it.
-func (w *World) placeGang(job *model.JobState) (reserved bool) {
+func (w *Round) placeGang(job *model.JobState) (reserved bool) {
 	if len(job.Bindings) > 0 || len(job.Waiting) != job.Tasks || w.tasksWithinLimit(job, job.Tasks) < job.Tasks {
 		return false
 	}
@@ -23,7 +23,7 @@
 	if len(best.machines) == 0 {
 		return false
 	}
-	if w.Preempting && w.fetchMissesAim(job, best.machines) && w.preempt(job, w.hasImageOf(job)) {
+	if w.Preempting && w.fetchMissesStartObjective(job, best.machines) && w.preempt(job, w.hasImageOf(job)) {
 		return true
 	}
 	attempt := w.Executor.NextAttempt()
@@ -34,7 +34,7 @@
 }
 
 // assign chooses a machine for every task of the gang.
-func (w *World) assign(job *model.JobState, candidates []candidate) assignment {
+func (w *Round) assign(job *model.JobState, candidates []candidate) assignment {
 	if !job.SameZone {
 		return w.chooseMachines(job, candidates)
 	}
@@ -56,7 +56,7 @@
 func groupByZone(candidates []candidate) (zones [][]candidate) {
 	indexes := map[string]int{}
 	for _, candidate := range candidates {
-		zone := candidate.open.machine.Zone
+		zone := candidate.target.machine.Zone
 		index, known := indexes[zone]
 		if !known {
 			index = len(zones)
@@ -69,14 +69,14 @@
 }
 
 // chooseMachines assigns the tasks of a gang to the first of the candidates.
-func (w *World) chooseMachines(job *model.JobState, candidates []candidate) assignment {
+func (w *Round) chooseMachines(job *model.JobState, candidates []candidate) assignment {
 	limits := w.constraintsOf(job)
 	var chosen assignment
 	inZone := map[string]int{}
 	for _, candidate := range candidates {
-		machine := candidate.open.machine
+		machine := candidate.target.machine
 		tasks := min(
-			job.Request.Count(candidate.open.usable(limits), job.Tasks-len(chosen.machines)),
+			job.Request.FitCount(candidate.target.usable(limits), job.Tasks-len(chosen.machines)),
 			w.Executor.TaskSlots(job.Job, machine),
 			job.MaxPerZone()-inZone[machine.Zone])
 		for range tasks {
@@ -91,14 +91,14 @@
 	return assignment{}
 }
 
-// fetchMissesAim tells that fetching the image would make a late job of high priority
+// fetchMissesStartObjective tells that fetching the image would make a late job of high priority
 // miss its class's start aim, so that preempting others on machines that have the image
 // is quicker.
-func (w *World) fetchMissesAim(job *model.JobState, machines []*model.Machine) bool {
+func (w *Round) fetchMissesStartObjective(job *model.JobState, machines []*model.Machine) bool {
 	if !w.mustStartNow(job) {
 		return false
 	}
-	aim := w.Estimates.MaxWait(job) * startAimWaits
+	aim := w.Estimates.MaxWait(job) * startObjectiveWaits
 	age := w.Now - job.ReadySince
 	if age > 2*aim {
 		return false // too late for it to matter
--- a/internal/core/placement/loss.go
+++ b/internal/core/placement/loss.go
@@ -16,7 +16,7 @@
 }
 
 // sortByLoss sorts tasks by the work that is lost when they are stopped, least first.
-func (w *World) sortByLoss(bindings []*model.Binding) {
+func (w *Round) sortByLoss(bindings []*model.Binding) {
 	slices.SortFunc(bindings, func(a, b *model.Binding) int {
 		return cmp.Or(
 			cmp.Compare(w.PreemptionLoss(a), w.PreemptionLoss(b)),
@@ -27,7 +27,7 @@
 // PreemptionLoss is the work that is lost when a task is stopped, as core time. For a
 // task that waits for its image it is the fetch: if that counted nothing, tasks with
 // long fetches would be preempted again and again and never run.
-func (w *World) PreemptionLoss(binding *model.Binding) model.Micros {
+func (w *Round) PreemptionLoss(binding *model.Binding) model.Micros {
 	value := coreEquivalents(binding.Job.Request)
 	switch {
 	case binding.RunningSince == 0:
--- a/internal/core/placement/nextfree.go
+++ b/internal/core/placement/next_free.go
@@ -10,15 +10,15 @@
 
 // futureSlot is where a task will fit, once tasks that run there now have ended.
 type futureSlot struct {
-	open     *openMachine
-	freeFrom model.Micros // expected time until then
+	target        *target
+	timeUntilFree model.Micros // expected time until then
 }
 
 // reserveNextFree reserves machines that come free by themselves, for a gang that can't
 // preempt others: otherwise work of its own priority would take each of them as soon as
 // it is free, and the gang might never start. It chooses the machines that are expected
 // to be free first, and serves one gang in a zone, so that other work goes on there.
-func (w *World) reserveNextFree(gang *model.JobState) {
+func (w *Round) reserveNextFree(gang *model.JobState) {
 	if len(gang.Bindings) > 0 || !gang.Starved && !w.waitedLongEnough(gang) {
 		return
 	}
@@ -27,16 +27,16 @@
 		return
 	}
 	for _, slot := range chosen {
-		w.reservedZones[slot.open.machine.Zone] = true
-		w.reserve(gang, slot.open, false)
+		w.reservedZones[slot.target.machine.Zone] = true
+		w.reserve(gang, slot.target, false)
 	}
 }
 
 // futureSlotsByZone finds where and when tasks of a gang will fit.
-func (w *World) futureSlotsByZone(gang *model.JobState) map[string][]futureSlot {
+func (w *Round) futureSlotsByZone(gang *model.JobState) map[string][]futureSlot {
 	byZone := map[string][]futureSlot{}
-	for i := range w.openMachines {
-		open := &w.openMachines[i]
+	for i := range w.targets {
+		open := &w.targets[i]
 		machine := open.machine
 		if w.reservedZones[machine.Zone] || !gang.Request.Fits(machine.Size.Minus(open.reserved)) {
 			continue
@@ -51,7 +51,7 @@
 
 // futureSlots finds when one task of a gang after another will fit on a machine, as the
 // tasks that run there now end.
-func (w *World) futureSlots(gang *model.JobState, open *openMachine) (slots []futureSlot) {
+func (w *Round) futureSlots(gang *model.JobState, open *target) (slots []futureSlot) {
 	running := w.bindingsByEnd(open.machine)
 	free := open.free()
 	freeFrom := model.Micros(0)
@@ -65,14 +65,14 @@
 			break
 		}
 		free = free.Minus(gang.Request)
-		slots = append(slots, futureSlot{open: open, freeFrom: freeFrom})
+		slots = append(slots, futureSlot{target: open, timeUntilFree: freeFrom})
 	}
 	return slots
 }
 
 // bindingsByEnd are the tasks bound to a machine, in the order in which they are expected
 // to end.
-func (w *World) bindingsByEnd(machine *model.Machine) []*model.Binding {
+func (w *Round) bindingsByEnd(machine *model.Machine) []*model.Binding {
 	bindings := slices.Collect(maps.Values(machine.Bindings))
 	slices.SortFunc(bindings, func(a, b *model.Binding) int {
 		return cmp.Or(
@@ -101,8 +101,8 @@
 		if len(slots) < tasks {
 			continue
 		}
-		sortByFreeFrom(slots)
-		if chosen == nil || slots[tasks-1].freeFrom < chosen[tasks-1].freeFrom {
+		sortByTimeUntilFree(slots)
+		if chosen == nil || slots[tasks-1].timeUntilFree < chosen[tasks-1].timeUntilFree {
 			chosen = slots[:tasks]
 		}
 	}
@@ -113,7 +113,7 @@
 func firstFreeSpread(byZone map[string][]futureSlot, tasks, maxPerZone int) (chosen []futureSlot) {
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		slots := byZone[zone]
-		sortByFreeFrom(slots)
+		sortByTimeUntilFree(slots)
 		count := min(len(slots), maxPerZone, tasks-len(chosen))
 		chosen = append(chosen, slots[:count]...)
 	}
@@ -125,11 +125,11 @@
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		chosen = append(chosen, byZone[zone]...)
 	}
-	sortByFreeFrom(chosen)
+	sortByTimeUntilFree(chosen)
 	return chosen[:min(len(chosen), tasks)]
 }
 
-// sortByFreeFrom sorts slots by when they are free. Slots of a machine stay in order.
-func sortByFreeFrom(slots []futureSlot) {
-	slices.SortStableFunc(slots, func(a, b futureSlot) int { return cmp.Compare(a.freeFrom, b.freeFrom) })
+// sortByTimeUntilFree sorts slots by when they are free. Slots of a machine stay in order.
+func sortByTimeUntilFree(slots []futureSlot) {
+	slices.SortStableFunc(slots, func(a, b futureSlot) int { return cmp.Compare(a.timeUntilFree, b.timeUntilFree) })
 }
--- a/internal/core/placement/nextfree_test.go
+++ b/internal/core/placement/next_free_test.go
@@ -31,7 +31,7 @@
 		}
 		var got []string
 		for _, slot := range chooseFutureSlots(gang, byZone) {
-			got = append(got, slot.open.machine.ID)
+			got = append(got, slot.target.machine.ID)
 		}
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: %d tasks get %v, want %v", c.name, c.tasks, got, c.want)
@@ -41,5 +41,5 @@
 
 // testSlot is a slot on a machine that is free after some seconds.
 func testSlot(machine string, seconds model.Micros) futureSlot {
-	return futureSlot{open: &openMachine{machine: &model.Machine{ID: machine}}, freeFrom: seconds * model.Second}
+	return futureSlot{target: &target{machine: &model.Machine{ID: machine}}, timeUntilFree: seconds * model.Second}
 }
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -7,15 +7,15 @@
 	"woadweir/internal/core/model"
 )
 
-// Late is the least DueAt of jobs that can't be in time any more.
-const Late = model.Micros(1) << 60
+// LateDueAt is the least DueAt of jobs that can't be in time any more.
+const LateDueAt = model.Micros(1) << 60
 
 // canBeInTime tells that a job can still meet an aim.
-func canBeInTime(job *model.JobState) bool { return job.DueAt < Late }
+func canBeInTime(job *model.JobState) bool { return job.DueAt < LateDueAt }
 
 // Sort puts jobs into the order in which they are served, as compareJobs has it, after
 // finding out what that depends on.
-func (w *World) Sort() {
+func (w *Round) Sort() {
 	slices.SortFunc(w.Jobs, func(a, b *model.JobState) int { return cmp.Compare(a.AcceptedRevision, b.AcceptedRevision) })
 	w.markGuaranteed()
 	w.markStarved()
@@ -44,7 +44,7 @@
 		cmp.Compare(b.Priority, a.Priority),
 		trueFirst(a.HasPreempted, b.HasPreempted),
 		trueFirst(canBeInTime(a), canBeInTime(b)),
-		trueFirst(a.GuaranteeInTime, b.GuaranteeInTime),
+		trueFirst(a.CanMeetGuarantee, b.CanMeetGuarantee),
 		trueFirst(a.WithinGuarantee, b.WithinGuarantee),
 		cmp.Compare(a.DueAt, b.DueAt))
 }
@@ -77,7 +77,7 @@
 // machines, and jobs that can't be in time any more, might never start. If it found jobs
 // sooner, all jobs of a busy class would be late, one after the other. The jobs must be
 // in order of age.
-func (w *World) markStarved() {
+func (w *Round) markStarved() {
 	starvedUntil := w.starvedUntil()
 	for _, job := range w.Jobs {
 		until, found := starvedUntil[job.Class]
@@ -87,7 +87,7 @@
 
 // starvedUntil is, by class, since when the youngest starved job is idle. All that are
 // idle for longer are starved, too.
-func (w *World) starvedUntil() map[string]model.Micros {
+func (w *Round) starvedUntil() map[string]model.Micros {
 	tasksAhead := map[string]float64{} // by class, tasks that have to start first, the job's own included
 	until := map[string]model.Micros{}
 	for _, job := range w.Jobs {
@@ -104,7 +104,7 @@
 
 // startsTooLate tells that a job has not started in time, or would not with so many tasks
 // ahead of it.
-func (w *World) startsTooLate(job *model.JobState, tasksAhead float64) bool {
+func (w *Round) startsTooLate(job *model.JobState, tasksAhead float64) bool {
 	age := w.Now - idleSince(job)
 	if age <= minStarvationAge {
 		return false
@@ -115,7 +115,7 @@
 
 // isIdle tells that a job waits and has no task bound.
 func isIdle(job *model.JobState) bool {
-	return len(job.Bindings) == 0 && len(job.Waiting) > 0 && job.Ended == ""
+	return len(job.Bindings) == 0 && len(job.Waiting) > 0 && job.FinalStatus == ""
 }
 
 // tasksToStart is how many tasks have to start so that a job counts as started.
@@ -129,26 +129,26 @@
 // markGuaranteed finds the jobs that are within their team's guarantee. If guaranteed
 // work is to start within some time, jobs are counted one by one. Otherwise all jobs of a
 // team are alike: those of a team that uses less than its guarantee are within it.
-func (w *World) markGuaranteed() {
-	if w.Guarantee != 0 {
+func (w *Round) markGuaranteed() {
+	if w.GuaranteeObjective != 0 {
 		w.markGuaranteedByJob()
 		return
 	}
 	for _, job := range w.Jobs {
 		team := w.Teams[job.Team]
 		job.WithinGuarantee = team != nil && team.WithinGuarantee(w.Used[job.Team])
-		job.GuaranteeInTime = false
+		job.CanMeetGuarantee = false
 	}
 }
 
 // markGuaranteedByJob finds the jobs that fit into their team's guarantee together with
 // the team's earlier unfinished jobs. The jobs must be in order of age.
-func (w *World) markGuaranteedByJob() {
+func (w *Round) markGuaranteedByJob() {
 	requested := make(map[string]model.Resources, len(w.Teams))
 	for _, job := range w.Jobs {
 		requested[job.Team] = requested[job.Team].Plus(job.Request.Times(job.Tasks))
 		team := w.Teams[job.Team]
 		job.WithinGuarantee = team != nil && team.WithinGuarantee(requested[job.Team])
-		job.GuaranteeInTime = job.WithinGuarantee && w.Now-job.ReadySince < w.Guarantee
+		job.CanMeetGuarantee = job.WithinGuarantee && w.Now-job.ReadySince < w.GuaranteeObjective
 	}
 }
--- a/internal/core/placement/order_test.go
+++ b/internal/core/placement/order_test.go
@@ -19,10 +19,10 @@
 	beyond := job("red", 1, now)
 	other := job("blue", 4, now)
 	unknown := job("none", 1, now)
-	w := &World{
-		Now:       now,
-		Guarantee: guarantee,
-		Jobs:      []*model.JobState{old, fresh, beyond, other, unknown},
+	w := &Round{
+		Now:                now,
+		GuaranteeObjective: guarantee,
+		Jobs:               []*model.JobState{old, fresh, beyond, other, unknown},
 		Teams: map[string]*model.Team{
 			"red":  {Guaranteed: model.Resources{Cores: 4000}},
 			"blue": {Guaranteed: model.Resources{Cores: 4000}},
@@ -40,8 +40,8 @@
 		{name: "another team's", job: other, within: true, inTime: true},
 		{name: "an unknown team's", job: unknown},
 	} {
-		if c.job.WithinGuarantee != c.within || c.job.GuaranteeInTime != c.inTime {
-			t.Errorf("%s: within the guarantee: %v, in time: %v", c.name, c.job.WithinGuarantee, c.job.GuaranteeInTime)
+		if c.job.WithinGuarantee != c.within || c.job.CanMeetGuarantee != c.inTime {
+			t.Errorf("%s: within the guarantee: %v, in time: %v", c.name, c.job.WithinGuarantee, c.job.CanMeetGuarantee)
 		}
 	}
 }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -42,17 +42,17 @@
 	Stop(binding *model.Binding, reason string)
 }
 
-// World is what a placement round works on. It serves for one round.
-type World struct {
+// Round is what a placement round works on. It serves for one round.
+type Round struct {
 	// Now is the time of the round.
 	Now model.Micros
 	// HeartbeatTimeout is the silence after which a machine gets no new work.
 	HeartbeatTimeout model.Micros
 	// StopTime is about how long it takes until a stopped task's resources are free.
 	StopTime model.Micros
-	// Guarantee is the time within which jobs within their team's guarantee are to start;
+	// GuaranteeObjective is the time within which jobs within their team's guarantee are to start;
 	// 0 if these jobs are not counted one by one.
-	Guarantee model.Micros
+	GuaranteeObjective model.Micros
 
 	Machines     []*model.Machine
 	MachineTypes map[string]*model.MachineType
@@ -77,12 +77,12 @@
 
 	// The rest is the round's own.
 
-	// openMachines are the machines that take new work.
-	openMachines []openMachine
-	// openMachineOf indexes openMachines; it is made when first needed.
-	openMachineOf map[*model.Machine]*openMachine
+	// targets are the machines that take new work.
+	targets []target
+	// targetOf indexes openMachines; it is made when first needed.
+	targetOf map[*model.Machine]*target
 	// tooLarge holds, by constraints, requests that no machine has room for.
-	tooLarge map[constraints][]model.Resources
+	tooLarge map[machineConstraints][]model.Resources
 	// reservedLimit is what is kept, of a team's limit, for gangs served earlier.
 	reservedLimit map[string]model.Resources
 	// reservedZones are the zones where machines that come free are reserved for a gang.
@@ -104,29 +104,29 @@
 // first in order. The turn of the others comes when those are served.
 const maxPreemptingJobs = 24
 
-// Round places what can be placed and passes each decision to the Executor.
-func (w *World) Round() {
+// Run places what can be placed and passes each decision to the Executor.
+func (w *Round) Run() {
 	w.Sort()
 	w.prepare()
 	for start, end := 0, 0; start < len(w.Jobs); start = end {
 		first := w.Jobs[start]
 		end = start + 1
-		for end < len(w.Jobs) && equalStanding(first, w.Jobs[end]) {
+		for end < len(w.Jobs) && samePrecedence(first, w.Jobs[end]) {
 			end++
 		}
-		w.placeEqualJobs(w.Jobs[start:end])
+		w.placeSamePrecedence(w.Jobs[start:end])
 	}
 }
 
-// equalStanding tells whether neither job has to be served before the other.
-func equalStanding(a, b *model.JobState) bool {
+// samePrecedence tells whether neither job has to be served before the other.
+func samePrecedence(a, b *model.JobState) bool {
 	return a.Priority == b.Priority && a.Starved == b.Starved && canBeInTime(a) == canBeInTime(b)
 }
 
-// placeEqualJobs serves jobs of equal standing. Tasks whose image is on a machine go
+// placeSamePrecedence serves jobs of equal standing. Tasks whose image is on a machine go
 // first: when GPUs come free one at a time, each would otherwise go to the next task in
 // order, and spend as long on fetching its image as on running it.
-func (w *World) placeEqualJobs(jobs []*model.JobState) {
+func (w *Round) placeSamePrecedence(jobs []*model.JobState) {
 	if w.mayReorder(jobs) {
 		for _, job := range jobs {
 			if w.isWaiting(job) {
@@ -143,7 +143,7 @@
 
 // mayReorder tells whether jobs of equal standing may be served out of order: none of
 // them is starved or a waiting gang.
-func (w *World) mayReorder(jobs []*model.JobState) bool {
+func (w *Round) mayReorder(jobs []*model.JobState) bool {
 	if jobs[0].Starved {
 		return false
 	}
@@ -156,13 +156,13 @@
 }
 
 // isWaiting tells whether a job has tasks that may be placed now.
-func (w *World) isWaiting(job *model.JobState) bool {
-	return job.Ended == "" && !job.EndPending && len(job.Waiting) > 0 && w.Now >= job.NotBefore
+func (w *Round) isWaiting(job *model.JobState) bool {
+	return job.FinalStatus == "" && !job.EndPending && len(job.Waiting) > 0 && w.Now >= job.NotBefore
 }
 
 // placeJob places what it can of one job, on resources reserved for it and others. What
 // it does not use stays reserved, except in a preempting round, which decides anew.
-func (w *World) placeJob(job *model.JobState) {
+func (w *Round) placeJob(job *model.JobState) {
 	if len(w.Reservations[job]) == 0 {
 		w.placeOrReserve(job)
 		return
@@ -183,7 +183,7 @@
 
 // placeOrReserve places what it can of one job, and reserves or frees resources for the
 // rest.
-func (w *World) placeOrReserve(job *model.JobState) {
+func (w *Round) placeOrReserve(job *model.JobState) {
 	if job.Kind == model.Gang && w.tasksWithinLimit(job, job.Tasks) < job.Tasks {
 		w.preemptWithinTeam(job)
 		return
@@ -207,7 +207,7 @@
 // machines, if no other gang of the team has such a reservation. With none at all, the
 // team's other work would use up the limit meanwhile, and be preempted for the gang
 // again; with one for every gang, nothing would be left of the limit.
-func (w *World) reserveFirstGangLimit(gang *model.JobState) {
+func (w *Round) reserveFirstGangLimit(gang *model.JobState) {
 	_, exists := w.reservedLimit[gang.Team]
 	if !exists && len(gang.Waiting) > 0 && len(gang.Bindings) == 0 {
 		w.reserveLimit(gang)
@@ -216,7 +216,7 @@
 
 // freeResources has others preempted for a job that found no machines. For a gang that
 // can't preempt, it reserves the machines that come free next.
-func (w *World) freeResources(job *model.JobState) {
+func (w *Round) freeResources(job *model.JobState) {
 	reserved := false
 	if w.mayPreempt(job) {
 		w.preemptingJobs++
@@ -229,7 +229,7 @@
 
 // mayPreempt tells whether there may be tasks that a job can preempt, and the round has
 // not looked for such tasks too often yet.
-func (w *World) mayPreempt(job *model.JobState) bool {
+func (w *Round) mayPreempt(job *model.JobState) bool {
 	if w.preemptingJobs >= maxPreemptingJobs {
 		return false
 	}
@@ -238,8 +238,8 @@
 
 // placeTasks places single tasks. With cachedOnly, it uses only machines that have the
 // job's image, or will have it soon.
-func (w *World) placeTasks(job *model.JobState, cachedOnly bool) {
-	left := job.TasksAtOnce(w.tasksWithinLimit(job, len(job.Waiting)))
+func (w *Round) placeTasks(job *model.JobState, cachedOnly bool) {
+	left := job.BindableTasks(w.tasksWithinLimit(job, len(job.Waiting)))
 	if job.Starved {
 		left = min(left, 1)
 	}
@@ -248,8 +248,8 @@
 	}
 	limits := w.constraintsOf(job)
 	for _, candidate := range w.candidates(job, 1, cachedOnly) {
-		machine := candidate.open.machine
-		fitting := job.Request.Count(candidate.open.usable(limits), left)
+		machine := candidate.target.machine
+		fitting := job.Request.FitCount(candidate.target.usable(limits), left)
 		tasks := min(left, fitting, ZoneRoom(job, machine.Zone), w.Executor.TaskSlots(job.Job, machine))
 		for range tasks {
 			w.Executor.Bind(job, job.Waiting[0], machine, w.Executor.NextAttempt())
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -41,10 +41,10 @@
 	older := job("j-1", 1, model.HighPriority)
 	preempting := job("j-2", 2, model.HighPriority)
 	higher := job("j-3", 3, model.ProductionPriority)
-	w := &World{
+	w := &Round{
 		Now:          model.Second,
 		Jobs:         []*model.JobState{preempting, older, higher},
-		Estimates:    testEstimator{dueAt: map[string]model.Micros{preempting.ID: Late}},
+		Estimates:    testEstimator{dueAt: map[string]model.Micros{preempting.ID: LateDueAt}},
 		Reservations: map[*model.JobState][]Reservation{preempting: {{Preempted: true}}, older: {{}}},
 	}
 	for _, want := range []string{"j-3 j-2 j-1", "j-3 j-1 j-2"} {
@@ -74,7 +74,7 @@
 		{name: "the spot machine is full", full: true, want: "ordinary"},
 		{name: "the ordinary machine is surplus", late: true, surplus: true, want: "spot"},
 		{name: "the same, and the spot machine is full", late: true, surplus: true, full: true, want: ""},
-		{name: "the same, and it has waited for long", late: true, surplus: true, full: true, waited: surplusOpensAfter, want: "ordinary"},
+		{name: "the same, and it has waited for long", late: true, surplus: true, full: true, waited: surplusAllowedAfter, want: "ordinary"},
 	} {
 		ordinary, spot := testMachine("ordinary", false), testMachine("spot", true)
 		ordinary.Cache, ordinary.Surplus = []string{"i"}, c.surplus
@@ -82,10 +82,10 @@
 			spot.Used = spot.Size
 		}
 		job := flexibleJob()
-		job.LossMakesLate = c.late
+		job.LateIfTaskLost = c.late
 		job.ReadySince -= c.waited
 		executor := &testExecutor{}
-		testWorld(job, executor, ordinary, spot).Round()
+		testRound(job, executor, ordinary, spot).Run()
 		if executor.boundTo != c.want {
 			t.Errorf("%s: goes to %q, want %q", c.name, executor.boundTo, c.want)
 		}
@@ -115,9 +115,9 @@
 	return &model.JobState{Job: description, Waiting: []int{0}, ReadySince: testNow}
 }
 
-// testWorld is a round with a single job.
-func testWorld(job *model.JobState, executor Executor, machines ...*model.Machine) *World {
-	return &World{
+// testRound is a round with a single job.
+func testRound(job *model.JobState, executor Executor, machines ...*model.Machine) *Round {
+	return &Round{
 		Now:              testNow,
 		HeartbeatTimeout: model.Second,
 		Machines:         machines,
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -14,7 +14,7 @@
 func anyMachine(*model.Machine) bool { return true }
 
 // hasImageOf lets machines be considered that have a job's image, or will have it at once.
-func (w *World) hasImageOf(job *model.JobState) machineFilter {
+func (w *Round) hasImageOf(job *model.JobState) machineFilter {
 	return func(machine *model.Machine) bool { return w.fetchTime(job, machine) < model.Second }
 }
 
@@ -22,7 +22,7 @@
 // where that loses least, and reserves what they free for this job. What earlier stops
 // are about to free counts first. It tells whether all that the job needs was found and
 // reserved.
-func (w *World) preempt(job *model.JobState, suits machineFilter) (reserved bool) {
+func (w *Round) preempt(job *model.JobState, suits machineFilter) (reserved bool) {
 	wanted := w.tasksWithinLimit(job, len(job.Waiting))
 	if wanted == 0 || job.Kind == model.Gang && (len(job.Bindings) > 0 || wanted < job.Tasks) {
 		return false
@@ -49,10 +49,10 @@
 }
 
 // bindToSlots binds tasks of a job to slots that are free.
-func (w *World) bindToSlots(job *model.JobState, slots []preemptionSlot) {
+func (w *Round) bindToSlots(job *model.JobState, slots []preemptionSlot) {
 	attempt := w.Executor.NextAttempt()
 	for _, slot := range slots {
-		w.Executor.Bind(job, job.Waiting[0], slot.open.machine, attempt)
+		w.Executor.Bind(job, job.Waiting[0], slot.target.machine, attempt)
 		if job.Kind != model.Gang {
 			attempt = w.Executor.NextAttempt()
 		}
@@ -62,13 +62,13 @@
 // reserveSlot reserves a slot for a job. Its victims are stopped only when the job is
 // late: until then the resources become free by themselves, as no job that is served
 // later gets them.
-func (w *World) reserveSlot(job *model.JobState, slot preemptionSlot, late bool) {
+func (w *Round) reserveSlot(job *model.JobState, slot preemptionSlot, late bool) {
 	if late {
 		for _, victim := range slot.victims {
 			w.Executor.Stop(victim, "room for "+job.ID)
 		}
 	}
-	w.reserve(job, slot.open, slot.preempted || late && len(slot.victims) > 0)
+	w.reserve(job, slot.target, slot.preempted || late && len(slot.victims) > 0)
 }
 
 // selection is a choice of slots, at most one for each task of a job.
@@ -93,7 +93,7 @@
 	slices.SortFunc(slots, func(a, b preemptionSlot) int {
 		return cmp.Or(
 			cmp.Compare(a.cost, b.cost),
-			cmp.Compare(a.open.machine.ID, b.open.machine.ID),
+			cmp.Compare(a.target.machine.ID, b.target.machine.ID),
 			cmp.Compare(a.index, b.index))
 	})
 }
@@ -104,7 +104,7 @@
 func chooseZone(job *model.JobState, slots []preemptionSlot, wanted int) (best selection) {
 	tried := map[string]bool{}
 	for _, slot := range slots {
-		zone := slot.open.machine.Zone
+		zone := slot.target.machine.Zone
 		if tried[zone] {
 			continue
 		}
@@ -128,7 +128,7 @@
 // slotsInZone are the slots in one zone, in the same order.
 func slotsInZone(slots []preemptionSlot, zone string) (inZone []preemptionSlot) {
 	for _, slot := range slots {
-		if slot.open.machine.Zone == zone {
+		if slot.target.machine.Zone == zone {
 			inZone = append(inZone, slot)
 		}
 	}
@@ -143,7 +143,7 @@
 		if len(chosen.slots) == wanted {
 			break
 		}
-		zone := slot.open.machine.Zone
+		zone := slot.target.machine.Zone
 		if inZone[zone] >= ZoneRoom(job, zone) {
 			continue
 		}
--- a/internal/core/placement/prepare.go
+++ b/internal/core/placement/prepare.go
@@ -11,12 +11,12 @@
 const protectFirstTaskAfter = 150 * model.Second
 
 // prepare sets up the round's own state.
-func (w *World) prepare() {
+func (w *Round) prepare() {
 	w.reservedLimit = map[string]model.Resources{}
-	w.tooLarge = map[constraints][]model.Resources{}
+	w.tooLarge = map[machineConstraints][]model.Resources{}
 	w.reservedZones = map[string]bool{}
-	w.findOpenMachines()
-	w.reserveBesideGPUs()
+	w.collectTargets()
+	w.reserveForGPUTasks()
 	if w.Preempting {
 		w.findLowestPriority()
 		w.countPreempted()
@@ -26,21 +26,21 @@
 	w.bookReservations()
 }
 
-// findOpenMachines collects the machines that take new work.
-func (w *World) findOpenMachines() {
-	w.openMachines = make([]openMachine, 0, len(w.Machines))
+// collectTargets collects the machines that take new work.
+func (w *Round) collectTargets() {
+	w.targets = make([]target, 0, len(w.Machines))
 	for _, machine := range w.Machines {
-		if w.Open(machine) {
-			w.openMachines = append(w.openMachines, openMachine{machine: machine})
+		if w.AcceptsTasks(machine) {
+			w.targets = append(w.targets, target{machine: machine})
 		}
 	}
 }
 
 // findLowestPriority finds the lowest priority of the tasks that may be preempted.
-func (w *World) findLowestPriority() {
+func (w *Round) findLowestPriority() {
 	w.lowestPriority = model.ProductionPriority
-	for i := range w.openMachines {
-		for _, binding := range w.openMachines[i].machine.Bindings {
+	for i := range w.targets {
+		for _, binding := range w.targets[i].machine.Bindings {
 			if binding.Job.Kind != model.Gang {
 				w.lowestPriority = min(w.lowestPriority, binding.Job.Priority)
 			}
@@ -49,7 +49,7 @@
 }
 
 // countPreempted counts the reservations for which others were preempted.
-func (w *World) countPreempted() {
+func (w *Round) countPreempted() {
 	w.preemptedFor = map[*model.JobState]map[*model.Machine]int{}
 	for job, reservations := range w.Reservations {
 		for _, reservation := range reservations {
@@ -68,10 +68,10 @@
 // for which others were preempted. If these were dropped, too, a job served earlier could
 // take the machines without having enough of them to start; the job that loses them
 // would preempt tasks elsewhere, and so on for the jobs behind it.
-func (w *World) dropReservations() {
+func (w *Round) dropReservations() {
 	for job, reservations := range w.Reservations {
 		reservations = slices.DeleteFunc(reservations, func(r Reservation) bool { return !r.Preempted })
-		if len(reservations) == 0 || len(job.Waiting) == 0 || job.Ended != "" {
+		if len(reservations) == 0 || len(job.Waiting) == 0 || job.FinalStatus != "" {
 			delete(w.Reservations, job)
 		} else {
 			w.Reservations[job] = reservations
@@ -80,7 +80,7 @@
 }
 
 // findProtectedJobs finds the jobs whose first task may not be preempted.
-func (w *World) findProtectedJobs() {
+func (w *Round) findProtectedJobs() {
 	w.protectedJobs = map[string]bool{}
 	for _, job := range w.Jobs {
 		if !job.IsKnownToRun() && w.Now-job.ReadySince > protectFirstTaskAfter {
--- a/internal/core/placement/reservations.go
+++ b/internal/core/placement/reservations.go
@@ -11,44 +11,44 @@
 }
 
 // bookReservations books the reservations of all jobs on their machines.
-func (w *World) bookReservations() {
+func (w *Round) bookReservations() {
 	for job := range w.Reservations {
 		w.bookReservationsOf(job)
 	}
 }
 
 // bookReservationsOf books a job's reservations on their machines.
-func (w *World) bookReservationsOf(job *model.JobState) {
+func (w *Round) bookReservationsOf(job *model.JobState) {
 	for _, reservation := range w.Reservations[job] {
-		if open := w.findOpenMachine(reservation.Machine); open != nil {
+		if open := w.findTarget(reservation.Machine); open != nil {
 			open.reserved = open.reserved.Plus(reservation.Request)
 		}
 	}
 }
 
 // unbookReservationsOf makes a job's reservations available.
-func (w *World) unbookReservationsOf(job *model.JobState) {
+func (w *Round) unbookReservationsOf(job *model.JobState) {
 	for _, reservation := range w.Reservations[job] {
-		if open := w.findOpenMachine(reservation.Machine); open != nil {
+		if open := w.findTarget(reservation.Machine); open != nil {
 			open.reserved = open.reserved.Minus(reservation.Request)
 		}
 	}
 }
 
-// findOpenMachine returns what the round knows of a machine, nil if it takes no new work.
-func (w *World) findOpenMachine(machine *model.Machine) *openMachine {
-	if w.openMachineOf == nil {
-		w.openMachineOf = make(map[*model.Machine]*openMachine, len(w.openMachines))
-		for i := range w.openMachines {
-			open := &w.openMachines[i]
-			w.openMachineOf[open.machine] = open
+// findTarget returns what the round knows of a machine, nil if it takes no new work.
+func (w *Round) findTarget(machine *model.Machine) *target {
+	if w.targetOf == nil {
+		w.targetOf = make(map[*model.Machine]*target, len(w.targets))
+		for i := range w.targets {
+			open := &w.targets[i]
+			w.targetOf[open.machine] = open
 		}
 	}
-	return w.openMachineOf[machine]
+	return w.targetOf[machine]
 }
 
 // reserve keeps what one task needs on a machine for a job that waits.
-func (w *World) reserve(job *model.JobState, open *openMachine, preempted bool) {
+func (w *Round) reserve(job *model.JobState, open *target, preempted bool) {
 	open.reserved = open.reserved.Plus(job.Request)
 	if w.Reservations != nil {
 		reservation := Reservation{Machine: open.machine, Request: job.Request, Preempted: preempted}
@@ -60,15 +60,15 @@
 // gang that found too few. Which of them the gang gets is left to the next preempting
 // round: until then single tasks would take each machine at once, and be preempted soon
 // after.
-func (w *World) holdFreeResources(gang *model.JobState) {
+func (w *Round) holdFreeResources(gang *model.JobState) {
 	w.holdingGangs++
 	if w.holdingGangs > maxPreemptingJobs {
 		return
 	}
 	left := gang.Tasks
-	for i := range w.openMachines {
-		open := &w.openMachines[i]
-		tasks := gang.Request.Count(open.free(), left)
+	for i := range w.targets {
+		open := &w.targets[i]
+		tasks := gang.Request.FitCount(open.free(), left)
 		if tasks == 0 || !w.mayUse(gang, open.machine) {
 			continue
 		}
@@ -84,7 +84,7 @@
 // served later: otherwise single tasks would take whatever becomes free, and the gang
 // might never start. It tells whether the gang is the first of its team with such a
 // reservation.
-func (w *World) reserveLimit(gang *model.JobState) (first bool) {
+func (w *Round) reserveLimit(gang *model.JobState) (first bool) {
 	reserved, exists := w.reservedLimit[gang.Team]
 	w.reservedLimit[gang.Team] = reserved.Plus(gang.Request.Times(gang.Tasks))
 	return !exists
--- a/internal/core/placement/teamlimit.go
+++ b/internal/core/placement/team_limit.go
@@ -2,8 +2,8 @@
 
 import "woadweir/internal/core/model"
 
-// teamUsage is what of a team's limit a preemption can free.
-type teamUsage struct {
+// limitPreemption is what of a team's limit a preemption can free.
+type limitPreemption struct {
 	// left is what is left of the limit, negative if it is exceeded, once tasks that are
 	// being stopped are gone.
 	left model.Resources
@@ -15,7 +15,7 @@
 // tasks of its own team and of lower priority are stopped for it. It does so only for the
 // first gang: the next may not find machines for a long time, and the team's other work
 // would use up the limit again meanwhile.
-func (w *World) preemptWithinTeam(gang *model.JobState) {
+func (w *Round) preemptWithinTeam(gang *model.JobState) {
 	if w.Teams[gang.Team] == nil || len(gang.Bindings) > 0 || len(gang.Waiting) != gang.Tasks {
 		return
 	}
@@ -23,15 +23,15 @@
 	if !first || !w.Preempting || !w.waitedLongEnough(gang) {
 		return
 	}
-	for _, victim := range w.teamUsage(gang).chooseVictims() {
+	for _, victim := range w.limitPreemption(gang).chooseVictims() {
 		w.Executor.Stop(victim, "limit of "+gang.Team+" for "+gang.ID)
 	}
 }
 
-// teamUsage finds what of its team's limit a preemption can free for a gang, for which it
+// limitPreemption finds what of its team's limit a preemption can free for a gang, for which it
 // is reserved already.
-func (w *World) teamUsage(gang *model.JobState) teamUsage {
-	usage := teamUsage{left: w.limitLeft(gang.Team)}
+func (w *Round) limitPreemption(gang *model.JobState) limitPreemption {
+	usage := limitPreemption{left: w.limitLeft(gang.Team)}
 	for _, machine := range w.Machines {
 		for _, binding := range machine.Bindings {
 			switch {
@@ -48,7 +48,7 @@
 }
 
 // chooseVictims chooses victims until the limit is kept; none if it can't be.
-func (u teamUsage) chooseVictims() (chosen []*model.Binding) {
+func (u limitPreemption) chooseVictims() (chosen []*model.Binding) {
 	left := u.left
 	for _, victim := range u.victims {
 		if withinLimit(left) {
--- a/internal/core/placement/teamlimit_test.go
+++ b/internal/core/placement/team_limit_test.go
@@ -27,7 +27,7 @@
 		{name: "too many GPUs are missing", left: model.Resources{GPUs: -1001}},
 	} {
 		var got []string
-		for _, chosen := range (teamUsage{left: c.left, victims: victims}).chooseVictims() {
+		for _, chosen := range (limitPreemption{left: c.left, victims: victims}).chooseVictims() {
 			got = append(got, chosen.ID.Job)
 		}
 		if !slices.Equal(got, c.want) {
--- a/internal/core/placement/victims.go
+++ b/internal/core/placement/victims.go
@@ -14,7 +14,7 @@
 
 // preemptionSlot is where a task would fit if the victims were stopped.
 type preemptionSlot struct {
-	open    *openMachine
+	target  *target
 	index   int // among the slots of the machine
 	victims []*model.Binding
 	cost    model.Micros
@@ -26,10 +26,10 @@
 
 // preemptionSlots finds the slots that preemption can give to a job, on the machines that
 // suit.
-func (w *World) preemptionSlots(job *model.JobState, wanted int, suits machineFilter) (slots []preemptionSlot) {
+func (w *Round) preemptionSlots(job *model.JobState, wanted int, suits machineFilter) (slots []preemptionSlot) {
 	limits := w.constraintsOf(job)
-	for i := range w.openMachines {
-		open := &w.openMachines[i]
+	for i := range w.targets {
+		open := &w.targets[i]
 		machine := open.machine
 		if !job.Request.Fits(machine.Size) || !w.mayUse(job, machine) || w.fragmentsGPUs(job, machine) || !suits(machine) {
 			continue
@@ -48,7 +48,7 @@
 }
 
 // findVictims finds out which tasks of a machine may be preempted.
-func (w *World) findVictims(open *openMachine) {
+func (w *Round) findVictims(open *target) {
 	if open.victimsKnown {
 		return
 	}
@@ -64,16 +64,16 @@
 }
 
 // isPreemptible tells whether tasks of a job may be preempted at all.
-func (w *World) isPreemptible(job *model.Job) bool {
+func (w *Round) isPreemptible(job *model.Job) bool {
 	return job.Kind != model.Gang && job.Priority < model.ProductionPriority && !w.protectedJobs[job.ID]
 }
 
 // slotSearch finds the slots of one machine for a job, one after the other, as long as
 // there are victims.
 type slotSearch struct {
-	world  *World
+	world  *Round
 	job    *model.JobState
-	open   *openMachine
+	target *target
 	wanted int
 	// found is how many slots have been found.
 	found int
@@ -92,7 +92,7 @@
 }
 
 // newSlotSearch starts a search on a machine whose victims are known.
-func (w *World) newSlotSearch(job *model.JobState, open *openMachine, limits constraints, wanted int) *slotSearch {
+func (w *Round) newSlotSearch(job *model.JobState, open *target, limits machineConstraints, wanted int) *slotSearch {
 	usable := open.free()
 	if job.Priority < model.HighPriority {
 		usable = open.usable(limits)
@@ -100,7 +100,7 @@
 	return &slotSearch{
 		world:          w,
 		job:            job,
-		open:           open,
+		target:         open,
 		wanted:         wanted,
 		freeNow:        open.free(),
 		freeAfterStops: usable.Plus(open.freedByStops),
@@ -113,7 +113,7 @@
 // next finds the next slot, if there is another.
 func (s *slotSearch) next() (slot preemptionSlot, found bool) {
 	request := s.job.Request
-	slot = preemptionSlot{open: s.open, index: s.found, free: request.Fits(s.freeNow)}
+	slot = preemptionSlot{target: s.target, index: s.found, free: request.Fits(s.freeNow)}
 	s.freeNow = s.freeNow.Minus(request)
 	s.addVictims(&slot)
 	if !request.Fits(s.freeAfterStops) {
@@ -156,7 +156,7 @@
 // machineCost is what the machine itself costs, as core time.
 func (s *slotSearch) machineCost() model.Micros {
 	if s.placementCost == costUnknown {
-		cost := s.world.cost(s.job, s.open, s.wanted)
+		cost := s.world.cost(s.job, s.target, s.wanted)
 		s.placementCost = cost * coreEquivalents(s.job.Request) / placementCostDivisor
 	}
 	return s.placementCost
@@ -170,7 +170,7 @@
 		return 0
 	}
 	s.coresTaken += s.job.Request.Cores
-	size := s.open.machine.Size
+	size := s.target.machine.Size
 	usableGPUs := (size.Cores - s.coresTaken) * milliPerUnit / coresPerGPU
 	idle := min(s.world.WantedGPUs, size.GPUs-usableGPUs)
 	more := idle - s.gpusIdled
--- a/internal/core/placement/waiting.go
+++ b/internal/core/placement/waiting.go
@@ -7,9 +7,9 @@
 	// guaranteeWaitDivisor is the part of the time in which guaranteed work is to start
 	// after which others may be preempted for it: a fourth.
 	guaranteeWaitDivisor = 4
-	// promptStartStops bounds the longest wait of a class that is to start promptly, in
+	// promptStartStopTimes bounds the longest wait of a class that is to start promptly, in
 	// times that stopping a task takes.
-	promptStartStops = 2
+	promptStartStopTimes = 2
 	// gangWaitPercent is how long a gang waits for machines that suit it better, in percent
 	// of its longest wait.
 	gangWaitPercent = 160
@@ -18,22 +18,22 @@
 // waitedLongEnough tells that a job has waited as long as it may before others are
 // preempted for it. For work within its team's guarantee, the wait is bounded by the
 // time in which such work is to start.
-func (w *World) waitedLongEnough(job *model.JobState) bool {
+func (w *Round) waitedLongEnough(job *model.JobState) bool {
 	maxWait := w.Estimates.MaxWait(job)
-	if job.GuaranteeInTime {
-		maxWait = min(maxWait, w.Guarantee/guaranteeWaitDivisor)
+	if job.CanMeetGuarantee {
+		maxWait = min(maxWait, w.GuaranteeObjective/guaranteeWaitDivisor)
 	}
 	return w.Now-job.ReadySince+w.StopTime >= maxWait
 }
 
 // mustStartNow tells that a job of high priority is late, and its class is to start
 // within a few heartbeats.
-func (w *World) mustStartNow(job *model.JobState) bool {
-	return job.Priority >= model.HighPriority && w.waitedLongEnough(job) && w.Estimates.MaxWait(job) < promptStartStops*w.StopTime
+func (w *Round) mustStartNow(job *model.JobState) bool {
+	return job.Priority >= model.HighPriority && w.waitedLongEnough(job) && w.Estimates.MaxWait(job) < promptStartStopTimes*w.StopTime
 }
 
 // gangCanWait tells that a gang can still wait for machines that suit it better.
-func (w *World) gangCanWait(job *model.JobState) bool {
+func (w *Round) gangCanWait(job *model.JobState) bool {
 	return job.Kind == model.Gang && w.Now-job.ReadySince < w.Estimates.MaxWait(job)*gangWaitPercent/100
 }
 
--- a/internal/core/shard/bench_test.go
+++ b/internal/core/shard/bench_test.go
@@ -38,7 +38,7 @@
 	}
 	commitAll(s, sec)
 	for _, w := range workers {
-		w.report(2 * sec)
+		w.reportRunning(2 * sec)
 	}
 	return s, workers
 }
@@ -50,8 +50,8 @@
 			"red":  {Name: "red", Guaranteed: model.Resources{Cores: 40_000_000, GPUs: 3_000_000}, Limit: model.Resources{Cores: 190_000_000, GPUs: 19_000_000}},
 			"blue": {Name: "blue", Guaranteed: model.Resources{Cores: 40_000_000}, Limit: model.Resources{Cores: 190_000_000}},
 		},
-		Report: 5 * sec, Lease: 26500 * model.Millisecond, GangWait: 30 * sec, Margin: sec, MaxValue: 28_000,
-		Waits: map[string][]model.Micros{"gang": {30 * sec}},
+		HeartbeatInterval: 5 * sec, WorkerLease: 26500 * model.Millisecond, GangWait: 30 * sec, LeaseMargin: sec, MaxValue: 28_000,
+		StartObjectives: map[string][]model.Micros{"gang": {30 * sec}},
 	}, 5)
 	s.SetMachineTypes([]model.MachineType{
 		{Name: "box", Cores: 16, MemoryGB: 64, CacheGB: 60, FetchGBps: 0.2, Price: 0.86, SpotPrice: 0.2, BootS: 20, Zones: []string{"a"}},
@@ -69,7 +69,7 @@
 		if kind == model.Gang {
 			job.Priority, job.AllowsSpot, job.CheckpointInterval, job.SaveTime = model.HighPriority, false, 15*sec, 5*sec
 		}
-		s.AddJob(job, model.Set{}, "", 0, 0)
+		s.AddJob(job, model.TaskSet{}, "", 0, 0)
 	}
 	for range 150 * machines / fleetSizes[0] {
 		add(6, model.Gang, model.Resources{Cores: 15_000, Mem: 51_000}, "gang", "blue")
@@ -79,11 +79,11 @@
 	}
 }
 
-// report has the worker say that all that is bound runs.
-func (w *worker) report(now model.Micros) *Heartbeat {
+// reportRunning has the worker say that all that is bound runs.
+func (w *worker) reportRunning(now model.Micros) *Heartbeat {
 	w.sequence++
 	heartbeat := w.heartbeat
-	heartbeat.Sequence, heartbeat.Token, heartbeat.Tasks = w.sequence, 5, running(w.state, w.heartbeat.Machine)
+	heartbeat.Sequence, heartbeat.Token, heartbeat.Tasks = w.sequence, 5, runningTasks(w.state, w.heartbeat.Machine)
 	w.state.ApplyHeartbeat(&heartbeat, now)
 	return &heartbeat
 }
@@ -136,7 +136,7 @@
 	for i := range b.N {
 		w := workers[i%len(workers)]
 		now := 3*sec + model.Micros(i)*4*model.Millisecond
-		w.state.Commands(w.report(now), now)
+		w.state.Commands(w.reportRunning(now), now)
 	}
 }
 
--- a/internal/core/shard/bindings.go
+++ b/internal/core/shard/bindings.go
@@ -29,12 +29,12 @@
 	}
 	machine.Used = machine.Used.Plus(job.Request)
 	s.Used[job.Team] = s.Used[job.Team].Plus(job.Request)
-	s.expectImage(binding, now)
+	s.estimateImageFetch(binding, now)
 	return binding
 }
 
-// expectImage notes when the image of a new binding's task will be on the machine.
-func (s *State) expectImage(binding *model.Binding, now model.Micros) {
+// estimateImageFetch notes when the image of a new binding's task will be on the machine.
+func (s *State) estimateImageFetch(binding *model.Binding, now model.Micros) {
 	machine, job := binding.Machine, binding.Job
 	machineType := s.MachineTypes[machine.MachineType]
 	if machineType == nil {
@@ -44,7 +44,7 @@
 		if machine.ReadyAt == nil {
 			machine.ReadyAt = map[string]model.Micros{}
 		}
-		begin := now + max(s.Params.Report/2, machine.FetchTimeLeft(now))
+		begin := now + max(s.Params.HeartbeatInterval/2, machine.FetchTimeLeft(now))
 		machine.ReadyAt[job.Image] = begin + model.Seconds(job.ImageGB/machineType.FetchGBps)
 	}
 	binding.ExpectedFetch = max(0, machine.ReadyAt[job.Image]-now)
@@ -73,21 +73,21 @@
 	delete(machine.Bindings, binding.ID)
 	addRecordBytes(binding, -1)
 	machine.Used = machine.Used.Minus(binding.Job.Request)
-	machine.HasNews = true
+	machine.HasNewCapacity = true
 	if len(machine.Bindings) == 0 {
 		machine.EmptySince = now
 	}
 	s.Used[binding.Job.Team] = s.Used[binding.Job.Team].Minus(binding.Job.Request)
 	job := s.Jobs[binding.ID.Job]
 	removeFromJob(job, binding, now)
-	if !job.Done.Has(binding.ID.Index) || job.Ended != "" {
+	if !job.Done.Has(binding.ID.Index) || job.FinalStatus != "" {
 		// The task may be bound to another machine next. The removal has to be durable
 		// before that binding, and the queue keeps this order. A completed task is never
 		// bound again, so its removal can wait for the next write of the record.
 		s.markChanged(machine)
 	}
-	s.Log(Event{Kind: EventUnbind, Machine: machine.ID, Task: binding.ID.String(), Attempt: binding.Attempt, Why: proof})
-	if job.Kind == model.Gang && job.Ended == "" && !job.EndPending && len(job.Bindings) > 0 && !job.AttemptFailed {
+	s.Log(Event{Kind: EventUnbind, Machine: machine.ID, Task: binding.ID.String(), Attempt: binding.Attempt, Reason: proof})
+	if job.Kind == model.Gang && job.FinalStatus == "" && !job.EndPending && len(job.Bindings) > 0 && !job.AttemptFailed {
 		s.failGangAttempt(job, "mate "+binding.ID.String()+" gone", now)
 	}
 	s.NeedsPlacement = true
@@ -105,7 +105,7 @@
 	}
 	delete(job.Bindings, index)
 	job.IdleSince = now
-	if job.Ended != "" || job.Done.Has(index) {
+	if job.FinalStatus != "" || job.Done.Has(index) {
 		return
 	}
 	if i, ok := slices.BinarySearch(job.Waiting, index); !ok {
@@ -121,7 +121,7 @@
 	}
 	if !b.Stopping {
 		b.StopDecidedAt = now
-		s.Log(Event{Kind: EventStop, Machine: b.Machine.ID, Task: b.ID.String(), Attempt: b.Attempt, Why: why})
+		s.Log(Event{Kind: EventStop, Machine: b.Machine.ID, Task: b.ID.String(), Attempt: b.Attempt, Reason: why})
 	}
 	b.Stopping, b.StopGrace, b.StopReason = true, grace, why
 }
@@ -178,7 +178,7 @@
 // LeaseExpiry is the time after the last possible response at which a worker has
 // certainly killed all its tasks.
 func (s *State) LeaseExpiry() model.Micros {
-	return s.Params.Lease + s.Params.Lease/500 + s.Params.Margin
+	return s.Params.WorkerLease + s.Params.WorkerLease/500 + s.Params.LeaseMargin
 }
 
 // Tick removes the bindings of machines whose lease has certainly expired, and fails
@@ -216,14 +216,14 @@
 			}
 			for _, b := range bindings {
 				switch {
-				case job.Ended != "":
-					s.stop(b, 0, "job "+job.Ended, b.Machine.LastAnswer)
+				case job.FinalStatus != "":
+					s.stop(b, 0, "job "+job.FinalStatus, b.Machine.LastAnswer)
 				case b.Attempt < newest:
 					s.stop(b, 0, "a newer attempt is bound", b.Machine.LastAnswer)
 				}
 			}
 		}
-		if job.Kind == model.Gang && len(job.Bindings) > 0 && len(job.Bindings) < job.Tasks && job.Ended == "" {
+		if job.Kind == model.Gang && len(job.Bindings) > 0 && len(job.Bindings) < job.Tasks && job.FinalStatus == "" {
 			s.failGangAttempt(job, "attempt is not whole", 0)
 		}
 		s.removeIfEnded(job)
@@ -231,9 +231,9 @@
 	s.refreshOldestAttempt()
 }
 
-// ReportOverdue is the time after a heartbeat by which the next one should have
+// MaxHeartbeatGap is the time after a heartbeat by which the next one should have
 // arrived: workers send them at every interval, with a jitter of a quarter of it.
-func (s *State) ReportOverdue() model.Micros { return s.Params.Report*5/4 + model.Second }
+func (s *State) MaxHeartbeatGap() model.Micros { return s.Params.HeartbeatInterval*5/4 + model.Second }
 
 // Drain stops the tasks on a machine so that they start again on others, and the
 // machine can be returned to the cloud.
--- a/internal/core/shard/bindings_test.go
+++ b/internal/core/shard/bindings_test.go
@@ -8,37 +8,37 @@
 
 func TestStartOnlyOnceBindingIsDurable(t *testing.T) {
 	s := newTestState(5)
-	s.AddJob(newJob("j-1", 2, model.Array), model.Set{}, "", 0, 0)
+	s.AddJob(newJob("j-1", 2, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	if _, commands := w.says(sec, 5); len(s.Machines["h1"].Bindings) != 2 || countCommands(commands, StartTask) != 0 {
+	if _, commands := w.sendHeartbeat(sec, 5); len(s.Machines["h1"].Bindings) != 2 || countCommands(commands, StartTask) != 0 {
 		t.Fatalf("%d bound, commands %v: want 2 bound, none started", len(s.Machines["h1"].Bindings), commands)
 	}
 	commitAll(s, sec)
-	if _, commands := w.says(2*sec, 5); countCommands(commands, StartTask) != 2 {
+	if _, commands := w.sendHeartbeat(2*sec, 5); countCommands(commands, StartTask) != 2 {
 		t.Fatalf("commands %v, want two starts", commands)
 	}
 }
 
 func TestUnbindNeedsNewerReportUnderOurToken(t *testing.T) {
 	s := newTestState(5)
-	job := s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
+	job := s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
 	machine := s.AddMachine("h1", "box", "a", false, 0)
 	s.Restore(job, 0, 77, machine) // bound by an earlier owner
 	id := model.TaskID{Job: "j-1"}
 	// A late copy may tell of an end of the same attempt before it ran again.
-	w.says(sec, 4, TaskStatus{ID: id, Attempt: 77, Status: model.Exited, Cause: CauseStopped})
-	if b := bound(s, "h1"); b == nil || b.Attempt != 77 {
+	w.sendHeartbeat(sec, 4, TaskStatus{ID: id, Attempt: 77, Status: model.Exited, Cause: CauseStopped})
+	if b := firstBinding(s, "h1"); b == nil || b.Attempt != 77 {
 		t.Fatal("unbound by an end reported under an older token")
 	}
 	// The old owner's start may still be on its way.
-	w.says(2*sec, 4)
-	if b := bound(s, "h1"); b == nil || b.Attempt != 77 {
+	w.sendHeartbeat(2*sec, 4)
+	if b := firstBinding(s, "h1"); b == nil || b.Attempt != 77 {
 		t.Fatal("unbound by a report under an older token that lacks the task")
 	}
-	w.says(3*sec, 5, TaskStatus{ID: id, Attempt: 77, Status: model.Running})
-	w.says(4*sec, 5)
-	if b := bound(s, "h1"); b != nil && b.Attempt == 77 {
+	w.sendHeartbeat(3*sec, 5, TaskStatus{ID: id, Attempt: 77, Status: model.Running})
+	w.sendHeartbeat(4*sec, 5)
+	if b := firstBinding(s, "h1"); b != nil && b.Attempt == 77 {
 		t.Fatal("still bound after a newer report under our token without it")
 	}
 }
@@ -47,18 +47,18 @@
 // may have answered it; a listing or silence proves nothing.
 func TestLeaseProof(t *testing.T) {
 	s := newTestState(5)
-	s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
+	s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	w.says(sec, 5)
+	w.sendHeartbeat(sec, 5)
 	commitAll(s, sec)
-	w.says(10*sec, 5)
+	w.sendHeartbeat(10*sec, 5)
 	s.Machines["h1"].Failed = true
 	s.Tick(10*sec + 18*sec)
-	if bound(s, "h1") == nil {
+	if firstBinding(s, "h1") == nil {
 		t.Fatal("unbound before the lease is surely over")
 	}
 	s.Tick(10*sec + s.LeaseExpiry() + 1)
-	if bound(s, "h1") != nil {
+	if firstBinding(s, "h1") != nil {
 		t.Fatal("still bound after the lease")
 	}
 	if s.LeaseExpiry() <= 18*sec+18*sec/1000 {
@@ -70,19 +70,19 @@
 // own takeover.
 func TestLeaseProofAfterTakeover(t *testing.T) {
 	s := newTestState(9)
-	job := s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 100*sec, 0)
+	job := s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 100*sec, 0)
 	s.Restore(job, 0, 7, s.AddMachine("h1", "box", "a", false, 100*sec))
 	s.Tick(100*sec + 18*sec)
-	if bound(s, "h1") == nil {
+	if firstBinding(s, "h1") == nil {
 		t.Fatal("unbound before the lease of a possible last answer is over")
 	}
 }
 
 func TestDeletionProof(t *testing.T) {
 	s := newTestState(5)
-	job := s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
+	job := s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	w.says(sec, 5)
+	w.sendHeartbeat(sec, 5)
 	commitAll(s, sec)
 	s.MachineDeleted("h1", "deleted", 2*sec)
 	if len(job.Waiting) != 1 || len(job.Bindings) != 0 || s.Used["red"] != (model.Resources{}) {
@@ -92,12 +92,12 @@
 
 func TestCancelledJobIsStoppedAndNotStarted(t *testing.T) {
 	s := newTestState(5)
-	s.AddJob(newJob("j-1", 2, model.Array), model.Set{}, "", 0, 0)
+	s.AddJob(newJob("j-1", 2, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	w.starts()
-	b := bound(s, "h1")
+	w.startBoundTasks()
+	b := firstBinding(s, "h1")
 	s.EndJob("j-1", "withdrawn", 2*sec)
-	_, commands := w.says(3*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running})
+	_, commands := w.sendHeartbeat(3*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running})
 	if countCommands(commands, StartTask) != 0 || countCommands(commands, StopTask) != 1 || commands[0].Grace != 0 {
 		t.Fatalf("commands %v, want one stop without grace", commands)
 	}
@@ -107,16 +107,16 @@
 // its binding elsewhere.
 func TestUnbindIsWrittenBeforeRebind(t *testing.T) {
 	s := newTestState(5)
-	s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
+	s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	w1 := newWorker(s, "h1", "box", "a")
-	w1.says(sec, 5)
+	w1.sendHeartbeat(sec, 5)
 	commitAll(s, sec)
-	w1.says(2*sec, 5)
-	binding := bound(s, "h1")
-	newWorker(s, "h2", "box", "a").says(2*sec, 5)
+	w1.sendHeartbeat(2*sec, 5)
+	binding := firstBinding(s, "h1")
+	newWorker(s, "h2", "box", "a").sendHeartbeat(2*sec, 5)
 	s.Machines["h1"].Draining = true
-	w1.says(3*sec, 5, TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Exited, Cause: CauseError})
-	if bound(s, "h2") == nil {
+	w1.sendHeartbeat(3*sec, 5, TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Exited, Cause: CauseError})
+	if firstBinding(s, "h2") == nil {
 		t.Fatal("not bound elsewhere")
 	}
 	writes := s.Writes(1, 48<<10)
@@ -130,13 +130,13 @@
 // the older may never be started beside it.
 func TestNewestAttemptWinsAtTakeover(t *testing.T) {
 	s := newTestState(9)
-	job := s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
+	job := s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	for machineID, attempt := range map[string]uint64{"h1": 7, "h2": 8} {
 		s.Restore(job, 0, attempt, s.AddMachine(machineID, "box", "a", false, 0))
 	}
 	s.StopSuperseded()
-	_, o1 := newWorker(s, "h1", "box", "a").says(sec, 5)
-	_, o2 := newWorker(s, "h2", "box", "a").says(sec, 5)
+	_, o1 := newWorker(s, "h1", "box", "a").sendHeartbeat(sec, 5)
+	_, o2 := newWorker(s, "h2", "box", "a").sendHeartbeat(sec, 5)
 	if countCommands(o1, StartTask) != 0 || countCommands(o2, StartTask) != 1 {
 		t.Fatalf("older attempt: %v, newest: %v", o1, o2)
 	}
@@ -158,21 +158,21 @@
 func TestVacateMovesWithProof(t *testing.T) {
 	s := newTestState(5)
 	w := newWorker(s, "h1", "box", "a")
-	s.AddJob(newJob("j-1", 1, model.Service), model.Set{}, "", 0, 0)
-	w.starts()
-	w.says(3*sec, 5, running(s, "h1")...)
+	s.AddJob(newJob("j-1", 1, model.Service), model.TaskSet{}, "", 0, 0)
+	w.startBoundTasks()
+	w.sendHeartbeat(3*sec, 5, runningTasks(s, "h1")...)
 	other := newWorker(s, "h2", "box", "a")
-	other.says(3*sec, 5)
+	other.sendHeartbeat(3*sec, 5)
 	s.Drain(s.Machines["h1"], 4*sec)
-	if _, cs := w.says(5*sec, 5, running(s, "h1")...); len(cs) != 1 || cs[0].Op != StopTask {
+	if _, cs := w.sendHeartbeat(5*sec, 5, runningTasks(s, "h1")...); len(cs) != 1 || cs[0].Op != StopTask {
 		t.Fatalf("commands %v, want a stop", cs)
 	}
-	other.says(5*sec, 5)
+	other.sendHeartbeat(5*sec, 5)
 	if n := len(s.Machines["h2"].Bindings); n != 0 {
 		t.Fatal("bound elsewhere before it is gone")
 	}
 	b := s.Machines["h1"].Bindings[model.TaskID{Job: "j-1"}]
-	w.says(6*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Exited, Cause: CauseStopped})
+	w.sendHeartbeat(6*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Exited, Cause: CauseStopped})
 	if len(s.Machines["h1"].Bindings) != 0 || len(s.Machines["h2"].Bindings) != 1 {
 		t.Errorf("%d tasks on the drained machine, %d on the other", len(s.Machines["h1"].Bindings), len(s.Machines["h2"].Bindings))
 	}
--- a/internal/core/shard/capacity.go
+++ b/internal/core/shard/capacity.go
@@ -14,14 +14,14 @@
 	return !m.Up && !m.Failed && machineType != nil && now-m.RentedAt < bootTimeFactor*model.Seconds(machineType.BootS)
 }
 
-// RoomFor tells whether so many more tasks of a job fit now on the machines that are
+// HasRoomFor tells whether so many more tasks of a job fit now on the machines that are
 // up, with the given share of the capacity of these machines left free.
-func (s *State) RoomFor(job *model.Job, tasks int, headroom float64) bool {
+func (s *State) HasRoomFor(job *model.Job, tasks int, headroom float64) bool {
 	return s.hasRoom(job, tasks, headroom, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers })
 }
 
-// RoomSoonFor is like RoomFor without headroom, on machines that are up or booting.
-func (s *State) RoomSoonFor(job *model.Job, tasks int, now model.Micros) bool {
+// HasRoomSoonFor is like RoomFor without headroom, on machines that are up or booting.
+func (s *State) HasRoomSoonFor(job *model.Job, tasks int, now model.Micros) bool {
 	return s.hasRoom(job, tasks, 0, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers || s.isBooting(m, now) })
 }
 
@@ -37,7 +37,7 @@
 		total = total.Plus(m.Size)
 		free = free.Plus(m.Free())
 		if job.Allows(m.MachineType, m.Zone, m.Spot) {
-			byZone[m.Zone] += job.Request.Count(m.Free(), tasks)
+			byZone[m.Zone] += job.Request.FitCount(m.Free(), tasks)
 		}
 	}
 	left := free.Minus(job.Request.Times(tasks))
@@ -59,14 +59,14 @@
 // team.
 func (s *State) WithinLimit(job *model.Job, tasks int) bool {
 	team := s.Params.Teams[job.Team]
-	return team != nil && team.Within(s.Used[job.Team].Plus(job.Request.Times(tasks)))
+	return team != nil && team.WithinLimit(s.Used[job.Team].Plus(job.Request.Times(tasks)))
 }
 
 // OwnWorkWaits tells whether a job of this cell has waited for longer than the
 // patience, and only lacks machines to start.
 func (s *State) OwnWorkWaits(patience, now model.Micros) bool {
 	for _, job := range s.Jobs {
-		if job.HomeCell != "" || job.Suspended || job.Ended != "" || len(job.Waiting) == 0 || now < job.NotBefore {
+		if job.HomeCell != "" || job.Suspended || job.FinalStatus != "" || len(job.Waiting) == 0 || now < job.NotBefore {
 			continue
 		}
 		least := 1
--- a/internal/core/shard/commands.go
+++ b/internal/core/shard/commands.go
@@ -78,7 +78,7 @@
 // it is not durable yet.
 func (s *State) awaitsDurableCompletion(id model.TaskID) bool {
 	job := s.Jobs[id.Job]
-	return job != nil && job.Ended == "" && (job.EndPending || !isCompletionDurable(job, id.Index))
+	return job != nil && job.FinalStatus == "" && (job.EndPending || !isCompletionDurable(job, id.Index))
 }
 
 // bindingsToStart returns the bindings of a machine whose tasks are to be started and
@@ -103,22 +103,22 @@
 
 // mayStart tells whether a binding is durable and its task may be started now.
 func (s *State) mayStart(binding *model.Binding) bool {
-	if binding.Version > binding.Machine.DurableVersion || binding.Stopping || binding.Seen {
+	if binding.Version > binding.Machine.DurableVersion || binding.Stopping || binding.Reported {
 		return false
 	}
 	job := s.Jobs[binding.ID.Job]
-	if job.Ended != "" || job.EndPending || job.Suspended || job.Done.Has(binding.ID.Index) {
+	if job.FinalStatus != "" || job.EndPending || job.Suspended || job.Done.Has(binding.ID.Index) {
 		return false
 	}
 	if job.Kind != model.Gang {
 		return true
 	}
-	return !job.AttemptFailed && s.gangDurable(job) && !s.shouldStartLater(job, binding)
+	return !job.AttemptFailed && s.isGangDurable(job) && !s.shouldStartLater(job, binding)
 }
 
-// gangDurable tells whether all bindings of a gang's attempt are durable. None of them
+// isGangDurable tells whether all bindings of a gang's attempt are durable. None of them
 // starts before.
-func (s *State) gangDurable(job *model.JobState) bool {
+func (s *State) isGangDurable(job *model.JobState) bool {
 	if len(job.Bindings) != job.Tasks {
 		return false
 	}
@@ -147,8 +147,8 @@
 	return false
 }
 
-// Pending tells whether the machine has a binding that is not durable yet.
-func (s *State) Pending(machineID string) bool {
+// HasPendingWrite tells whether the machine has a binding that is not durable yet.
+func (s *State) HasPendingWrite(machineID string) bool {
 	m := s.Machines[machineID]
 	return m != nil && m.Version > m.DurableVersion
 }
--- a/internal/core/shard/dense.go
+++ b/internal/core/shard/dense.go
@@ -22,7 +22,7 @@
 	}
 	return json.Marshal(struct {
 		Hosts []byte `json:"hosts"`
-	}{b.pack()})
+	}{b.encodeDense()})
 }
 
 // UnmarshalJSON reads either encoding.
@@ -40,5 +40,5 @@
 	if err := json.Unmarshal(form.Hosts, &packed); err != nil {
 		return err
 	}
-	return b.unpack(packed)
+	return b.decodeDense(packed)
 }
--- a/internal/core/shard/dense_sizes.go
+++ b/internal/core/shard/dense_sizes.go
@@ -4,10 +4,10 @@
 
 // Upper bounds of the bytes that parts of the dense encoding take.
 const (
-	denseBytesBundle   = 64 // version, smallest attempt, counts, and the quotes
-	denseBytesMachine  = 8  // lengths, kind, numbers of type and zone, number of jobs
-	denseBytesJob      = 4  // number and count
-	denseBytesFinished = 6
+	denseBytesPerBundle   = 64 // version, smallest attempt, counts, and the quotes
+	denseBytesPerMachine  = 8  // lengths, kind, numbers of type and zone, number of jobs
+	denseBytesPerJob      = 4  // number and count
+	denseBytesPerFinished = 6
 )
 
 // base64Bytes returns the length of n bytes in base64.
@@ -40,14 +40,14 @@
 // the known names.
 func (s *State) denseEntryBytes(entry string, known map[string]bool) int {
 	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
-		n := denseBytesMachine + len(machineID)
+		n := denseBytesPerMachine + len(machineID)
 		machine := s.Machines[machineID]
 		if machine == nil {
 			return base64Bytes(n)
 		}
 		n += denseNameBytes(machine.MachineType, known) + denseNameBytes(machine.Zone, known)
 		for job := range machine.TaskCounts {
-			n += denseBytesJob + denseNameBytes(job, known)
+			n += denseBytesPerJob + denseNameBytes(job, known)
 		}
 		for id, b := range machine.Bindings {
 			n += s.denseTaskBytes(id.Index, b.Attempt)
@@ -57,15 +57,15 @@
 	job, part := s.partOf(entry)
 	switch {
 	case job == nil:
-		return base64Bytes(denseBytesFinished)
+		return base64Bytes(denseBytesPerFinished)
 	case part >= 0:
-		return base64Bytes(denseBytesFinished + 4 + len(job.ID) + len(job.Done.Part(part)))
+		return base64Bytes(denseBytesPerFinished + 4 + len(job.ID) + len(job.Done.Part(part)))
 	}
-	return base64Bytes(denseBytesFinished + len(job.ID) + len(job.Done.Bytes()))
+	return base64Bytes(denseBytesPerFinished + len(job.ID) + len(job.Done.Bytes()))
 }
 
-// addNames adds the names that an entry puts into the tables to the known ones.
-func (s *State) addNames(entry string, known map[string]bool) {
+// addTableNames adds the names that an entry puts into the tables to the known ones.
+func (s *State) addTableNames(entry string, known map[string]bool) {
 	if m := s.Machines[strings.TrimPrefix(entry, MachineEntry)]; m != nil {
 		known[m.MachineType], known[m.Zone] = true, true
 		for job := range m.TaskCounts {
--- a/internal/core/shard/dense_test.go
+++ b/internal/core/shard/dense_test.go
@@ -17,9 +17,9 @@
 	plainBytes, denseBytes := 0, 0
 	for round := range 200 {
 		s := newTestState(uint64(5 + rng.IntN(100_000)))
-		s.Params.MaxValue, s.Params.Dense = 1920, true
+		s.Params.MaxValue, s.Params.DenseBundles = 1920, true
 		for k := range 1 + rng.IntN(4) {
-			s.AddJob(newJob(fmt.Sprintf("j-%06d", rng.IntN(1_000_000)*10+k), 1+rng.IntN(200), model.Array), model.Set{}, "", 0, 0)
+			s.AddJob(newJob(fmt.Sprintf("j-%06d", rng.IntN(1_000_000)*10+k), 1+rng.IntN(200), model.Array), model.TaskSet{}, "", 0, 0)
 		}
 		for i := range 1 + rng.IntN(12) {
 			machineID := fmt.Sprintf("host-%06d", rng.IntN(3000))
@@ -37,10 +37,10 @@
 			s.markChanged(machine)
 		}
 		s.refreshOldestAttempt()
-		for s.Queued() > 0 {
+		for s.PendingWrites() > 0 {
 			writes := s.Writes(5, 48<<10)
 			if len(writes) == 0 {
-				t.Fatalf("round %d: nothing is written of %d", round, s.Queued())
+				t.Fatalf("round %d: nothing is written of %d", round, s.PendingWrites())
 			}
 			for _, write := range writes {
 				rec := write.Value.(BundleRecord)
@@ -78,11 +78,11 @@
 func TestDenseGarbage(t *testing.T) {
 	good := BundleRecord{Dense: true, Machines: map[string]*MachineRecord{"h1": {MachineType: "box", Zone: "a", Tasks: map[string][][2]uint64{"j-1": {{3, 70}}}}, "h2": nil},
 		Done: map[string][]byte{"j-1": {7}}}
-	packed := good.pack()
+	packed := good.encodeDense()
 	rng := rand.New(rand.NewPCG(5, 6))
 	for n := range packed {
 		var b BundleRecord
-		if b.unpack(packed[:n]) == nil {
+		if b.decodeDense(packed[:n]) == nil {
 			t.Errorf("the first %d of %d bytes are taken", n, len(packed))
 		}
 	}
@@ -92,7 +92,7 @@
 			bad[rng.IntN(len(bad))] = byte(rng.Uint32())
 		}
 		var b BundleRecord
-		_ = b.unpack(bad) // whatever comes of it, it comes to an end
+		_ = b.decodeDense(bad) // whatever comes of it, it comes to an end
 	}
 	for _, s := range []string{`{"hosts":"!"}`, `{"hosts":"AA=="}`, `{"hosts":""}`, `{"hosts":[]}`, `{"hosts":7}`} {
 		var b BundleRecord
--- a/internal/core/shard/failures.go
+++ b/internal/core/shard/failures.go
@@ -11,10 +11,10 @@
 // fails on several machines is retried with a backoff.
 func (s *State) recordFailure(job *model.JobState, m *model.Machine, now model.Micros) {
 	if job.NoteFailure(m.ID, now) && job.NeedsBackoff() {
-		s.Log(Event{Kind: EventFailsEverywhere, Machine: m.ID, Task: job.ID, Why: "to be retried with one task, later and later"})
+		s.Log(Event{Kind: EventFailsEverywhere, Machine: m.ID, Task: job.ID, Reason: "to be retried with one task, later and later"})
 	}
 	if !job.IsKnownToRun() && otherJobRuns(job, m) {
-		job.AtFault = true
+		job.FaultSuspected = true
 	}
 	if !job.IsAtFault() {
 		m.NoteFailure(job.ID, now)
@@ -35,30 +35,30 @@
 // completed. The machine is not faulty, so jobs that failed on it and have not run
 // anywhere are at fault.
 func (s *State) clearFailures(m *model.Machine) {
-	s.blameUnprovenJobs(m)
-	m.FailuresInRow = nil
+	s.markUnprovenJobsAtFault(m)
+	m.ConsecutiveFailures = nil
 }
 
-// blameUnprovenJobs puts the jobs at fault that failed on a machine and have not run
+// markUnprovenJobsAtFault puts the jobs at fault that failed on a machine and have not run
 // anywhere.
-func (s *State) blameUnprovenJobs(m *model.Machine) {
-	for _, f := range m.FailuresInRow {
+func (s *State) markUnprovenJobsAtFault(m *model.Machine) {
+	for _, f := range m.ConsecutiveFailures {
 		if job := s.Jobs[f.Job]; job != nil && !job.IsKnownToRun() {
-			job.AtFault = true
+			job.FaultSuspected = true
 		}
 	}
 }
 
 // Limits of consecutive failures on a machine.
 const (
-	// faultyAfterProven is the number of failures of jobs that have run elsewhere after
+	// provenFailureThreshold is the number of failures of jobs that have run elsewhere after
 	// which a machine is quarantined.
-	faultyAfterProven = 2
-	// faultyAfterUnproven is the number of failures of jobs that have not run anywhere
+	provenFailureThreshold = 2
+	// unprovenFailureThreshold is the number of failures of jobs that have not run anywhere
 	// yet after which a machine is quarantined, as long as nothing else runs on it. Such
 	// a job may not fit on other machines, and would fail there for ever. It gets only
 	// one machine quarantined.
-	faultyAfterUnproven = 3
+	unprovenFailureThreshold = 3
 )
 
 // quarantineIfFaulty quarantines a machine if the failures on it are its own fault.
@@ -66,11 +66,11 @@
 // with a mistake often fail on the same machines at once, which proves nothing. This is
 // checked with every heartbeat, as the jobs may have run elsewhere since.
 func (s *State) quarantineIfFaulty(machine *model.Machine, now model.Micros) {
-	if machine.Quarantined || len(machine.FailuresInRow) < faultyAfterProven {
+	if machine.Quarantined || len(machine.ConsecutiveFailures) < provenFailureThreshold {
 		return
 	}
 	proven, unproven := 0, 0
-	for _, f := range machine.FailuresInRow {
+	for _, f := range machine.ConsecutiveFailures {
 		job := s.Jobs[f.Job]
 		switch {
 		case job == nil || job.IsAtFault():
@@ -80,14 +80,14 @@
 			unproven++
 		}
 	}
-	if proven < faultyAfterProven && unproven < faultyAfterUnproven {
+	if proven < provenFailureThreshold && unproven < unprovenFailureThreshold {
 		return
 	}
 	// The jobs that have not run anywhere have had their one machine quarantined. If they
 	// fail on the next as well, they are at fault.
-	s.blameUnprovenJobs(machine)
+	s.markUnprovenJobsAtFault(machine)
 	machine.Quarantined, machine.Draining = true, true
-	s.Log(Event{Kind: EventQuarantined, Machine: machine.ID, Why: "tasks fail on it"})
+	s.Log(Event{Kind: EventQuarantined, Machine: machine.ID, Reason: "tasks fail on it"})
 	for _, b := range machine.Bindings {
 		if b.Status != model.Running {
 			s.stop(b, 0, "machine is sick", now)
--- a/internal/core/shard/finished.go
+++ b/internal/core/shard/finished.go
@@ -13,12 +13,12 @@
 		return // its home cell stores them
 	}
 	if len(job.DoneVersions) == 1 {
-		job.DoneVersions[0].Now++
+		job.DoneVersions[0].Current++
 		s.enqueue(DoneEntry + job.ID)
 		return
 	}
 	part := index / model.TasksPerPart
-	job.DoneVersions[part].Now++
+	job.DoneVersions[part].Current++
 	s.enqueue(PartEntry(job.ID, part))
 }
 
@@ -34,7 +34,7 @@
 
 // storeInParts stores a job's finished tasks in parts from now on.
 func (s *State) storeInParts(job *model.JobState) {
-	job.DoneVersions = make([]model.Versions, model.Parts(job.Tasks))
+	job.DoneVersions = make([]model.Versions, model.PartCount(job.Tasks))
 	for part := range job.DoneVersions {
 		if slices.ContainsFunc(job.Done.Part(part), func(b byte) bool { return b != 0 }) {
 			s.enqueueFinished(job, part*model.TasksPerPart)
@@ -52,5 +52,5 @@
 	if len(job.DoneVersions) > 1 {
 		v = job.DoneVersions[index/model.TasksPerPart]
 	}
-	return v.Stored >= v.Now
+	return v.Stored >= v.Current
 }
--- a/internal/core/shard/gangs.go
+++ b/internal/core/shard/gangs.go
@@ -17,7 +17,7 @@
 // and waiting for the other members can take. Its machines must not stay idle for it
 // without end.
 func (s *State) checkGang(job *model.JobState, now model.Micros) {
-	if job.Kind != model.Gang || job.AttemptFailed || job.Ended != "" || job.EndPending || len(job.Bindings) == 0 {
+	if job.Kind != model.Gang || job.AttemptFailed || job.FinalStatus != "" || job.EndPending || len(job.Bindings) == 0 {
 		return
 	}
 	fetch, since := model.Micros(0), now
--- a/internal/core/shard/gangs_test.go
+++ b/internal/core/shard/gangs_test.go
@@ -12,12 +12,12 @@
 	s := newTestState(5)
 	spec := newJob("j-1", 2, model.Gang)
 	spec.Team, spec.Request.Cores = "blue", 3000 // one to a box
-	job := s.AddJob(spec, model.Set{}, "", 0, 0)
+	job := s.AddJob(spec, model.TaskSet{}, "", 0, 0)
 	w1, w2 := newWorker(s, "h1", "box", "a"), newWorker(s, "h2", "box", "a")
-	if w1.says(sec, 5); len(job.Bindings) != 0 {
+	if w1.sendHeartbeat(sec, 5); len(job.Bindings) != 0 {
 		t.Fatal("part of a gang was bound")
 	}
-	w2.says(sec, 5)
+	w2.sendHeartbeat(sec, 5)
 	if len(job.Bindings) != 2 || job.Bindings[0][0].Attempt != job.Bindings[1][0].Attempt {
 		t.Fatal("the gang is not bound under one attempt")
 	}
@@ -25,25 +25,25 @@
 	if s.Committed(writes, sec); len(writes) != 1 || len(writes[0].versions) != 1 {
 		t.Fatalf("%+v written, want one of two records", writes)
 	}
-	_, o1 := w1.says(2*sec, 5)
-	_, o2 := w2.says(2*sec, 5)
+	_, o1 := w1.sendHeartbeat(2*sec, 5)
+	_, o2 := w2.sendHeartbeat(2*sec, 5)
 	if countCommands(o1, StartTask)+countCommands(o2, StartTask) != 0 {
 		t.Fatal("a task of a gang starts before all bindings are durable")
 	}
 	commitAll(s, 2*sec)
-	w1.says(3*sec, 5)
-	w2.says(3*sec, 5)
-	b1, b2 := bound(s, "h1"), bound(s, "h2")
-	w1.says(4*sec, 5, TaskStatus{ID: b1.ID, Attempt: b1.Attempt, Status: model.Running})
-	w2.says(4*sec, 5, TaskStatus{ID: b2.ID, Attempt: b2.Attempt, Status: model.Running})
-	newWorker(s, "h3", "box", "a").says(4*sec, 5)
-	newWorker(s, "h4", "box", "a").says(4*sec, 5)
-	w1.says(5*sec, 5) // gone without a trace
-	_, o2 = w2.says(5*sec, 5, TaskStatus{ID: b2.ID, Attempt: b2.Attempt, Status: model.Running})
+	w1.sendHeartbeat(3*sec, 5)
+	w2.sendHeartbeat(3*sec, 5)
+	b1, b2 := firstBinding(s, "h1"), firstBinding(s, "h2")
+	w1.sendHeartbeat(4*sec, 5, TaskStatus{ID: b1.ID, Attempt: b1.Attempt, Status: model.Running})
+	w2.sendHeartbeat(4*sec, 5, TaskStatus{ID: b2.ID, Attempt: b2.Attempt, Status: model.Running})
+	newWorker(s, "h3", "box", "a").sendHeartbeat(4*sec, 5)
+	newWorker(s, "h4", "box", "a").sendHeartbeat(4*sec, 5)
+	w1.sendHeartbeat(5*sec, 5) // gone without a trace
+	_, o2 = w2.sendHeartbeat(5*sec, 5, TaskStatus{ID: b2.ID, Attempt: b2.Attempt, Status: model.Running})
 	if len(job.Bindings) != 1 || countCommands(o2, StopTask) != 1 {
 		t.Fatalf("%d bound, commands %v: want the rest of the attempt stopped, and no new one", len(job.Bindings), o2)
 	}
-	w2.says(6*sec, 5, TaskStatus{ID: b2.ID, Attempt: b2.Attempt, Status: model.Exited, Cause: CauseStopped})
+	w2.sendHeartbeat(6*sec, 5, TaskStatus{ID: b2.ID, Attempt: b2.Attempt, Status: model.Exited, Cause: CauseStopped})
 	if len(job.Bindings) != 2 || job.Bindings[0][0].Attempt == b1.Attempt {
 		t.Fatal("no new attempt after the old one is gone")
 	}
@@ -55,30 +55,30 @@
 	s := newTestState(5)
 	spec := newJob("j-1", 3, model.Gang)
 	spec.Team, spec.Request.Cores = "blue", 3000 // one to a box
-	job := s.AddJob(spec, model.Set{}, "", 0, 0)
+	job := s.AddJob(spec, model.TaskSet{}, "", 0, 0)
 	var workers []*worker
 	for _, machineID := range []string{"h1", "h2", "h3"} {
 		w := newWorker(s, machineID, "box", "a")
-		w.says(sec, 5)
+		w.sendHeartbeat(sec, 5)
 		workers = append(workers, w)
 	}
 	if len(job.Bindings) != 3 {
 		t.Fatal("not bound")
 	}
 	for n, fetch := range []model.Micros{0, 90 * sec, 100 * sec} {
-		bound(s, workers[n].heartbeat.Machine).ExpectedFetch = fetch
+		firstBinding(s, workers[n].heartbeat.Machine).ExpectedFetch = fetch
 	}
 	commitAll(s, sec)
 	started := func(now model.Micros) (n []int) {
 		for i, w := range workers {
-			b := bound(s, w.heartbeat.Machine)
+			b := firstBinding(s, w.heartbeat.Machine)
 			var tasks []TaskStatus
-			if b.Seen {
+			if b.Reported {
 				tasks = append(tasks, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: b.Status})
 			}
-			if _, o := w.says(now, 5, tasks...); countCommands(o, StartTask) > 0 {
+			if _, o := w.sendHeartbeat(now, 5, tasks...); countCommands(o, StartTask) > 0 {
 				n = append(n, i)
-				b.Seen, b.Status = true, model.Fetching
+				b.Reported, b.Status = true, model.Fetching
 			}
 		}
 		return n
@@ -87,7 +87,7 @@
 		t.Fatalf("started %v, want the two that fetch", n)
 	}
 	for _, w := range workers[1:] {
-		bound(s, w.heartbeat.Machine).Status = model.WaitingForGang
+		firstBinding(s, w.heartbeat.Machine).Status = model.WaitingForGang
 	}
 	if n := started(100 * sec); len(n) != 1 || n[0] != 0 {
 		t.Fatalf("started %v, want the one that has its image", n)
@@ -98,14 +98,14 @@
 // back.
 func TestGangThatNeverRunsIsEnded(t *testing.T) {
 	s := newTestState(5)
-	job := s.AddJob(newJob("j-1", 1, model.Gang), model.Set{}, "", 0, 0)
+	job := s.AddJob(newJob("j-1", 1, model.Gang), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	w.says(sec, 5)
+	w.sendHeartbeat(sec, 5)
 	commitAll(s, sec)
-	b := bound(s, "h1")
+	b := firstBinding(s, "h1")
 	at := 10 * sec
 	for ; at < 200*sec && !job.AttemptFailed; at += 10 * sec {
-		w.says(at, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Fetching})
+		w.sendHeartbeat(at, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Fetching})
 		s.Tick(at)
 	}
 	if !job.AttemptFailed || at < 60*sec {
@@ -117,17 +117,17 @@
 // the team for ever, and has them stopped once it is late.
 func TestGangIsOwedItsTeamsLimit(t *testing.T) {
 	s := newTestState(5)
-	s.Params.Waits = map[string][]model.Micros{"hot": {40 * sec}}
-	s.AddJob(newJob("j-1", 30, model.Array), model.Set{}, "", 0, 0)
+	s.Params.StartObjectives = map[string][]model.Micros{"hot": {40 * sec}}
+	s.AddJob(newJob("j-1", 30, model.Array), model.TaskSet{}, "", 0, 0)
 	for _, machineID := range []string{"h1", "h2", "h3", "h4", "h5"} {
-		newWorker(s, machineID, "box", "a").says(sec, 5)
+		newWorker(s, machineID, "box", "a").sendHeartbeat(sec, 5)
 	}
 	if s.Used["red"].Cores != 8000 {
 		t.Fatal("the team is not at its limit")
 	}
 	hot := newJob("j-2", 2, model.Gang)
 	hot.Priority, hot.Class, hot.Request.Cores = model.HighPriority, "hot", 2000
-	job := s.AddJob(hot, model.Set{}, "", sec, 0)
+	job := s.AddJob(hot, model.TaskSet{}, "", sec, 0)
 	s.recordCompletion(model.TaskID{Job: "j-1"}, nil, 2*sec)
 	s.unbind(s.Jobs["j-1"].Bindings[0][0], "ended: done", 2*sec)
 	s.Place(2*sec, true)
@@ -153,19 +153,19 @@
 // can't have others stopped: work of its own rank would take them one by one.
 func TestMachinesAreAwaitedForALargeGang(t *testing.T) {
 	s := newTestState(5)
-	s.Params.Waits = map[string][]model.Micros{"c": {40 * sec}}
+	s.Params.StartObjectives = map[string][]model.Micros{"c": {40 * sec}}
 	one := func(machineID string, tasks int, now model.Micros) *model.JobState {
 		spec := newJob(machineID, tasks, model.Gang)
 		spec.Priority, spec.Team, spec.Request.Cores, spec.SameZone = model.HighPriority, "blue", 4000, true
-		return s.AddJob(spec, model.Set{}, "", now, 0)
+		return s.AddJob(spec, model.TaskSet{}, "", now, 0)
 	}
 	var workers []*worker
 	running := map[int]TaskStatus{}
 	for i, machineID := range []string{"h1", "h2", "h3"} {
 		one("j-s"+machineID, 1, 0)
 		w := newWorker(s, machineID, "box", "a")
-		w.starts()
-		b := bound(s, machineID)
+		w.startBoundTasks()
+		b := firstBinding(s, machineID)
 		running[i] = TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running}
 		workers = append(workers, w)
 	}
@@ -174,18 +174,18 @@
 		one("j-t"+string(rune('a'+i)), 1, 4*sec)
 	}
 	for i, w := range workers {
-		w.says(60*sec, 5, running[i])
+		w.sendHeartbeat(60*sec, 5, running[i])
 	}
 	done := running[0]
 	done.Status, done.Cause = model.Exited, CauseDone
-	workers[0].says(61*sec, 5, done)
+	workers[0].sendHeartbeat(61*sec, 5, done)
 	s.Place(61*sec, true)
-	if b := bound(s, "h1"); b != nil {
+	if b := firstBinding(s, "h1"); b != nil {
 		t.Fatalf("%s took the machine that the large gang waits for", b.ID)
 	}
 	done = running[1]
 	done.Status, done.Cause = model.Exited, CauseDone
-	workers[1].says(62*sec, 5, done)
+	workers[1].sendHeartbeat(62*sec, 5, done)
 	s.Place(62*sec, true)
 	if len(big.Bindings) != 2 {
 		t.Fatal("the large gang is not bound though there is room")
@@ -196,15 +196,15 @@
 // it gets short of time.
 func TestGangLeavesWantedGPUs(t *testing.T) {
 	s := newTestState(5)
-	s.Params.Waits = map[string][]model.Micros{"hot": {100 * sec}}
+	s.Params.StartObjectives = map[string][]model.Micros{"hot": {100 * sec}}
 	gpu := newJob("j-1", 4, model.Array)
 	gpu.Team, gpu.Request.GPUs, gpu.Request.Cores = "blue", 1000, 3000
-	s.AddJob(gpu, model.Set{}, "", 0, 0)
+	s.AddJob(gpu, model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "gpu", "a")
-	w.starts()
+	w.startBoundTasks()
 	hot := newJob("j-2", 1, model.Gang)
 	hot.Team, hot.Class, hot.Priority, hot.Request.Cores = "blue", "hot", model.HighPriority, 2000
-	job := s.AddJob(hot, model.Set{}, "", 2*sec, 0)
+	job := s.AddJob(hot, model.TaskSet{}, "", 2*sec, 0)
 	report := func(now model.Micros) {
 		var tasks []TaskStatus
 		for id, b := range s.Machines["h1"].Bindings {
@@ -212,7 +212,7 @@
 				tasks = append(tasks, TaskStatus{ID: id, Attempt: b.Attempt, Status: model.Running})
 			}
 		}
-		w.says(now, 5, tasks...)
+		w.sendHeartbeat(now, 5, tasks...)
 	}
 	if report(3 * sec); len(job.Bindings) != 0 {
 		t.Fatal("the gang takes what GPU tasks need, with time to spare")
@@ -226,20 +226,20 @@
 // one has its own made, and nobody is stopped twice for the same.
 func TestRoomMadeForAGangIsItsOwn(t *testing.T) {
 	s := newTestState(5)
-	s.Params.Waits = map[string][]model.Micros{"hot": {8 * sec}}
+	s.Params.StartObjectives = map[string][]model.Micros{"hot": {8 * sec}}
 	low := newJob("j-1", 8, model.Array)
 	low.Priority, low.Team = model.LowPriority, "blue"
-	s.AddJob(low, model.Set{}, "", 0, 0)
+	s.AddJob(low, model.TaskSet{}, "", 0, 0)
 	var workers []*worker
 	for _, machineID := range []string{"h1", "h2"} {
 		w := newWorker(s, machineID, "box", "a")
-		w.starts()
+		w.startBoundTasks()
 		workers = append(workers, w)
 	}
 	gang := func(machineID string, now, age model.Micros) *model.JobState {
 		spec := newJob(machineID, 1, model.Gang)
 		spec.Priority, spec.Class, spec.Team, spec.Request.Cores = model.HighPriority, "hot", "blue", 4000
-		return s.AddJob(spec, model.Set{}, "", now, age)
+		return s.AddJob(spec, model.TaskSet{}, "", now, age)
 	}
 	stops := func() (n [2]int) {
 		for i, machineID := range []string{"h1", "h2"} {
@@ -252,8 +252,8 @@
 		return n
 	}
 	for _, w := range workers {
-		tasks := running(s, w.heartbeat.Machine)
-		w.says(8*sec, 5, tasks...)
+		tasks := runningTasks(s, w.heartbeat.Machine)
+		w.sendHeartbeat(8*sec, 5, tasks...)
 	}
 	a := gang("j-2", 8*sec, 7*sec)
 	s.Place(9*sec, true)
@@ -278,7 +278,7 @@
 		s.unbind(x, "ended: stopped", 10*sec)
 	}
 	s.Place(10*sec, true)
-	if x := bound(s, made); x == nil || x.ID.Job != "j-2" {
+	if x := firstBinding(s, made); x == nil || x.ID.Job != "j-2" {
 		t.Errorf("the room made for one gang went to %v", x)
 	}
 }
--- a/internal/core/shard/heartbeats.go
+++ b/internal/core/shard/heartbeats.go
@@ -6,11 +6,11 @@
 
 // TaskStatus is the state of one attempt of a task in a heartbeat.
 type TaskStatus struct {
-	ID      model.TaskID
-	Attempt uint64
-	Status  model.Status
-	Cause   ExitCause // of an exited task
-	Stored  bool      // the task saved its state before it exited
+	ID         model.TaskID
+	Attempt    uint64
+	Status     model.TaskState
+	Cause      ExitCause // of an exited task
+	StateSaved bool      // the task saved its state before it exited
 }
 
 // ExitCause is why an attempt has exited, as it is logged.
@@ -38,13 +38,13 @@
 	Tasks                            []TaskStatus
 }
 
-// Verdict is the result of ApplyHeartbeat.
-type Verdict uint8
+// HeartbeatResult is the result of ApplyHeartbeat.
+type HeartbeatResult uint8
 
 // The results of ApplyHeartbeat.
 const (
 	// Accepted heartbeats are answered with commands.
-	Accepted Verdict = iota
+	Accepted HeartbeatResult = iota
 	// Stale heartbeats are late copies, or of a machine that is being deleted.
 	Stale
 	// HigherToken means that the worker knows a higher fencing token than ours.
@@ -57,7 +57,7 @@
 
 // ApplyHeartbeat updates the state with a heartbeat. The response is made by Commands,
 // after the placement round that the heartbeat may have caused.
-func (s *State) ApplyHeartbeat(heartbeat *Heartbeat, now model.Micros) Verdict {
+func (s *State) ApplyHeartbeat(heartbeat *Heartbeat, now model.Micros) HeartbeatResult {
 	if heartbeat.Token > s.Token {
 		return HigherToken
 	}
@@ -94,9 +94,9 @@
 func (s *State) updateMachine(machine *model.Machine, heartbeat *Heartbeat, now model.Micros) {
 	s.checkReceivesAnswers(machine, heartbeat, now)
 	// The response must not wait for a placement round if it may not arrive.
-	machine.HasNews = machine.HasNews && machine.ReceivesAnswers
+	machine.HasNewCapacity = machine.HasNewCapacity && machine.ReceivesAnswers
 	if !machine.Up && heartbeat.Token == s.Token {
-		machine.Up, machine.HasNews, s.NeedsPlacement = true, true, true
+		machine.Up, machine.HasNewCapacity, s.NeedsPlacement = true, true, true
 		s.Log(Event{Kind: EventUp, Machine: machine.ID})
 	}
 	machine.Lost = false
@@ -135,9 +135,9 @@
 		}
 		sent := binding.SentIncarnation != 0 || binding.SentSequence != 0
 		switch {
-		case binding.Seen:
+		case binding.Reported:
 			s.unbind(binding, "newer report without it", now)
-		case binding.Stopping || s.Jobs[id.Job].Done.Has(id.Index) || s.Jobs[id.Job].Ended != "":
+		case binding.Stopping || s.Jobs[id.Job].Done.Has(id.Index) || s.Jobs[id.Job].FinalStatus != "":
 			// We never started it, or that response was lost: a worker only acts on the
 			// response to its last heartbeat, and this heartbeat is newer.
 			s.unbind(binding, "newer report without it, not wanted", now)
@@ -150,7 +150,7 @@
 // updateBinding applies the reported state of a bound task.
 func (s *State) updateBinding(binding *model.Binding, task *TaskStatus, now model.Micros) {
 	machine := binding.Machine
-	binding.Seen = true
+	binding.Reported = true
 	if binding.Status != model.Running && task.Status == model.Running {
 		binding.RunningSince, s.Jobs[binding.ID.Job].HasRun = now, true
 		s.clearFailures(machine)
@@ -196,7 +196,7 @@
 // last one. The binding is nil if the attempt is not bound.
 func (s *State) recordCompletion(id model.TaskID, binding *model.Binding, now model.Micros) {
 	job := s.Jobs[id.Job]
-	if job == nil || job.Ended != "" || id.Index >= job.Tasks {
+	if job == nil || job.FinalStatus != "" || id.Index >= job.Tasks {
 		return
 	}
 	if binding != nil && binding.RunningSince != 0 && binding.RunningSince > binding.BoundAt {
--- a/internal/core/shard/heartbeats_test.go
+++ b/internal/core/shard/heartbeats_test.go
@@ -8,24 +8,24 @@
 
 func TestLateReportMovesNothingBack(t *testing.T) {
 	s := newTestState(5)
-	s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
+	s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	w.starts()
-	b := bound(s, "h1")
-	w.says(3*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running})
+	w.startBoundTasks()
+	b := firstBinding(s, "h1")
+	w.sendHeartbeat(3*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running})
 	late := w.heartbeat
 	late.Sequence, late.Token = 2, 5
 	if v := s.ApplyHeartbeat(&late, 4*sec); v != Stale {
 		t.Fatalf("verdict %v for a late copy", v)
 	}
-	if bound(s, "h1") != b {
+	if firstBinding(s, "h1") != b {
 		t.Fatal("a late copy unbound the task")
 	}
 }
 
 func TestHigherTokenDeposes(t *testing.T) {
 	s := newTestState(5)
-	if v, _ := newWorker(s, "h1", "box", "a").says(sec, 6); v != HigherToken {
+	if v, _ := newWorker(s, "h1", "box", "a").sendHeartbeat(sec, 6); v != HigherToken {
 		t.Fatalf("verdict %v for a worker that knows a higher token", v)
 	}
 }
@@ -34,25 +34,25 @@
 // job is done only once its end is.
 func TestCompletionDurableBeforeClear(t *testing.T) {
 	s := newTestState(5)
-	job := s.AddJob(newJob("j-1", 2, model.Array), model.Set{}, "", 0, 0)
+	job := s.AddJob(newJob("j-1", 2, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	w.starts()
+	w.startBoundTasks()
 	binding := job.Bindings[0][0]
 	done := TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Exited, Cause: CauseDone}
 	other := TaskStatus{ID: job.Bindings[1][0].ID, Attempt: job.Bindings[1][0].Attempt, Status: model.Running}
-	if _, commands := w.says(3*sec, 5, done, other); countCommands(commands, ClearTask) != 0 {
+	if _, commands := w.sendHeartbeat(3*sec, 5, done, other); countCommands(commands, ClearTask) != 0 {
 		t.Fatal("cleared before the completion is durable")
 	}
 	commitAll(s, 3*sec)
-	if _, commands := w.says(4*sec, 5, done, other); countCommands(commands, ClearTask) != 1 {
+	if _, commands := w.sendHeartbeat(4*sec, 5, done, other); countCommands(commands, ClearTask) != 1 {
 		t.Fatal("not cleared though the completion is durable")
 	}
 	other.Status, other.Cause = model.Exited, CauseDone
-	if _, commands := w.says(5*sec, 5, other); countCommands(commands, ClearTask) != 0 || job.Ended != "" {
+	if _, commands := w.sendHeartbeat(5*sec, 5, other); countCommands(commands, ClearTask) != 0 || job.FinalStatus != "" {
 		t.Fatal("ended before the end is durable")
 	}
 	commitAll(s, 5*sec)
-	if job.Ended != "done" {
+	if job.FinalStatus != "done" {
 		t.Fatal("the end was not written")
 	}
 }
@@ -60,9 +60,9 @@
 // A cancellation that was decided first stands, whatever finishes.
 func TestCancelAgainstCompletion(t *testing.T) {
 	s := newTestState(5)
-	job := s.AddJob(newJob("j-1", 2, model.Array), model.Set{}, "", 0, 0)
+	job := s.AddJob(newJob("j-1", 2, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	w.starts()
+	w.startBoundTasks()
 	for n := range 2 { // the second is still on its machine when the job ends
 		s.recordCompletion(model.TaskID{Job: "j-1", Index: n}, nil, 3*sec)
 	}
@@ -72,23 +72,23 @@
 			t.Fatal("the end is to be written over a cancellation")
 		}
 	}
-	if job.Ended != "withdrawn" {
-		t.Fatalf("ended %q", job.Ended)
+	if job.FinalStatus != "withdrawn" {
+		t.Fatalf("ended %q", job.FinalStatus)
 	}
 }
 
-// failAll has a worker come up, get what is bound to it started, and report
+// failBoundTasks has a worker come up, get what is bound to it started, and report
 // all of it failed.
-func failAll(s *State, w *worker, now model.Micros) {
-	w.says(now, 5)
+func failBoundTasks(s *State, w *worker, now model.Micros) {
+	w.sendHeartbeat(now, 5)
 	commitAll(s, now)
-	w.says(now+sec, 5)
-	w.says(now+2*sec, 5, failures(s, w.heartbeat.Machine)...)
+	w.sendHeartbeat(now+sec, 5)
+	w.sendHeartbeat(now+2*sec, 5, failedTasks(s, w.heartbeat.Machine)...)
 }
 
-// failures are the tasks of a report that says that all that is bound to a
+// failedTasks are the tasks of a report that says that all that is bound to a
 // machine failed.
-func failures(s *State, machine string) (tasks []TaskStatus) {
+func failedTasks(s *State, machine string) (tasks []TaskStatus) {
 	for _, b := range s.Machines[machine].Bindings {
 		tasks = append(tasks, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Exited, Cause: CauseError})
 	}
@@ -101,27 +101,27 @@
 func TestFaultIsFoundOut(t *testing.T) {
 	s := newTestState(5)
 	for _, jobID := range []string{"j-1", "j-2"} {
-		s.AddJob(newJob(jobID, 2, model.Array), model.Set{}, "", 0, 0)
+		s.AddJob(newJob(jobID, 2, model.Array), model.TaskSet{}, "", 0, 0)
 		s.recordCompletion(model.TaskID{Job: jobID, Index: 0}, nil, sec/2)
 	}
-	failAll(s, newWorker(s, "h1", "box", "a"), sec)
+	failBoundTasks(s, newWorker(s, "h1", "box", "a"), sec)
 	if !s.Machines["h1"].Quarantined {
 		t.Fatal("a machine on which two jobs failed that have done work is not quarantined")
 	}
 	s.EndJob("j-1", "withdrawn", 4*sec)
 	s.EndJob("j-2", "withdrawn", 4*sec)
 	for _, jobID := range []string{"j-3", "j-4", "j-5"} {
-		s.AddJob(newJob(jobID, 2, model.Array), model.Set{}, "", 0, 0)
+		s.AddJob(newJob(jobID, 2, model.Array), model.TaskSet{}, "", 0, 0)
 	}
 	h2 := newWorker(s, "h2", "box", "a")
-	failAll(s, h2, 10*sec)
+	failBoundTasks(s, h2, 10*sec)
 	if s.Machines["h2"].Quarantined {
 		t.Fatal("a machine is quarantined for the first failures of new jobs")
 	}
 	for _, jobID := range []string{"j-3", "j-4", "j-5"} {
 		s.recordCompletion(model.TaskID{Job: jobID, Index: 1}, nil, 15*sec)
 	}
-	h2.says(16*sec, 5)
+	h2.sendHeartbeat(16*sec, 5)
 	if !s.Machines["h2"].Quarantined {
 		t.Fatal("a machine on which jobs failed that have since done work elsewhere is not quarantined")
 	}
@@ -132,20 +132,20 @@
 // quarantined, not every one that it fails on.
 func TestJobWithOneMachineToGoTo(t *testing.T) {
 	s := newTestState(5)
-	job := s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
+	job := s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	for i := range faultyAfterUnproven {
+	for i := range unprovenFailureThreshold {
 		if m := s.Machines["h1"]; m != nil && m.Quarantined {
 			t.Fatalf("quarantined after %d failures", i)
 		}
-		failAll(s, w, model.Micros(1+100*i)*sec)
+		failBoundTasks(s, w, model.Micros(1+100*i)*sec)
 	}
 	if !s.Machines["h1"].Quarantined {
-		t.Fatalf("a machine on which all fails is not quarantined after %d failures", faultyAfterUnproven)
+		t.Fatalf("a machine on which all fails is not quarantined after %d failures", unprovenFailureThreshold)
 	}
 	other := newWorker(s, "h2", "box", "a")
-	for i := range 2 * faultyAfterUnproven {
-		failAll(s, other, model.Micros(1000+100*i)*sec)
+	for i := range 2 * unprovenFailureThreshold {
+		failBoundTasks(s, other, model.Micros(1000+100*i)*sec)
 	}
 	if s.Machines["h2"].Quarantined || len(job.FailedMachines) != 2 {
 		t.Fatalf("a job that failed on %d machines had the second quarantined as well", len(job.FailedMachines))
@@ -156,22 +156,22 @@
 // run yet.
 func TestOtherWorkThatRunsClearsAMachine(t *testing.T) {
 	s := newTestState(5)
-	s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
-	mistaken := s.AddJob(newJob("j-2", 3, model.Array), model.Set{}, "", 0, 0)
+	s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
+	mistaken := s.AddJob(newJob("j-2", 3, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
 	runs := func(at model.Micros) {
-		tasks := failures(s, "h1")
+		tasks := failedTasks(s, "h1")
 		for i := range tasks {
 			if tasks[i].ID.Job == "j-1" {
 				tasks[i].Status, tasks[i].Cause = model.Running, ""
 			}
 		}
-		w.says(at, 5, tasks...)
+		w.sendHeartbeat(at, 5, tasks...)
 	}
-	w.says(sec, 5)
+	w.sendHeartbeat(sec, 5)
 	commitAll(s, sec)
-	w.says(2*sec, 5)
-	for i := range 2 * faultyAfterUnproven {
+	w.sendHeartbeat(2*sec, 5)
+	for i := range 2 * unprovenFailureThreshold {
 		runs(model.Micros(3+100*i) * sec)
 		commitAll(s, model.Micros(4+100*i)*sec)
 	}
@@ -193,21 +193,21 @@
 	var workers []*worker
 	for _, name := range names {
 		w := newWorker(s, name, "box", "a")
-		w.says(sec, 5)
+		w.sendHeartbeat(sec, 5)
 		workers = append(workers, w)
 	}
-	job := s.AddJob(newJob("j-1", 12, model.Array), model.Set{}, "", 0, 0)
+	job := s.AddJob(newJob("j-1", 12, model.Array), model.TaskSet{}, "", 0, 0)
 	// retry has what may be bound start and fail on all machines, and tells how many tasks.
 	retry := func(now model.Micros) (tried int) {
 		for _, w := range workers {
-			w.says(now, 5)
+			w.sendHeartbeat(now, 5)
 		}
 		s.Place(now, true)
 		commitAll(s, now)
 		tried = job.BindingCount()
 		for _, w := range workers {
-			w.says(now+sec, 5)
-			w.says(now+2*sec, 5, failures(s, w.heartbeat.Machine)...)
+			w.sendHeartbeat(now+sec, 5)
+			w.sendHeartbeat(now+2*sec, 5, failedTasks(s, w.heartbeat.Machine)...)
 		}
 		return tried
 	}
@@ -231,8 +231,8 @@
 	if wait < 8*sec {
 		t.Fatalf("a job that failed on three machines is tried again after %v", wait)
 	}
-	if kept := len(job.Waiting) + job.BindingCount(); job.Ended != "" || kept != 12 {
-		t.Fatalf("the job is not kept: ended %q, %d of 12 tasks wait or are bound", job.Ended, kept)
+	if kept := len(job.Waiting) + job.BindingCount(); job.FinalStatus != "" || kept != 12 {
+		t.Fatalf("the job is not kept: ended %q, %d of 12 tasks wait or are bound", job.FinalStatus, kept)
 	}
 	// Once its wait is over, one task at a time is tried, and the next wait is longer, up
 	// to a bound.
@@ -253,20 +253,20 @@
 // that bears an older token may be an old copy.
 func TestNoWorkForAMachineThatDoesNotHear(t *testing.T) {
 	s := newTestState(5)
-	job := s.AddJob(newJob("j-1", 1, model.Array), model.Set{}, "", 0, 0)
+	job := s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	machine := s.AddMachine("h1", "box", "a", false, 0)
 	w := newWorker(s, "h1", "box", "a")
 	for i := range model.Micros(4) {
-		w.says(i*sec, 4)
+		w.sendHeartbeat(i*sec, 4)
 	}
 	if len(job.Bindings) != 0 {
 		t.Fatal("work for a machine whose reports bear an older token")
 	}
-	w.says(4*sec, 5)
+	w.sendHeartbeat(4*sec, 5)
 	if len(job.Bindings) != 1 {
 		t.Fatal("no work for a machine that hears")
 	}
-	more := s.AddJob(newJob("j-2", 1, model.Array), model.Set{}, "", 0, 0)
+	more := s.AddJob(newJob("j-2", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	heartbeat := w.heartbeat
 	for i := range model.Micros(8) { // its answers are lost: it comes back from the other controllers
 		w.sequence++
@@ -289,7 +289,7 @@
 func TestHearingAtBothReportPeriods(t *testing.T) {
 	for _, report := range []model.Micros{5 * sec / 2, 5 * sec} {
 		s := newTestState(5)
-		s.Params.Report = report
+		s.Params.HeartbeatInterval = report
 		machine := s.AddMachine("h1", "box", "a", false, 0)
 		w := newWorker(s, "h1", "box", "a")
 		heartbeat := w.heartbeat
@@ -302,7 +302,7 @@
 				t.Errorf("reports every %v: after %v it counts as heard: %v", report, gap, machine.ReceivesAnswers)
 			}
 		}
-		if stop := s.World(at).StopTime; stop < report || stop > 2*report {
+		if stop := s.PlacementInput(at).StopTime; stop < report || stop > 2*report {
 			t.Errorf("reports every %v: %v until a stopped task's room is free", report, stop)
 		}
 	}
--- a/internal/core/shard/due.go
+++ b/internal/core/shard/job_order.go
@@ -17,13 +17,13 @@
 		return 0
 	}
 	if l.rate <= 0 {
-		return forever
+		return unboundedTime
 	}
-	return model.Seconds(min(float64(l.waiting)/l.rate, forever.Seconds()))
+	return model.Seconds(min(float64(l.waiting)/l.rate, unboundedTime.Seconds()))
 }
 
-// forever is longer than any time that matters.
-const forever = model.Micros(1) << 50
+// unboundedTime is longer than any time that matters.
+const unboundedTime = model.Micros(1) << 50
 
 // updateClassLoads computes the load of every class from the bindings, so a new owner
 // knows it at once.
@@ -32,7 +32,7 @@
 	for _, job := range jobs {
 		load := s.classLoads[job.Class]
 		if bound := len(job.Bindings); bound > 0 {
-			load.rate += float64(bound) / max(s.Expected(job.Job), model.Second).Seconds()
+			load.rate += float64(bound) / max(s.ExpectedRunTime(job.Job), model.Second).Seconds()
 		}
 		if now >= job.NotBefore {
 			load.waiting += len(job.Waiting)
@@ -41,49 +41,49 @@
 	}
 }
 
-// dueAfterMiss is the first due time of jobs that have missed a target, but can still
+// missedObjectiveOffset is the first due time of jobs that have missed a target, but can still
 // meet another.
-const dueAfterMiss = placement.Late / 2
+const missedObjectiveOffset = placement.LateDueAt / 2
 
 // maxOvertaken bounds the time for which a job may be overtaken by jobs with less work
 // left. It is well within the four minutes in which all jobs are to start, as the
 // largest ones need most time to get their machines.
 const maxOvertaken = 90 * model.Second
 
-// due orders jobs of the same priority. Jobs that can still meet all targets of their
+// orderKey orders jobs of the same priority. Jobs that can still meet all targets of their
 // class go first, those with the least work left before the others: when not all jobs
 // can be in time, this order gets the most of them done in time. Then come jobs that
 // have missed a target and can meet another, and finally, by age, jobs that cannot meet
 // any. A job that is about to miss the last target for its start or its end goes before
 // all these, as long as all waiting tasks can be in time; otherwise this would only
 // make all of them late.
-func (s *State) due(job *model.JobState, now model.Micros) model.Micros {
+func (s *State) orderKey(job *model.JobState, now model.Micros) model.Micros {
 	if job.Kind == model.Gang && job.HasRun {
 		// It lost its machines after it had started: it need not wait in the queue again.
-		return job.ReadySince - placement.Late
+		return job.ReadySince - placement.LateDueAt
 	}
-	run := s.Expected(job.Job)
+	run := s.ExpectedRunTime(job.Job)
 	age := now - job.ReadySince
 	end := age + run*9/10
-	if s.hasLastChance(job, age, end) {
-		return job.ReadySince - placement.Late
+	if s.isAboutToMissLastObjective(job, age, end) {
+		return job.ReadySince - placement.LateDueAt
 	}
-	met, missed := s.countTargets(job, age, end)
+	met, missed := s.countObjectives(job, age, end)
 	left := run * model.Micros(len(job.Waiting))
 	switch {
 	case met == 0:
-		return placement.Late + job.ReadySince
-	case missed == 0 || len(s.Params.Waits[job.Class]) == 0 && job.Deadline == 0:
+		return placement.LateDueAt + job.ReadySince
+	case missed == 0 || len(s.Params.StartObjectives[job.Class]) == 0 && job.Deadline == 0:
 		return left
 	}
-	return dueAfterMiss + left
+	return missedObjectiveOffset + left
 }
 
-// hasLastChance tells whether a job of that age and expected end is about to miss the
+// isAboutToMissLastObjective tells whether a job of that age and expected end is about to miss the
 // last target of its class for the start or the end, while all waiting tasks of the class
 // can start in time.
-func (s *State) hasLastChance(job *model.JobState, age, end model.Micros) bool {
-	waits := s.Params.Waits[job.Class]
+func (s *State) isAboutToMissLastObjective(job *model.JobState, age, end model.Micros) bool {
+	waits := s.Params.StartObjectives[job.Class]
 	if len(waits) == 0 {
 		return false
 	}
@@ -92,7 +92,7 @@
 	if age >= near && age < last && s.classLoads[job.Class].timeToStart() < last*3/4 {
 		return true
 	}
-	finish := s.Params.Finish[job.Class]
+	finish := s.Params.FinishObjectives[job.Class]
 	if len(finish) == 0 {
 		return false
 	}
@@ -100,9 +100,9 @@
 	return end >= last*3/4 && end <= last && s.classLoads[job.Class].timeToStart() < last/4
 }
 
-// countTargets counts the targets that a job of that age and expected end can still
+// countObjectives counts the targets that a job of that age and expected end can still
 // meet, and those that it misses.
-func (s *State) countTargets(job *model.JobState, age, end model.Micros) (met, missed int) {
+func (s *State) countObjectives(job *model.JobState, age, end model.Micros) (met, missed int) {
 	count := func(meets bool) {
 		if meets {
 			met++
@@ -110,16 +110,16 @@
 			missed++
 		}
 	}
-	for _, wait := range s.Params.Waits[job.Class] {
+	for _, wait := range s.Params.StartObjectives[job.Class] {
 		count(age < wait)
 	}
 	if job.Deadline > 0 {
 		count(end <= job.Deadline)
-		for _, times := range s.Params.Deadlines[job.Class] {
+		for _, times := range s.Params.DeadlineObjectives[job.Class] {
 			count(end <= model.Micros(float64(job.Deadline)*times))
 		}
 	}
-	for _, finish := range s.Params.Finish[job.Class] {
+	for _, finish := range s.Params.FinishObjectives[job.Class] {
 		count(end <= finish)
 	}
 	return met, missed
@@ -132,12 +132,12 @@
 	if job.Deadline <= 0 {
 		return false
 	}
-	run := s.Expected(job.Job)
+	run := s.ExpectedRunTime(job.Job)
 	age := now - job.ReadySince
-	for _, times := range append([]float64{1}, s.Params.Deadlines[job.Class]...) {
+	for _, times := range append([]float64{1}, s.Params.DeadlineObjectives[job.Class]...) {
 		aim := model.Micros(float64(job.Deadline) * times)
 		if age+run*9/10 <= aim {
-			return age+run*3/2+2*s.Params.Report > aim
+			return age+run*3/2+2*s.Params.HeartbeatInterval > aim
 		}
 	}
 	return false
--- a/internal/core/shard/jobs.go
+++ b/internal/core/shard/jobs.go
@@ -3,7 +3,7 @@
 import "woadweir/internal/core/model"
 
 // AddJob adds a job that was accepted age ago, with the tasks that are done already.
-func (s *State) AddJob(spec *model.Job, done model.Set, ended string, now, age model.Micros) *model.JobState {
+func (s *State) AddJob(spec *model.Job, done model.TaskSet, ended string, now, age model.Micros) *model.JobState {
 	if job := s.Jobs[spec.ID]; job != nil {
 		return job
 	}
@@ -11,7 +11,7 @@
 		Job:          spec,
 		Done:         done,
 		DoneVersions: make([]model.Versions, 1),
-		Ended:        ended,
+		FinalStatus:  ended,
 		Bindings:     map[int][]*model.Binding{},
 		ReadySince:   now - age,
 		IdleSince:    now - age,
@@ -33,17 +33,17 @@
 	}
 	s.Jobs[spec.ID] = job
 	s.NeedsPlacement = true
-	s.Log(Event{Kind: EventJob, Task: spec.ID, Why: spec.Class + " of " + spec.Team})
+	s.Log(Event{Kind: EventJob, Task: spec.ID, Reason: spec.Class + " of " + spec.Team})
 	return job
 }
 
 // EndJob marks a job as ended, once its end is durable, and stops its tasks.
 func (s *State) EndJob(jobID, status string, now model.Micros) {
 	job := s.Jobs[jobID]
-	if job == nil || job.Ended != "" {
+	if job == nil || job.FinalStatus != "" {
 		return
 	}
-	job.Ended, job.EndPending, job.Waiting = status, false, nil
+	job.FinalStatus, job.EndPending, job.Waiting = status, false, nil
 	for _, bindings := range job.Bindings {
 		for _, b := range bindings {
 			s.stop(b, 0, "job "+status, now)
@@ -55,14 +55,14 @@
 // removeIfEnded removes an ended job once none of its tasks is bound. Its end stays in
 // the state service for ever.
 func (s *State) removeIfEnded(job *model.JobState) {
-	if job.Ended != "" && len(job.Bindings) == 0 {
+	if job.FinalStatus != "" && len(job.Bindings) == 0 {
 		delete(s.Jobs, job.ID)
 	}
 }
 
 // requestEnd queues the end of a job whose tasks are done, to be written.
 func (s *State) requestEnd(job *model.JobState) {
-	if job.Ended == "" && !job.EndPending {
+	if job.FinalStatus == "" && !job.EndPending {
 		job.EndPending = true
 		job.Waiting = nil
 		if job.HomeCell == "" { // the end of a guest job is written by its home cell
--- a/internal/core/shard/world.go
+++ b/internal/core/shard/placement.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// missedHeartbeats is after how many heartbeat intervals without one a machine gets
+	// maxMissedHeartbeats is after how many heartbeat intervals without one a machine gets
 	// no new work.
-	missedHeartbeats = 3
+	maxMissedHeartbeats = 3
 	// stopTimePercent is about how long it takes until a stopped task's resources are
 	// free, in percent of the heartbeat interval.
 	stopTimePercent = 120
@@ -32,21 +32,21 @@
 	deadlineMaxWaitDivisor = 4
 )
 
-// World returns what a placement round works on.
-func (s *State) World(now model.Micros) *placement.World {
+// PlacementInput returns what a placement round works on.
+func (s *State) PlacementInput(now model.Micros) *placement.Round {
 	adapter := placementAdapter{state: s, now: now}
-	w := &placement.World{
-		Now:              now,
-		HeartbeatTimeout: missedHeartbeats * s.Params.Report,
-		StopTime:         s.Params.Report * stopTimePercent / 100,
-		Guarantee:        s.Params.Guarantee,
-		Machines:         make([]*model.Machine, 0, len(s.Machines)),
-		MachineTypes:     s.MachineTypes,
-		Jobs:             s.placeableJobs(now),
-		Teams:            s.Params.Teams,
-		Used:             s.Used,
-		Estimates:        adapter,
-		Executor:         adapter,
+	w := &placement.Round{
+		Now:                now,
+		HeartbeatTimeout:   maxMissedHeartbeats * s.Params.HeartbeatInterval,
+		StopTime:           s.Params.HeartbeatInterval * stopTimePercent / 100,
+		GuaranteeObjective: s.Params.GuaranteeObjective,
+		Machines:           make([]*model.Machine, 0, len(s.Machines)),
+		MachineTypes:       s.MachineTypes,
+		Jobs:               s.placeableJobs(now),
+		Teams:              s.Params.Teams,
+		Used:               s.Used,
+		Estimates:          adapter,
+		Executor:           adapter,
 	}
 	for _, machine := range s.Machines {
 		w.Machines = append(w.Machines, machine)
@@ -62,10 +62,10 @@
 func (s *State) placeableJobs(now model.Micros) []*model.JobState {
 	jobs := make([]*model.JobState, 0, len(s.Jobs))
 	for _, job := range s.Jobs {
-		if job.Ended != "" || job.Suspended {
+		if job.FinalStatus != "" || job.Suspended {
 			continue
 		}
-		job.LossMakesLate = job.AllowsSpot && s.lossMakesLate(job, now)
+		job.LateIfTaskLost = job.AllowsSpot && s.lossMakesLate(job, now)
 		jobs = append(jobs, job)
 	}
 	return jobs
@@ -91,7 +91,7 @@
 		if team := s.Params.Teams[job.Team]; team != nil {
 			request := job.Request
 			request.Mem = 0 // memory is not limited
-			allowed := request.Count(team.Limit.Minus(s.Used[job.Team]), len(job.Waiting))
+			allowed := request.FitCount(team.Limit.Minus(s.Used[job.Team]), len(job.Waiting))
 			demand.waiting[job.Team] += job.Request.GPUs * model.Milli(allowed)
 		}
 	}
@@ -123,7 +123,7 @@
 
 // maxWait is how long a job waits until others are preempted for it.
 func (s *State) maxWait(job *model.JobState) model.Micros {
-	if waits := s.Params.Waits[job.Class]; len(waits) > 0 {
+	if waits := s.Params.StartObjectives[job.Class]; len(waits) > 0 {
 		first := waits[0]
 		if first < promptStart {
 			return first / promptMaxWaitDivisor
@@ -132,7 +132,7 @@
 	}
 	if job.Deadline > 0 && job.Priority >= model.HighPriority {
 		// The deadline is its only aim: it can wait for a part of what its run leaves.
-		left := max(0, job.Deadline-s.Expected(job.Job))
+		left := max(0, job.Deadline-s.ExpectedRunTime(job.Job))
 		return min(defaultMaxWait, left/deadlineMaxWaitDivisor)
 	}
 	return defaultMaxWait
@@ -142,9 +142,9 @@
 // stopped, which takes longer.
 func (s *State) Place(now model.Micros, preempting bool) {
 	s.NeedsPlacement = false
-	w := s.World(now)
+	w := s.PlacementInput(now)
 	w.Reservations, w.Preempting = s.reservations, preempting
-	w.Round()
+	w.Run()
 }
 
 // placementAdapter gives a placement round the state's estimates, and carries out its
@@ -160,7 +160,9 @@
 )
 
 // DueAt implements placement.Estimator.
-func (a placementAdapter) DueAt(job *model.JobState) model.Micros { return a.state.due(job, a.now) }
+func (a placementAdapter) DueAt(job *model.JobState) model.Micros {
+	return a.state.orderKey(job, a.now)
+}
 
 // MaxWait implements placement.Estimator.
 func (a placementAdapter) MaxWait(job *model.JobState) model.Micros { return a.state.maxWait(job) }
--- a/internal/core/shard/placement_test.go
+++ b/internal/core/shard/placement_test.go
@@ -10,9 +10,9 @@
 
 func TestTeamLimitCountsAllBound(t *testing.T) {
 	s := newTestState(5)
-	job := s.AddJob(newJob("j-1", 20, model.Array), model.Set{}, "", 0, 0)
+	job := s.AddJob(newJob("j-1", 20, model.Array), model.TaskSet{}, "", 0, 0)
 	for _, machineID := range []string{"h1", "h2", "h3", "h4"} {
-		newWorker(s, machineID, "box", "a").says(sec, 5)
+		newWorker(s, machineID, "box", "a").sendHeartbeat(sec, 5)
 	}
 	if n := job.BindingCount(); n != 8 {
 		t.Fatalf("%d tasks bound, the team's limit is 8", n)
@@ -23,14 +23,14 @@
 	s := newTestState(5)
 	apart := newJob("j-1", 5, model.Array)
 	apart.Spread = true
-	job := s.AddJob(apart, model.Set{}, "", 0, 0)
-	newWorker(s, "h1", "gpu", "a").says(sec, 5)
+	job := s.AddJob(apart, model.TaskSet{}, "", 0, 0)
+	newWorker(s, "h1", "gpu", "a").sendHeartbeat(sec, 5)
 	if n := job.BindingCount(); n != 3 {
 		t.Fatalf("%d of 5 in one yard, want 3", n)
 	}
 	same := newJob("j-2", 3, model.Array)
 	same.SameZone, same.Team = true, "blue"
-	js2 := s.AddJob(same, model.Set{}, "", 0, 0)
+	js2 := s.AddJob(same, model.TaskSet{}, "", 0, 0)
 	s.Restore(js2, 0, 3, s.AddMachine("h9", "box", "b", false, 0)) // an old attempt that is not surely gone
 	s.Place(2*sec, true)
 	if n := js2.BindingCount(); n != 1 {
@@ -41,24 +41,24 @@
 // A queue of urgent work stops work of lower rank, and never work of its own.
 func TestPreemption(t *testing.T) {
 	s := newTestState(5)
-	s.Params.Waits = map[string][]model.Micros{"hot": {8 * sec}}
+	s.Params.StartObjectives = map[string][]model.Micros{"hot": {8 * sec}}
 	low := newJob("j-1", 4, model.Array)
 	low.Priority, low.Team = model.LowPriority, "blue"
-	s.AddJob(low, model.Set{}, "", 0, 0)
+	s.AddJob(low, model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	w.starts()
+	w.startBoundTasks()
 	hot := newJob("j-2", 1, model.Gang)
 	hot.Priority, hot.Class = model.HighPriority, "hot"
 	hot.Request.Cores = 2000
-	s.AddJob(hot, model.Set{}, "", 2*sec, 0)
-	tasks := running(s, "h1")
-	_, commands := w.says(4*sec, 5, tasks...)
+	s.AddJob(hot, model.TaskSet{}, "", 2*sec, 0)
+	tasks := runningTasks(s, "h1")
+	_, commands := w.sendHeartbeat(4*sec, 5, tasks...)
 	if n := countCommands(commands, StopTask); n != 2 {
 		t.Fatalf("%d stopped to make room for two cores, commands %v", n, commands)
 	}
 	same := newJob("j-3", 1, model.Array)
 	same.Priority, same.Team = model.LowPriority, "blue"
-	s.AddJob(same, model.Set{}, "", 4*sec, 0)
+	s.AddJob(same, model.TaskSet{}, "", 4*sec, 0)
 	s.Place(200*sec, true)
 	stops := 0
 	for _, b := range s.Machines["h1"].Bindings {
@@ -78,13 +78,13 @@
 		s := newTestState(5)
 		low := newJob("j-1", 4, model.Array)
 		low.Priority, low.Team = model.LowPriority, "blue"
-		s.AddJob(low, model.Set{}, "", 0, 0)
+		s.AddJob(low, model.TaskSet{}, "", 0, 0)
 		w := newWorker(s, "h1", "box", "a")
-		w.starts()
+		w.startBoundTasks()
 		due := newJob("j-2", 1, model.Array)
 		due.Priority, due.Class, due.EstimatedRun, due.Deadline = model.HighPriority, "due", 10*sec, 50*sec
-		s.AddJob(due, model.Set{}, "", 0, 0)
-		_, commands := w.says(at, 5, running(s, "h1")...)
+		s.AddJob(due, model.TaskSet{}, "", 0, 0)
+		_, commands := w.sendHeartbeat(at, 5, runningTasks(s, "h1")...)
 		if n := countCommands(commands, StopTask); n != map[model.Micros]int{4 * sec: 0, 12 * sec: 1}[at] {
 			t.Errorf("%d stopped at %.0f s for a job that can spare 40 s", n, at.Seconds())
 		}
@@ -94,16 +94,16 @@
 // A machine on which tasks run far longer than expected gets work last.
 func TestSlowMachineIsNoticed(t *testing.T) {
 	s := newTestState(5)
-	job := s.AddJob(newJob("j-1", 2, model.Array), model.Set{}, "", 0, 0)
+	job := s.AddJob(newJob("j-1", 2, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	w.says(sec, 5)
+	w.sendHeartbeat(sec, 5)
 	commitAll(s, sec)
 	running := func(now model.Micros) {
 		var tasks []TaskStatus
 		for n := range 2 {
 			tasks = append(tasks, TaskStatus{ID: job.Bindings[n][0].ID, Attempt: job.Bindings[n][0].Attempt, Status: model.Running})
 		}
-		w.says(now, 5, tasks...)
+		w.sendHeartbeat(now, 5, tasks...)
 	}
 	running(2 * sec)
 	running(30 * sec)
@@ -111,8 +111,8 @@
 		t.Fatal("slow after less than three times the expected run")
 	}
 	running(40 * sec)
-	newWorker(s, "h2", "box", "a").says(40*sec, 5)
-	s.AddJob(newJob("j-2", 1, model.Array), model.Set{}, "", 40*sec, 0)
+	newWorker(s, "h2", "box", "a").sendHeartbeat(40*sec, 5)
+	s.AddJob(newJob("j-2", 1, model.Array), model.TaskSet{}, "", 40*sec, 0)
 	s.Place(40*sec, true)
 	if len(s.Machines["h2"].Bindings) != 1 {
 		t.Fatal("new work goes to the slow machine")
@@ -124,17 +124,17 @@
 func TestLongWaitingJobBegins(t *testing.T) {
 	for _, wait := range []model.Micros{60 * sec, 200 * sec} {
 		s := newTestState(5)
-		s.AddJob(newJob("j-1", 90, model.Array), model.Set{}, "", 0, 0)
+		s.AddJob(newJob("j-1", 90, model.Array), model.TaskSet{}, "", 0, 0)
 		w := newWorker(s, "h1", "box", "a")
-		w.starts()
+		w.startBoundTasks()
 		low := newJob("j-2", 3, model.Array)
 		low.Priority = model.LowPriority
-		job := s.AddJob(low, model.Set{}, "", 2*sec, 0)
-		tasks := running(s, "h1")
-		w.says(wait, 5, tasks...)
+		job := s.AddJob(low, model.TaskSet{}, "", 2*sec, 0)
+		tasks := runningTasks(s, "h1")
+		w.sendHeartbeat(wait, 5, tasks...)
 		tasks[0].Status, tasks[0].Cause = model.Exited, CauseDone
 		tasks[1].Status, tasks[1].Cause = model.Exited, CauseDone
-		w.says(wait+sec, 5, tasks...)
+		w.sendHeartbeat(wait+sec, 5, tasks...)
 		if n := job.BindingCount(); (n == 1) != (wait > 150*sec) || n > 1 || len(s.Machines["h1"].Bindings) != 4 {
 			t.Errorf("after %v s: %d tasks of the waiting job, %d bound in all", wait.Seconds(), n, len(s.Machines["h1"].Bindings))
 		}
@@ -146,9 +146,9 @@
 // age alone makes every job late once more is asked than there is room for.
 func TestOrderWithinAClass(t *testing.T) {
 	s := newTestState(5)
-	s.Params.Waits = map[string][]model.Micros{"c": {30 * sec, 150 * sec}}
+	s.Params.StartObjectives = map[string][]model.Micros{"c": {30 * sec, 150 * sec}}
 	now := 200 * sec
-	run := s.AddJob(newJob("j-run", 20, model.Array), model.Set{}, "", now, 0)
+	run := s.AddJob(newJob("j-run", 20, model.Array), model.TaskSet{}, "", now, 0)
 	machine := s.AddMachine("h1", "box", "a", false, 0)
 	for n := range 20 { // two end in a second
 		s.addBinding(run, n, machine, uint64(n+1), now)
@@ -156,11 +156,11 @@
 	add := func(machineID string, tasks int, age model.Micros) *model.JobState {
 		spec := newJob(machineID, tasks, model.Gang)
 		spec.AcceptedRevision = uint64(now - age)
-		return s.AddJob(spec, model.Set{}, "", now, age)
+		return s.AddJob(spec, model.TaskSet{}, "", now, age)
 	}
 	want := []*model.JobState{add("j-small", 2, 5*sec), add("j-large", 12, 20*sec), add("j-missed", 2, 40*sec), add("j-hopeless", 2, 160*sec)}
 	order := func() []*model.JobState {
-		w := s.World(now)
+		w := s.PlacementInput(now)
 		w.Sort()
 		return slices.DeleteFunc(w.Jobs, func(job *model.JobState) bool { return len(job.Waiting) == 0 })
 	}
@@ -188,7 +188,7 @@
 func TestJobsBeginInTimeByTheRateOfTheirClass(t *testing.T) {
 	s := newTestState(5)
 	now := 200 * sec
-	run := s.AddJob(newJob("j-run", 5, model.Array), model.Set{}, "", now, 190*sec)
+	run := s.AddJob(newJob("j-run", 5, model.Array), model.TaskSet{}, "", now, 190*sec)
 	machine := s.AddMachine("h1", "box", "a", false, 0)
 	for n := range 5 { // of ten seconds each: one begins every two seconds
 		s.addBinding(run, n, machine, uint64(n+1), now)
@@ -196,14 +196,14 @@
 	run.HasRun = true
 	var old []*model.JobState
 	for i := range 20 {
-		old = append(old, s.AddJob(newJob("j-"+string(rune('a'+i)), 3, model.Array), model.Set{}, "", now, 100*sec))
+		old = append(old, s.AddJob(newJob("j-"+string(rune('a'+i)), 3, model.Array), model.TaskSet{}, "", now, 100*sec))
 	}
-	done := model.Set{}
+	done := model.TaskSet{}
 	done.Add(0)
 	begun := s.AddJob(newJob("j-begun", 3, model.Array), done, "", now, 190*sec)
 	begun.IdleSince = 150 * sec
 	starved := func() (n int) {
-		s.World(now).Sort()
+		s.PlacementInput(now).Sort()
 		for _, job := range old {
 			if job.Starved {
 				n++
@@ -215,7 +215,7 @@
 		t.Errorf("%d of 20 go before all others though they would begin in 140 s, one that has begun: %v", n, begun.Starved)
 	}
 	for i := range 40 {
-		job := s.AddJob(newJob("j-more"+string(rune('a'+i)), 3, model.Array), model.Set{}, "", now, 100*sec)
+		job := s.AddJob(newJob("j-more"+string(rune('a'+i)), 3, model.Array), model.TaskSet{}, "", now, 100*sec)
 		job.AcceptedRevision = 1
 		old = append(old, job)
 	}
@@ -233,11 +233,11 @@
 // and in a long overload the oldest would wait for ever.
 func TestOldestOfTheStarvedFirst(t *testing.T) {
 	s := newTestState(5)
-	s.Params.Waits = map[string][]model.Micros{"c": {30 * sec, 150 * sec}}
+	s.Params.StartObjectives = map[string][]model.Micros{"c": {30 * sec, 150 * sec}}
 	now := 300 * sec
-	s.AddJob(newJob("j-young", 2, model.Gang), model.Set{}, "", now, 90*sec)
-	old := s.AddJob(newJob("j-old", 12, model.Gang), model.Set{}, "", now, 200*sec)
-	w := s.World(now)
+	s.AddJob(newJob("j-young", 2, model.Gang), model.TaskSet{}, "", now, 90*sec)
+	old := s.AddJob(newJob("j-old", 12, model.Gang), model.TaskSet{}, "", now, 200*sec)
+	w := s.PlacementInput(now)
 	w.Sort()
 	if !w.Jobs[1].Starved || w.Jobs[0] != old {
 		t.Errorf("%s is served first; starved: %v, %v", w.Jobs[0].ID, w.Jobs[0].Starved, w.Jobs[1].Starved)
@@ -248,18 +248,18 @@
 // machine would else spend as long on images as on work.
 func TestTasksWhoseImageIsThereGoFirst(t *testing.T) {
 	s := newTestState(5)
-	s.AddJob(newJob("j-1", 4, model.Array), model.Set{}, "", 0, 0)
+	s.AddJob(newJob("j-1", 4, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	w.starts()
-	tasks := running(s, "h1")
-	w.says(3*sec, 5, tasks...)
+	w.startBoundTasks()
+	tasks := runningTasks(s, "h1")
+	w.sendHeartbeat(3*sec, 5, tasks...)
 	other, same := newJob("j-2", 1, model.Array), newJob("j-3", 1, model.Array)
 	other.Image, other.ImageGB = "x", 20
 	same.AcceptedRevision = 1
-	s.AddJob(other, model.Set{}, "", 3*sec, 0)
-	job := s.AddJob(same, model.Set{}, "", 3*sec, 0)
+	s.AddJob(other, model.TaskSet{}, "", 3*sec, 0)
+	job := s.AddJob(same, model.TaskSet{}, "", 3*sec, 0)
 	tasks[0].Status, tasks[0].Cause = model.Exited, CauseDone
-	w.says(4*sec, 5, tasks...)
+	w.sendHeartbeat(4*sec, 5, tasks...)
 	if len(job.Bindings) != 1 {
 		t.Fatal("the room goes to a task that has to wait for its image")
 	}
@@ -270,22 +270,22 @@
 func TestWhatIsWorthStopping(t *testing.T) {
 	for _, rank := range []model.Priority{model.NormalPriority, model.HighPriority} {
 		s := newTestState(5)
-		s.Params.Waits = map[string][]model.Micros{"hot": {8 * sec}}
+		s.Params.StartObjectives = map[string][]model.Micros{"hot": {8 * sec}}
 		gpu := newJob("j-1", 2, model.Array)
 		gpu.Team, gpu.Priority, gpu.Request.GPUs, gpu.Request.Cores = "blue", model.LowPriority, 1000, 4000
-		s.AddJob(gpu, model.Set{}, "", 0, 0)
+		s.AddJob(gpu, model.TaskSet{}, "", 0, 0)
 		w := newWorker(s, "h1", "gpu", "a")
-		w.starts()
+		w.startBoundTasks()
 		hot := newJob("j-2", 1, model.Array)
 		hot.Priority, hot.Class = rank, "hot"
-		s.AddJob(hot, model.Set{}, "", 2*sec, 0)
-		tasks := running(s, "h1")
-		_, commands := w.says(20*sec, 5, tasks...)
+		s.AddJob(hot, model.TaskSet{}, "", 2*sec, 0)
+		tasks := runningTasks(s, "h1")
+		_, commands := w.sendHeartbeat(20*sec, 5, tasks...)
 		if n := countCommands(commands, StopTask); n != int(rank-model.NormalPriority) {
 			t.Errorf("rank %v: %d GPU tasks stopped for one without", rank, n)
 		}
 	}
-	w := &placement.World{Now: 20 * sec}
+	w := &placement.Round{Now: 20 * sec}
 	fetching := &model.Binding{Job: newJob("j-1", 1, model.Array), BoundAt: 0, ExpectedFetch: 60 * sec}
 	running := &model.Binding{Job: newJob("j-2", 1, model.Array), BoundAt: 0, RunningSince: 15 * sec}
 	if w.PreemptionLoss(fetching) <= w.PreemptionLoss(running) || w.PreemptionLoss(fetching) != 4*w.PreemptionLoss(running) {
@@ -297,10 +297,10 @@
 // better off on machines that are not taken away.
 func TestLossMakesLate(t *testing.T) {
 	s := newTestState(5)
-	s.Params.Deadlines = map[string][]float64{"c": {1, 2}}
+	s.Params.DeadlineObjectives = map[string][]float64{"c": {1, 2}}
 	spec := newJob("j-1", 1, model.Array) // thought to run for 10 s
 	spec.Deadline = 30 * sec
-	job := s.AddJob(spec, model.Set{}, "", 0, 0)
+	job := s.AddJob(spec, model.TaskSet{}, "", 0, 0)
 	for age, want := range map[model.Micros]bool{
 		0:        false, // 15 s, and two reports, fit into 30 s
 		15 * sec: true,  // 25 s do, but 30 s and two reports don't
--- a/internal/core/shard/reachability.go
+++ b/internal/core/shard/reachability.go
@@ -22,7 +22,7 @@
 		machine.UnansweredSince = now
 	}
 	if machine.ReceivesAnswers && !before {
-		machine.HasNews, s.NeedsPlacement = true, true
+		machine.HasNewCapacity, s.NeedsPlacement = true, true
 	}
 }
 
@@ -32,7 +32,7 @@
 	if heartbeat.Token != s.Token || heartbeat.Incarnation != machine.Incarnation {
 		return false
 	}
-	if now-machine.LastHeartbeat > s.Params.Report*3/2+model.Second {
+	if now-machine.LastHeartbeat > s.Params.HeartbeatInterval*3/2+model.Second {
 		return false
 	}
 	for _, b := range machine.Bindings {
@@ -57,5 +57,5 @@
 	if m.UnansweredSince == 0 || now-m.LastHeartbeat >= s.LeaseExpiry() {
 		return false
 	}
-	return now-m.UnansweredSince > s.LeaseExpiry()+2*s.Params.Report
+	return now-m.UnansweredSince > s.LeaseExpiry()+2*s.Params.HeartbeatInterval
 }
--- a/internal/core/shard/records.go
+++ b/internal/core/shard/records.go
@@ -26,13 +26,13 @@
 	Dense bool `json:"-"`
 }
 
-// PartMark separates a job and the number of a part of its finished tasks. Finished
+// PartSeparator separates a job and the number of a part of its finished tasks. Finished
 // tasks are stored in parts if the whole would be too large for a bundle.
-const PartMark = "#"
+const PartSeparator = "#"
 
 // PartEntry returns the name of the entry of a part of a job's finished tasks.
 func PartEntry(jobID string, part int) string {
-	return DoneEntry + jobID + PartMark + strconv.Itoa(part)
+	return DoneEntry + jobID + PartSeparator + strconv.Itoa(part)
 }
 
 // Has tells whether the bundle has an entry of this name.
@@ -64,9 +64,9 @@
 	Spec  *model.Submission `json:"spec,omitempty"`
 	End   string            `json:"end,omitempty"`
 	Tasks int               `json:"pieces,omitempty"`
-	// AtMs is the time of day of the end, from which the waiting times of jobs that
+	// EndedMs is the time of day of the end, from which the waiting times of jobs that
 	// depend on this one count.
-	AtMs int64 `json:"atMs,omitempty"`
+	EndedMs int64 `json:"atMs,omitempty"`
 }
 
 // The prefixes of the names of the entries of bundles.
--- a/internal/core/shard/runtimes.go
+++ b/internal/core/shard/runtimes.go
@@ -6,8 +6,8 @@
 
 // runTimeStats are the statistics of the run times of a class.
 type runTimeStats struct {
-	n    int
-	mean float64 // moving average in microseconds
+	count int
+	mean  float64 // moving average in microseconds
 }
 
 // recordRunTime adds the run time of a completed task to the statistics of its class.
@@ -17,16 +17,16 @@
 		stats = &runTimeStats{}
 		s.runTimes[class] = stats
 	}
-	stats.n++
-	weight := max(1/float64(stats.n), 0.05)
+	stats.count++
+	weight := max(1/float64(stats.count), 0.05)
 	stats.mean += (float64(run) - stats.mean) * weight
 }
 
-// Expected is the expected run time of a task of the job: the mean of the owner's
+// ExpectedRunTime is the expected run time of a task of the job: the mean of the owner's
 // estimate and the average of the class.
-func (s *State) Expected(job *model.Job) model.Micros {
+func (s *State) ExpectedRunTime(job *model.Job) model.Micros {
 	stats := s.runTimes[job.Class]
-	if stats == nil || stats.n < 3 {
+	if stats == nil || stats.count < 3 {
 		return job.EstimatedRun
 	}
 	if job.EstimatedRun == 0 {
@@ -37,7 +37,7 @@
 
 // Remaining is the expected time until a bound task is done.
 func (s *State) Remaining(b *model.Binding, now model.Micros) model.Micros {
-	expected := s.Expected(b.Job)
+	expected := s.ExpectedRunTime(b.Job)
 	if b.RunningSince == 0 {
 		return expected
 	}
@@ -50,10 +50,10 @@
 // single one may be due to a wrong estimate.
 const (
 	slowFactor   = 3
-	slowTasks    = 2
+	minSlowTasks = 2
 	slowDuration = 60 * model.Second
-	// slowMinimum is the least time that a task is expected to run for here.
-	slowMinimum = 5 * model.Second
+	// minExpectedRunTime is the least time that a task is expected to run for here.
+	minExpectedRunTime = 5 * model.Second
 )
 
 // detectSlowMachine marks a slow machine. Its tasks are left to finish, but for a while
@@ -61,15 +61,15 @@
 func (s *State) detectSlowMachine(machine *model.Machine, now model.Micros) {
 	slow := 0
 	for _, b := range machine.Bindings {
-		expected := s.Expected(b.Job)
+		expected := s.ExpectedRunTime(b.Job)
 		if b.RunningSince == 0 || expected <= 0 {
 			continue
 		}
-		if now-b.RunningSince > slowFactor*max(expected, slowMinimum) {
+		if now-b.RunningSince > slowFactor*max(expected, minExpectedRunTime) {
 			slow++
 		}
 	}
-	if slow < slowTasks {
+	if slow < minSlowTasks {
 		return
 	}
 	if now >= machine.SlowUntil {
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -11,24 +11,24 @@
 
 // Params are the settings of a shard.
 type Params struct {
-	Teams    map[string]*model.Team
-	Report   model.Micros // interval of heartbeats
-	Lease    model.Micros // workers kill their tasks if they get no response for so long
-	GangWait model.Micros // time for which a worker keeps a gang's task waiting for the others
-	MaxValue int          // bytes of a bundle at most, 0 for no limit
-	Dense    bool         // bundles are written in the dense encoding
-	// Waits has, by class, the times within which its tasks should start, ascending.
-	Waits map[string][]model.Micros
-	// Finish has, by class, the times within which its jobs should be done, ascending.
-	Finish map[string][]model.Micros
-	// Deadlines has, by class, the multiples of their deadline within which its jobs
+	Teams             map[string]*model.Team
+	HeartbeatInterval model.Micros // interval of heartbeats
+	WorkerLease       model.Micros // workers kill their tasks if they get no response for so long
+	GangWait          model.Micros // time for which a worker keeps a gang's task waiting for the others
+	MaxValue          int          // bytes of a bundle at most, 0 for no limit
+	DenseBundles      bool         // bundles are written in the dense encoding
+	// StartObjectives has, by class, the times within which its tasks should start, ascending.
+	StartObjectives map[string][]model.Micros
+	// FinishObjectives has, by class, the times within which its jobs should be done, ascending.
+	FinishObjectives map[string][]model.Micros
+	// DeadlineObjectives has, by class, the multiples of their deadline within which its jobs
 	// should be done, ascending.
-	Deadlines map[string][]float64
-	// Guarantee is the time within which jobs within the guarantee of their team should
+	DeadlineObjectives map[string][]float64
+	// GuaranteeObjective is the time within which jobs within the guarantee of their team should
 	// start, 0 if that is not measured for each job.
-	Guarantee model.Micros
-	// Margin is added where the expiry of another process's lease is waited for.
-	Margin model.Micros
+	GuaranteeObjective model.Micros
+	// LeaseMargin is added where the expiry of another process's lease is waited for.
+	LeaseMargin model.Micros
 }
 
 // Event is a decision or an observation that is logged.
@@ -37,7 +37,7 @@
 	Machine string
 	Task    string // a task, or a job
 	Attempt uint64
-	Why     string
+	Reason  string
 }
 
 // EventKind is the kind of an event, as it is logged.
@@ -82,7 +82,7 @@
 	queue               []string        // entries to be written
 	queued              map[string]bool // the same, as a set
 	pendingEnds         []string        // jobs whose end is to be written
-	unanswered          []Write         // bundles whose last write may yet be carried out late
+	unansweredWrites    []Write         // bundles whose last write may yet be carried out late
 	slots               []*bundleSlot
 	latestSlot          map[string]int // entry -> the slot with its latest durable version
 	copies              map[string]int // entry -> the number of slots with some version of it
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -10,7 +10,7 @@
 			"red":  {Name: "red", Guaranteed: model.Resources{Cores: 8000}, Limit: model.Resources{Cores: 8000}},
 			"blue": {Name: "blue", Limit: model.Resources{Cores: 100_000, GPUs: 8000}},
 		},
-		Report: 5 * sec / 2, Lease: 18 * sec, GangWait: 30 * sec, Margin: sec, MaxValue: 28_000,
+		HeartbeatInterval: 5 * sec / 2, WorkerLease: 18 * sec, GangWait: 30 * sec, LeaseMargin: sec, MaxValue: 28_000,
 	}, token)
 	s.SetMachineTypes([]model.MachineType{
 		{Name: "box", Cores: 4, MemoryGB: 16, CacheGB: 50, FetchGBps: 1, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: []string{"a", "b"}},
@@ -34,9 +34,9 @@
 	return &worker{state: s, heartbeat: Heartbeat{Machine: machineID, MachineType: machineType, Zone: zone, Incarnation: 1}}
 }
 
-// says has the worker report these tasks, and returns the commands it gets.
+// sendHeartbeat has the worker report these tasks, and returns the commands it gets.
 // One that has not reported for a while has first to show that it hears.
-func (w *worker) says(now model.Micros, token uint64, tasks ...TaskStatus) (Verdict, []Command) {
+func (w *worker) sendHeartbeat(now model.Micros, token uint64, tasks ...TaskStatus) (HeartbeatResult, []Command) {
 	if m := w.state.Machines[w.heartbeat.Machine]; token == w.state.Token && (m == nil || now-m.LastHeartbeat > 3*sec) {
 		w.sequence++
 		heartbeat := w.heartbeat
@@ -54,17 +54,17 @@
 	return v, w.state.Commands(&heartbeat, now)
 }
 
-// starts has the worker report with nothing on it, and again once what was bound
+// startBoundTasks has the worker report with nothing on it, and again once what was bound
 // then is durable: it is told to start that.
-func (w *worker) starts() {
-	w.says(sec, w.state.Token)
+func (w *worker) startBoundTasks() {
+	w.sendHeartbeat(sec, w.state.Token)
 	commitAll(w.state, sec)
-	w.says(2*sec, w.state.Token)
+	w.sendHeartbeat(2*sec, w.state.Token)
 }
 
 // commitAll makes everything that is queued durable.
 func commitAll(s *State, now model.Micros) (keys []string) {
-	for s.Queued() > 0 {
+	for s.PendingWrites() > 0 {
 		writes := s.Writes(16, 48<<10)
 		for _, write := range writes {
 			for e := range write.versions {
@@ -85,16 +85,16 @@
 	return n
 }
 
-func bound(s *State, machineID string) *model.Binding {
+func firstBinding(s *State, machineID string) *model.Binding {
 	for _, b := range s.Machines[machineID].Bindings {
 		return b
 	}
 	return nil
 }
 
-// running are the tasks of a report that says that all that is bound to a machine
+// runningTasks are the tasks of a report that says that all that is bound to a machine
 // runs.
-func running(s *State, machineID string) (tasks []TaskStatus) {
+func runningTasks(s *State, machineID string) (tasks []TaskStatus) {
 	for _, b := range s.Machines[machineID].Bindings {
 		tasks = append(tasks, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running})
 	}
--- a/internal/core/shard/sizes.go
+++ b/internal/core/shard/sizes.go
@@ -14,7 +14,7 @@
 	bytesPerTask     = len(`[,],`)   // without the digits
 	bytesPerJob      = len(`"":[],`) // of the tasks on a machine, without its name
 	bytesPerFinished = len(`"":"",`) + 4
-	bytesBundle      = len(`{"hosts":{},"done":{}}`)
+	bytesPerBundle   = len(`{"hosts":{},"done":{}}`)
 )
 
 // digits returns the number of decimal digits of a number.
@@ -80,9 +80,9 @@
 	if s.Params.MaxValue == 0 {
 		return model.MaxTasks
 	}
-	left := s.Params.MaxValue - s.Params.MaxValue/keptShare - s.bundleBytes()
-	if s.Params.Dense {
-		left -= s.denseEntryBytes(MachineEntry+machine.ID, nil) + base64Bytes(denseBytesJob+denseNameBytes(job.ID, nil))
+	left := s.Params.MaxValue - s.Params.MaxValue/liveShareDivisor - s.bundleBytes()
+	if s.Params.DenseBundles {
+		left -= s.denseEntryBytes(MachineEntry+machine.ID, nil) + base64Bytes(denseBytesPerJob+denseNameBytes(job.ID, nil))
 		return max(0, left*3/4/s.denseTaskBytes(job.Tasks, (s.Token+1)<<attemptBits))
 	}
 	left -= s.machineBytes(machine) + bytesPerJob + len(job.ID)
@@ -102,13 +102,13 @@
 // partOf returns the job of an entry of finished tasks and the number of its part, -1
 // for the whole.
 func (s *State) partOf(entry string) (*model.JobState, int) {
-	jobID, suffix, parted := strings.Cut(strings.TrimPrefix(entry, DoneEntry), PartMark)
+	jobID, suffix, parted := strings.Cut(strings.TrimPrefix(entry, DoneEntry), PartSeparator)
 	if !parted {
 		return s.Jobs[jobID], -1
 	}
 	part, err := strconv.Atoi(suffix)
 	job := s.Jobs[jobID]
-	if err != nil || job == nil || part < 0 || part >= model.Parts(job.Tasks) {
+	if err != nil || job == nil || part < 0 || part >= model.PartCount(job.Tasks) {
 		return nil, 0
 	}
 	return job, part
@@ -116,10 +116,10 @@
 
 // bundleBytes returns what a bundle takes besides its entries.
 func (s *State) bundleBytes() int {
-	if s.Params.Dense {
-		return denseBytesBundle
+	if s.Params.DenseBundles {
+		return denseBytesPerBundle
 	}
-	return bytesBundle
+	return bytesPerBundle
 }
 
 // entryBytes returns the most that an entry takes in a bundle of its own.
@@ -128,7 +128,7 @@
 // entryBytesIn returns the most that an entry takes in a bundle that has the known
 // names in its tables.
 func (s *State) entryBytesIn(entry string, known map[string]bool) int {
-	if s.Params.Dense {
+	if s.Params.DenseBundles {
 		return s.denseEntryBytes(entry, known)
 	}
 	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
--- a/internal/core/shard/slots.go
+++ b/internal/core/shard/slots.go
@@ -13,10 +13,10 @@
 	liveBytes int            // of the entries whose latest version is in this slot
 }
 
-// LoadSlot notes the entries that are durable in a slot, in a bundle that was just
+// SetSlotEntries notes the entries that are durable in a slot, in a bundle that was just
 // written or one of an earlier owner. Bundles have to be loaded in the order in which
 // they were written.
-func (s *State) LoadSlot(slotIndex int, names []string) {
+func (s *State) SetSlotEntries(slotIndex int, names []string) {
 	for len(s.slots) <= slotIndex {
 		s.slots = append(s.slots, &bundleSlot{})
 	}
@@ -48,10 +48,10 @@
 	}
 }
 
-// mustKeep tells whether an entry has to be written again with its slot: the slot has
+// isLive tells whether an entry has to be written again with its slot: the slot has
 // its latest version, and that is still needed. The record that a machine is gone is
 // needed as long as another slot has an older version of the machine.
-func (s *State) mustKeep(entry string, slotIndex int) bool {
+func (s *State) isLive(entry string, slotIndex int) bool {
 	if s.latestSlot[entry] != slotIndex {
 		return false
 	}
@@ -59,22 +59,22 @@
 		return s.Machines[machineID] != nil || s.copies[entry] > 1
 	}
 	job, part := s.partOf(entry)
-	if job == nil || job.Ended != "" {
+	if job == nil || job.FinalStatus != "" {
 		return false
 	}
 	if part < 0 && len(job.DoneVersions) > 1 {
 		// An earlier owner with larger values has stored the whole. It is needed until all
 		// of it is stored in parts.
-		return slices.ContainsFunc(job.DoneVersions, func(v model.Versions) bool { return v.Stored == 0 && v.Now > 0 })
+		return slices.ContainsFunc(job.DoneVersions, func(v model.Versions) bool { return v.Stored == 0 && v.Current > 0 })
 	}
 	return true
 }
 
-// entriesToKeep returns the entries that have to be written again with a slot, and
+// liveEntries returns the entries that have to be written again with a slot, and
 // their size.
-func (s *State) entriesToKeep(slotIndex int) (entries []string, size int) {
+func (s *State) liveEntries(slotIndex int) (entries []string, size int) {
 	for entry := range s.slots[slotIndex].sizes {
-		if s.mustKeep(entry, slotIndex) {
+		if s.isLive(entry, slotIndex) {
 			entries = append(entries, entry)
 			size += s.entryBytes(entry)
 		}
@@ -82,9 +82,9 @@
 	return entries, size
 }
 
-// keptShare is the divisor of the size of a bundle that gives the most that entries
+// liveShareDivisor is the divisor of the size of a bundle that gives the most that entries
 // kept from its slot may take.
-const keptShare = 4
+const liveShareDivisor = 4
 
 // newBundle begins a bundle for an entry of the given size, in the slot with the least
 // to keep. A slot is added if all of them have much to keep.
@@ -92,8 +92,8 @@
 	slotIndex := s.chooseSlot(taken, size)
 	s.bundlesSinceRecount++
 	taken[slotIndex] = true
-	write := &Write{Slot: slotIndex, versions: map[string]uint64{}, knownNames: map[string]bool{}, size: s.bundleBytes()}
-	entries, _ := s.entriesToKeep(slotIndex)
+	write := &Write{Slot: slotIndex, versions: map[string]uint64{}, tableNames: map[string]bool{}, size: s.bundleBytes()}
+	entries, _ := s.liveEntries(slotIndex)
 	slices.Sort(entries)
 	for _, entry := range entries {
 		s.include(write, entry)
@@ -103,7 +103,7 @@
 
 // chooseSlot returns the slot with the least to keep, or a new one.
 func (s *State) chooseSlot(taken map[int]bool, size int) int {
-	most := max(0, min(s.Params.MaxValue/keptShare, s.Params.MaxValue-s.bundleBytes()-size))
+	most := max(0, min(s.Params.MaxValue/liveShareDivisor, s.Params.MaxValue-s.bundleBytes()-size))
 	best := s.emptiestSlot(taken)
 	if best >= 0 && s.slots[best].liveBytes > most && s.bundlesSinceRecount > len(s.slots)/4 {
 		// Entries that are no longer needed may be all that fills the slots.
@@ -136,7 +136,7 @@
 	slot.liveBytes = 0
 	for entry := range slot.sizes {
 		slot.sizes[entry] = 0
-		if s.mustKeep(entry, slotIndex) {
+		if s.isLive(entry, slotIndex) {
 			slot.sizes[entry] = s.entryBytes(entry)
 			slot.liveBytes += slot.sizes[entry]
 		}
