--- a/internal/core/shard/bindings.go
+++ b/internal/core/shard/bindings.go
@@ -44,8 +44,8 @@
 		if machine.ReadyAt == nil {
 			machine.ReadyAt = map[string]model.Micros{}
 		}
-		begin := now + max(s.Params.HeartbeatInterval/2, machine.FetchTimeLeft(now))
-		machine.ReadyAt[job.Image] = begin + model.Seconds(job.ImageGB/machineType.FetchGBps)
+		fetchStart := now + max(s.Params.HeartbeatInterval/2, machine.FetchTimeLeft(now))
+		machine.ReadyAt[job.Image] = fetchStart + model.Seconds(job.ImageGB/machineType.FetchGBps)
 	}
 	binding.ExpectedFetch = max(0, machine.ReadyAt[job.Image]-now)
 	machine.TouchImage(job.Image, job.ImageGB, machineType.CacheGB)
@@ -53,14 +53,14 @@
 
 // bind decides that a task goes to a machine. The start may be sent only once the
 // record is durable.
-func (s *State) bind(job *model.JobState, index int, m *model.Machine, attempt uint64, now model.Micros) {
-	b := s.addBinding(job, index, m, attempt, now)
-	s.markChanged(m)
-	b.Version = m.Version
+func (s *State) bind(job *model.JobState, index int, machine *model.Machine, attempt uint64, now model.Micros) {
+	binding := s.addBinding(job, index, machine, attempt, now)
+	s.markChanged(machine)
+	binding.Version = machine.Version
 	if job.Kind == model.Gang {
 		job.Attempt, job.AttemptFailed = attempt, false
 	}
-	s.Log(Event{Kind: EventBind, Machine: m.ID, Task: b.ID.String(), Attempt: attempt})
+	s.Log(Event{Kind: EventBind, Machine: machine.ID, Task: binding.ID.String(), Attempt: attempt})
 }
 
 // unbind removes a binding. The caller has proof that the attempt is not on the machine
@@ -98,9 +98,9 @@
 // again unless it is done.
 func removeFromJob(job *model.JobState, binding *model.Binding, now model.Micros) {
 	index := binding.ID.Index
-	left := slices.DeleteFunc(job.Bindings[index], func(other *model.Binding) bool { return other == binding })
-	if len(left) > 0 {
-		job.Bindings[index] = left
+	remaining := slices.DeleteFunc(job.Bindings[index], func(other *model.Binding) bool { return other == binding })
+	if len(remaining) > 0 {
+		job.Bindings[index] = remaining
 		return
 	}
 	delete(job.Bindings, index)
@@ -115,15 +115,15 @@
 
 // stop decides that a bound task is to be stopped. A stop that was decided before is
 // only ever made shorter.
-func (s *State) stop(b *model.Binding, grace model.Micros, why string, now model.Micros) {
-	if b.Stopping && grace >= b.StopGrace {
+func (s *State) stop(binding *model.Binding, grace model.Micros, reason string, now model.Micros) {
+	if binding.Stopping && grace >= binding.StopGrace {
 		return
 	}
-	if !b.Stopping {
-		b.StopDecidedAt = now
-		s.Log(Event{Kind: EventStop, Machine: b.Machine.ID, Task: b.ID.String(), Attempt: b.Attempt, Reason: why})
+	if !binding.Stopping {
+		binding.StopDecidedAt = now
+		s.Log(Event{Kind: EventStop, Machine: binding.Machine.ID, Task: binding.ID.String(), Attempt: binding.Attempt, Reason: reason})
 	}
-	b.Stopping, b.StopGrace, b.StopReason = true, grace, why
+	binding.Stopping, binding.StopGrace, binding.StopReason = true, grace, reason
 }
 
 // stopBeforeReclaim stops tasks on a spot machine that is about to be reclaimed, if
@@ -131,32 +131,32 @@
 // start again on another machine.
 func (s *State) stopBeforeReclaim(machine *model.Machine, now model.Micros) {
 	s.Log(Event{Kind: EventReclaim, Machine: machine.ID})
-	left := machine.ReclaimedAt - now
+	timeLeft := machine.ReclaimedAt - now
 	for _, binding := range machine.Bindings {
 		job := s.Jobs[binding.ID.Job]
 		if job.Kind == model.Gang {
 			for _, bindings := range job.Bindings {
 				for _, member := range bindings {
-					s.stop(member, s.stopGrace(job, left), "spot notice", now)
+					s.stop(member, s.stopGrace(job, timeLeft), "spot notice", now)
 				}
 			}
 			job.AttemptFailed = true
 			continue
 		}
-		rest := s.Remaining(binding, now)
-		if binding.Status == model.Running && (rest < left || job.CheckpointInterval == 0 && rest < left*3/2) {
+		remaining := s.Remaining(binding, now)
+		if binding.Status == model.Running && (remaining < timeLeft || job.CheckpointInterval == 0 && remaining < timeLeft*3/2) {
 			continue
 		}
-		s.stop(binding, s.stopGrace(job, left), "spot notice", now)
+		s.stop(binding, s.stopGrace(job, timeLeft), "spot notice", now)
 	}
 }
 
 // stopGrace is the time that a task gets to save its state when so much time is left.
-func (s *State) stopGrace(job *model.JobState, left model.Micros) model.Micros {
-	if job.CheckpointInterval == 0 || left < job.SaveTime {
+func (s *State) stopGrace(job *model.JobState, timeLeft model.Micros) model.Micros {
+	if job.CheckpointInterval == 0 || timeLeft < job.SaveTime {
 		return 0
 	}
-	return max(job.SaveTime, left-model.Second)
+	return max(job.SaveTime, timeLeft-model.Second)
 }
 
 // MachineDeleted removes a machine whose deletion the cloud has confirmed, with all its
@@ -166,8 +166,8 @@
 	if machine == nil {
 		return
 	}
-	for _, b := range machine.Bindings {
-		s.unbind(b, proof, now)
+	for _, binding := range machine.Bindings {
+		s.unbind(binding, proof, now)
 	}
 	delete(s.Machines, machineID)
 	if machine.Stored || machine.Version > 0 {
--- a/internal/core/shard/capacity.go
+++ b/internal/core/shard/capacity.go
@@ -40,8 +40,8 @@
 			byZone[m.Zone] += job.Request.FitCount(m.Free(), tasks)
 		}
 	}
-	left := free.Minus(job.Request.Times(tasks))
-	if float64(left.Cores) < headroom*float64(total.Cores) {
+	freeAfter := free.Minus(job.Request.Times(tasks))
+	if float64(freeAfter.Cores) < headroom*float64(total.Cores) {
 		return false
 	}
 	sum := 0
@@ -64,16 +64,16 @@
 
 // OwnWorkWaits tells whether a job of this cell has waited for longer than the
 // patience, and only lacks machines to start.
-func (s *State) OwnWorkWaits(patience, now model.Micros) bool {
+func (s *State) OwnWorkWaits(maxWait, now model.Micros) bool {
 	for _, job := range s.Jobs {
 		if job.HomeCell != "" || job.Suspended || job.FinalStatus != "" || len(job.Waiting) == 0 || now < job.NotBefore {
 			continue
 		}
-		least := 1
+		minTasks := 1
 		if job.Kind == model.Gang {
-			least = len(job.Waiting)
+			minTasks = len(job.Waiting)
 		}
-		if now-max(job.ReadySince, job.IdleSince) > patience && s.WithinLimit(job.Job, least) {
+		if now-max(job.ReadySince, job.IdleSince) > maxWait && s.WithinLimit(job.Job, minTasks) {
 			return true
 		}
 	}
--- a/internal/core/shard/commands.go
+++ b/internal/core/shard/commands.go
@@ -88,17 +88,17 @@
 	for i := range tasks {
 		reported[tasks[i].ID] = tasks[i].Attempt
 	}
-	var starts []*model.Binding
+	var toStart []*model.Binding
 	for id, b := range machine.Bindings {
 		if reported[id] != b.Attempt && s.mayStart(b) {
-			starts = append(starts, b)
+			toStart = append(toStart, b)
 		}
 	}
-	sort.Slice(starts, func(i, j int) bool {
-		a, b := starts[i], starts[j]
+	sort.Slice(toStart, func(i, j int) bool {
+		a, b := toStart[i], toStart[j]
 		return a.Job.Priority > b.Job.Priority || a.Job.Priority == b.Job.Priority && a.Attempt < b.Attempt
 	})
-	return starts
+	return toStart
 }
 
 // mayStart tells whether a binding is durable and its task may be started now.
@@ -136,10 +136,10 @@
 // of the gang may fetch their image for longer than a task waits for its gang. It
 // starts once their images are there. Members are ordered by the length of the fetch,
 // so no two wait for each other.
-func (s *State) shouldStartLater(job *model.JobState, b *model.Binding) bool {
+func (s *State) shouldStartLater(job *model.JobState, binding *model.Binding) bool {
 	for _, bindings := range job.Bindings {
-		for _, other := range bindings {
-			if other.ExpectedFetch-b.ExpectedFetch > s.Params.GangWait*2/3 && other.Status < model.WaitingForGang {
+		for _, member := range bindings {
+			if member.ExpectedFetch-binding.ExpectedFetch > s.Params.GangWait*2/3 && member.Status < model.WaitingForGang {
 				return true
 			}
 		}
--- a/internal/core/shard/dense.go
+++ b/internal/core/shard/dense.go
@@ -27,18 +27,18 @@
 
 // UnmarshalJSON reads either encoding.
 func (b *BundleRecord) UnmarshalJSON(raw []byte) error {
-	var form struct {
+	var envelope struct {
 		Hosts json.RawMessage `json:"hosts"`
 	}
-	if err := json.Unmarshal(raw, &form); err != nil {
+	if err := json.Unmarshal(raw, &envelope); err != nil {
 		return err
 	}
-	if len(form.Hosts) == 0 || form.Hosts[0] != '"' {
+	if len(envelope.Hosts) == 0 || envelope.Hosts[0] != '"' {
 		return json.Unmarshal(raw, (*plainBundle)(b))
 	}
-	var packed []byte
-	if err := json.Unmarshal(form.Hosts, &packed); err != nil {
+	var encoded []byte
+	if err := json.Unmarshal(envelope.Hosts, &encoded); err != nil {
 		return err
 	}
-	return b.decodeDense(packed)
+	return b.decodeDense(encoded)
 }
--- a/internal/core/shard/dense_decode.go
+++ b/internal/core/shard/dense_decode.go
@@ -14,52 +14,52 @@
 }
 
 // fail marks the input as malformed. All values read after that are empty.
-func (u *denseReader) fail() { u.malformed, u.input = true, nil }
+func (r *denseReader) fail() { r.malformed, r.input = true, nil }
 
-func (u *denseReader) readUvarint() uint64 {
-	v, n := binary.Uvarint(u.input)
-	if n <= 0 {
-		u.fail()
+func (r *denseReader) readUvarint() uint64 {
+	value, length := binary.Uvarint(r.input)
+	if length <= 0 {
+		r.fail()
 		return 0
 	}
-	u.input = u.input[n:]
-	return v
+	r.input = r.input[length:]
+	return value
 }
 
 // readCount reads the number of items that follow. Each takes a byte at least, so a number
 // beyond the input is malformed.
-func (u *denseReader) readCount() int {
-	v := u.readUvarint()
-	if v > uint64(len(u.input)) {
-		u.fail()
+func (r *denseReader) readCount() int {
+	count := r.readUvarint()
+	if count > uint64(len(r.input)) {
+		r.fail()
 		return 0
 	}
-	return int(v)
+	return int(count)
 }
 
-func (u *denseReader) readString() string {
-	n := u.readCount()
-	s := string(u.input[:n])
-	u.input = u.input[n:]
-	return s
+func (r *denseReader) readString() string {
+	length := r.readCount()
+	text := string(r.input[:length])
+	r.input = r.input[length:]
+	return text
 }
 
-func (u *denseReader) readTable() []string {
-	t := make([]string, u.readCount())
-	for i := range t {
-		t[i] = u.readString()
+func (r *denseReader) readTable() []string {
+	table := make([]string, r.readCount())
+	for i := range table {
+		table[i] = r.readString()
 	}
-	return t
+	return table
 }
 
 // readTableName reads the number of a name in a table.
-func (u *denseReader) readTableName(table []string) string {
-	n := u.readUvarint()
-	if n >= uint64(len(table)) {
-		u.fail()
+func (r *denseReader) readTableName(table []string) string {
+	index := r.readUvarint()
+	if index >= uint64(len(table)) {
+		r.fail()
 		return ""
 	}
-	return table[n]
+	return table[index]
 }
 
 // bundleDecoder decodes the body of a bundle with the tables of its header.
@@ -69,70 +69,70 @@
 	labels, jobs []string
 }
 
-func (b *BundleRecord) decodeDense(in []byte) error {
-	if len(in) == 0 || in[0] != denseVersion {
+func (b *BundleRecord) decodeDense(input []byte) error {
+	if len(input) == 0 || input[0] != denseVersion {
 		return errInvalidDenseBundle
 	}
-	u := &bundleDecoder{denseReader: denseReader{input: in[1:]}}
-	u.baseAttempt = u.readUvarint()
-	u.labels = u.readTable()
-	u.jobs = u.readTable()
-	machines := u.readMachines()
-	done := u.readFinished()
+	decoder := &bundleDecoder{denseReader: denseReader{input: input[1:]}}
+	decoder.baseAttempt = decoder.readUvarint()
+	decoder.labels = decoder.readTable()
+	decoder.jobs = decoder.readTable()
+	machines := decoder.readMachines()
+	done := decoder.readFinished()
 	*b = BundleRecord{Dense: true, Machines: machines, Done: done}
-	if u.malformed || len(u.input) > 0 {
+	if decoder.malformed || len(decoder.input) > 0 {
 		return errInvalidDenseBundle
 	}
 	return nil
 }
 
-func (u *bundleDecoder) readMachines() map[string]*MachineRecord {
+func (d *bundleDecoder) readMachines() map[string]*MachineRecord {
 	machines := map[string]*MachineRecord{}
 	previous := ""
-	for range u.readCount() {
-		shared := u.readUvarint()
-		if shared > uint64(len(previous)) {
-			u.fail()
+	for range d.readCount() {
+		prefix := d.readUvarint()
+		if prefix > uint64(len(previous)) {
+			d.fail()
 			return machines
 		}
-		id := previous[:shared] + u.readString()
-		machines[id] = u.readMachine()
+		id := previous[:prefix] + d.readString()
+		machines[id] = d.readMachine()
 		previous = id
 	}
 	return machines
 }
 
 // readMachine decodes a machine's record, nil if the machine is gone.
-func (u *bundleDecoder) readMachine() *MachineRecord {
-	kind := u.readUvarint()
+func (d *bundleDecoder) readMachine() *MachineRecord {
+	kind := d.readUvarint()
 	if kind == denseMachineGone {
 		return nil
 	}
 	machine := &MachineRecord{Spot: kind == denseMachineSpot, Tasks: map[string][][2]uint64{}}
-	machine.MachineType = u.readTableName(u.labels)
-	machine.Zone = u.readTableName(u.labels)
-	for range u.readCount() {
-		job := u.readTableName(u.jobs)
-		machine.Tasks[job] = u.readTasks()
+	machine.MachineType = d.readTableName(d.labels)
+	machine.Zone = d.readTableName(d.labels)
+	for range d.readCount() {
+		job := d.readTableName(d.jobs)
+		machine.Tasks[job] = d.readTasks()
 	}
 	return machine
 }
 
 // readTasks decodes pairs of a task's index and its attempt.
-func (u *bundleDecoder) readTasks() [][2]uint64 {
+func (d *bundleDecoder) readTasks() [][2]uint64 {
 	tasks := make([][2]uint64, 0, 4)
-	for range u.readCount() {
-		index := u.readUvarint()
-		tasks = append(tasks, [2]uint64{index, u.baseAttempt + u.readUvarint()})
+	for range d.readCount() {
+		index := d.readUvarint()
+		tasks = append(tasks, [2]uint64{index, d.baseAttempt + d.readUvarint()})
 	}
 	return tasks
 }
 
-func (u *bundleDecoder) readFinished() map[string][]byte {
+func (d *bundleDecoder) readFinished() map[string][]byte {
 	done := map[string][]byte{}
-	for range u.readCount() {
-		name := u.readString()
-		done[name] = []byte(u.readString())
+	for range d.readCount() {
+		name := d.readString()
+		done[name] = []byte(d.readString())
 	}
 	return done
 }
--- a/internal/core/shard/dense_encode.go
+++ b/internal/core/shard/dense_encode.go
@@ -8,19 +8,19 @@
 
 // stringTable numbers strings in the order of their first use.
 type stringTable struct {
-	numbers map[string]uint64
+	indexes map[string]uint64
 	names   []string
 }
 
-func (t *stringTable) index(s string) uint64 {
-	n, ok := t.numbers[s]
+func (t *stringTable) index(name string) uint64 {
+	n, ok := t.indexes[name]
 	if !ok {
-		if t.numbers == nil {
-			t.numbers = map[string]uint64{}
+		if t.indexes == nil {
+			t.indexes = map[string]uint64{}
 		}
 		n = uint64(len(t.names))
-		t.numbers[s] = n
-		t.names = append(t.names, s)
+		t.indexes[name] = n
+		t.names = append(t.names, name)
 	}
 	return n
 }
@@ -28,15 +28,15 @@
 // denseWriter appends the basic values of the dense encoding.
 type denseWriter struct{ buffer []byte }
 
-func (p *denseWriter) writeUvarint(v uint64) { p.buffer = binary.AppendUvarint(p.buffer, v) }
-func (p *denseWriter) writeString(s string) {
-	p.writeUvarint(uint64(len(s)))
-	p.buffer = append(p.buffer, s...)
+func (w *denseWriter) writeUvarint(value uint64) { w.buffer = binary.AppendUvarint(w.buffer, value) }
+func (w *denseWriter) writeString(text string) {
+	w.writeUvarint(uint64(len(text)))
+	w.buffer = append(w.buffer, text...)
 }
-func (p *denseWriter) writeTable(t *stringTable) {
-	p.writeUvarint(uint64(len(t.names)))
-	for _, s := range t.names {
-		p.writeString(s)
+func (w *denseWriter) writeTable(table *stringTable) {
+	w.writeUvarint(uint64(len(table.names)))
+	for _, name := range table.names {
+		w.writeString(name)
 	}
 }
 
@@ -76,21 +76,21 @@
 	return smallest
 }
 
-func (p *bundleEncoder) writeMachines(writeMachines map[string]*MachineRecord) {
-	ids := slices.Sorted(maps.Keys(writeMachines))
-	p.writeUvarint(uint64(len(ids)))
+func (e *bundleEncoder) writeMachines(machines map[string]*MachineRecord) {
+	ids := slices.Sorted(maps.Keys(machines))
+	e.writeUvarint(uint64(len(ids)))
 	previous := ""
 	for _, id := range ids {
-		shared := sharedPrefix(previous, id)
-		p.writeUvarint(uint64(shared))
-		p.writeString(id[shared:])
-		p.writeMachine(writeMachines[id])
+		prefix := sharedPrefixLength(previous, id)
+		e.writeUvarint(uint64(prefix))
+		e.writeString(id[prefix:])
+		e.writeMachine(machines[id])
 		previous = id
 	}
 }
 
 // sharedPrefix returns the length of the common prefix of two strings.
-func sharedPrefix(a, b string) int {
+func sharedPrefixLength(a, b string) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
 		n++
@@ -105,39 +105,39 @@
 	denseMachineSpot     = 2
 )
 
-func (p *bundleEncoder) writeMachine(writeMachine *MachineRecord) {
-	if writeMachine == nil {
-		p.writeUvarint(denseMachineGone)
+func (e *bundleEncoder) writeMachine(machine *MachineRecord) {
+	if machine == nil {
+		e.writeUvarint(denseMachineGone)
 		return
 	}
-	if writeMachine.Spot {
-		p.writeUvarint(denseMachineSpot)
+	if machine.Spot {
+		e.writeUvarint(denseMachineSpot)
 	} else {
-		p.writeUvarint(denseMachineOnDemand)
+		e.writeUvarint(denseMachineOnDemand)
 	}
-	p.writeUvarint(p.labels.index(writeMachine.MachineType))
-	p.writeUvarint(p.labels.index(writeMachine.Zone))
-	p.writeUvarint(uint64(len(writeMachine.Tasks)))
-	for _, job := range slices.Sorted(maps.Keys(writeMachine.Tasks)) {
-		p.writeUvarint(p.jobs.index(job))
-		p.writeTasks(writeMachine.Tasks[job])
+	e.writeUvarint(e.labels.index(machine.MachineType))
+	e.writeUvarint(e.labels.index(machine.Zone))
+	e.writeUvarint(uint64(len(machine.Tasks)))
+	for _, job := range slices.Sorted(maps.Keys(machine.Tasks)) {
+		e.writeUvarint(e.jobs.index(job))
+		e.writeTasks(machine.Tasks[job])
 	}
 }
 
 // writeTasks encodes pairs of a task's index and its attempt.
-func (p *bundleEncoder) writeTasks(writeTasks [][2]uint64) {
-	p.writeUvarint(uint64(len(writeTasks)))
-	for _, task := range writeTasks {
-		p.writeUvarint(task[0])
-		p.writeUvarint(task[1] - p.baseAttempt)
+func (e *bundleEncoder) writeTasks(tasks [][2]uint64) {
+	e.writeUvarint(uint64(len(tasks)))
+	for _, task := range tasks {
+		e.writeUvarint(task[0])
+		e.writeUvarint(task[1] - e.baseAttempt)
 	}
 }
 
-func (p *bundleEncoder) writeFinished(done map[string][]byte) {
+func (e *bundleEncoder) writeFinished(done map[string][]byte) {
 	names := slices.Sorted(maps.Keys(done))
-	p.writeUvarint(uint64(len(names)))
+	e.writeUvarint(uint64(len(names)))
 	for _, name := range names {
-		p.writeString(name)
-		p.writeString(string(done[name]))
+		e.writeString(name)
+		e.writeString(string(done[name]))
 	}
 }
--- a/internal/core/shard/dense_sizes.go
+++ b/internal/core/shard/dense_sizes.go
@@ -29,8 +29,8 @@
 }
 
 // denseNameBytes returns what a name takes in a table, 0 if it is there already.
-func denseNameBytes(name string, known map[string]bool) int {
-	if known[name] {
+func denseNameBytes(name string, tableNames map[string]bool) int {
+	if tableNames[name] {
 		return 0
 	}
 	return uvarintBytes(uint64(len(name))) + len(name)
@@ -38,21 +38,21 @@
 
 // denseEntryBytes returns the most that an entry takes in a bundle whose tables have
 // the known names.
-func (s *State) denseEntryBytes(entry string, known map[string]bool) int {
+func (s *State) denseEntryBytes(entry string, tableNames map[string]bool) int {
 	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
-		n := denseBytesPerMachine + len(machineID)
+		size := denseBytesPerMachine + len(machineID)
 		machine := s.Machines[machineID]
 		if machine == nil {
-			return base64Bytes(n)
+			return base64Bytes(size)
 		}
-		n += denseNameBytes(machine.MachineType, known) + denseNameBytes(machine.Zone, known)
+		size += denseNameBytes(machine.MachineType, tableNames) + denseNameBytes(machine.Zone, tableNames)
 		for job := range machine.TaskCounts {
-			n += denseBytesPerJob + denseNameBytes(job, known)
+			size += denseBytesPerJob + denseNameBytes(job, tableNames)
 		}
 		for id, b := range machine.Bindings {
-			n += s.denseTaskBytes(id.Index, b.Attempt)
+			size += s.denseTaskBytes(id.Index, b.Attempt)
 		}
-		return base64Bytes(n)
+		return base64Bytes(size)
 	}
 	job, part := s.partOf(entry)
 	switch {
@@ -65,11 +65,11 @@
 }
 
 // addTableNames adds the names that an entry puts into the tables to the known ones.
-func (s *State) addTableNames(entry string, known map[string]bool) {
+func (s *State) addTableNames(entry string, tableNames map[string]bool) {
 	if m := s.Machines[strings.TrimPrefix(entry, MachineEntry)]; m != nil {
-		known[m.MachineType], known[m.Zone] = true, true
+		tableNames[m.MachineType], tableNames[m.Zone] = true, true
 		for job := range m.TaskCounts {
-			known[job] = true
+			tableNames[job] = true
 		}
 	}
 }
--- a/internal/core/shard/failures.go
+++ b/internal/core/shard/failures.go
@@ -9,15 +9,15 @@
 // machine, and must not get healthy machines quarantined: each would be drained and
 // replaced. So failures are counted for both (see quarantineIfFaulty), and a job that
 // fails on several machines is retried with a backoff.
-func (s *State) recordFailure(job *model.JobState, m *model.Machine, now model.Micros) {
-	if job.NoteFailure(m.ID, now) && job.NeedsBackoff() {
-		s.Log(Event{Kind: EventFailsEverywhere, Machine: m.ID, Task: job.ID, Reason: "to be retried with one task, later and later"})
+func (s *State) recordFailure(job *model.JobState, machine *model.Machine, now model.Micros) {
+	if job.NoteFailure(machine.ID, now) && job.NeedsBackoff() {
+		s.Log(Event{Kind: EventFailsEverywhere, Machine: machine.ID, Task: job.ID, Reason: "to be retried with one task, later and later"})
 	}
-	if !job.IsKnownToRun() && otherJobRuns(job, m) {
+	if !job.IsKnownToRun() && otherJobRuns(job, machine) {
 		job.FaultSuspected = true
 	}
 	if !job.IsAtFault() {
-		m.NoteFailure(job.ID, now)
+		machine.NoteFailure(job.ID, now)
 	}
 }
 
@@ -34,15 +34,15 @@
 // clearFailures forgets the failures on a machine on which a task runs or has
 // completed. The machine is not faulty, so jobs that failed on it and have not run
 // anywhere are at fault.
-func (s *State) clearFailures(m *model.Machine) {
-	s.markUnprovenJobsAtFault(m)
-	m.ConsecutiveFailures = nil
+func (s *State) clearFailures(machine *model.Machine) {
+	s.markUnprovenJobsAtFault(machine)
+	machine.ConsecutiveFailures = nil
 }
 
 // markUnprovenJobsAtFault puts the jobs at fault that failed on a machine and have not run
 // anywhere.
-func (s *State) markUnprovenJobsAtFault(m *model.Machine) {
-	for _, f := range m.ConsecutiveFailures {
+func (s *State) markUnprovenJobsAtFault(machine *model.Machine) {
+	for _, f := range machine.ConsecutiveFailures {
 		if job := s.Jobs[f.Job]; job != nil && !job.IsKnownToRun() {
 			job.FaultSuspected = true
 		}
--- a/internal/core/shard/finished.go
+++ b/internal/core/shard/finished.go
@@ -48,9 +48,9 @@
 	if job.HomeCell != "" {
 		return job.Confirmed.Has(index)
 	}
-	v := job.DoneVersions[0]
+	versions := job.DoneVersions[0]
 	if len(job.DoneVersions) > 1 {
-		v = job.DoneVersions[index/model.TasksPerPart]
+		versions = job.DoneVersions[index/model.TasksPerPart]
 	}
-	return v.Stored >= v.Current
+	return versions.Stored >= versions.Current
 }
--- a/internal/core/shard/heartbeats.go
+++ b/internal/core/shard/heartbeats.go
@@ -70,7 +70,7 @@
 		machine = s.AddMachine(heartbeat.Machine, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot, now)
 		s.Log(Event{Kind: EventAppeared, Machine: heartbeat.Machine})
 	}
-	if machine.Deleting || isLateCopy(machine, heartbeat) {
+	if machine.Deleting || isStale(machine, heartbeat) {
 		return Stale
 	}
 	s.updateMachine(machine, heartbeat, now)
@@ -86,8 +86,8 @@
 
 // isLateCopy tells whether a newer heartbeat of the machine has been applied already. A
 // late copy must not revert what that said.
-func isLateCopy(m *model.Machine, heartbeat *Heartbeat) bool {
-	return heartbeat.Incarnation < m.Incarnation || heartbeat.Incarnation == m.Incarnation && heartbeat.Sequence <= m.Sequence
+func isStale(machine *model.Machine, heartbeat *Heartbeat) bool {
+	return heartbeat.Incarnation < machine.Incarnation || heartbeat.Incarnation == machine.Incarnation && heartbeat.Sequence <= machine.Sequence
 }
 
 // updateMachine applies what a heartbeat says about the machine itself.
@@ -115,10 +115,10 @@
 	reported := make(map[model.TaskID]bool, len(tasks))
 	for i := range tasks {
 		task := &tasks[i]
-		b := machine.Bindings[task.ID]
-		if b != nil && b.Attempt == task.Attempt {
+		binding := machine.Bindings[task.ID]
+		if binding != nil && binding.Attempt == task.Attempt {
 			reported[task.ID] = true
-			s.updateBinding(b, task, now)
+			s.updateBinding(binding, task, now)
 		} else if task.Status == model.Exited && task.Cause == CauseDone {
 			s.recordCompletion(task.ID, nil, now)
 		}
--- a/internal/core/shard/job_order.go
+++ b/internal/core/shard/job_order.go
@@ -48,7 +48,7 @@
 // maxOvertaken bounds the time for which a job may be overtaken by jobs with less work
 // left. It is well within the four minutes in which all jobs are to start, as the
 // largest ones need most time to get their machines.
-const maxOvertaken = 90 * model.Second
+const maxOvertakenTime = 90 * model.Second
 
 // orderKey orders jobs of the same priority. Jobs that can still meet all targets of their
 // class go first, those with the least work left before the others: when not all jobs
@@ -62,47 +62,47 @@
 		// It lost its machines after it had started: it need not wait in the queue again.
 		return job.ReadySince - placement.LateDueAt
 	}
-	run := s.ExpectedRunTime(job.Job)
+	runTime := s.ExpectedRunTime(job.Job)
 	age := now - job.ReadySince
-	end := age + run*9/10
-	if s.isAboutToMissLastObjective(job, age, end) {
+	expectedEnd := age + runTime*9/10
+	if s.isAboutToMissLastObjective(job, age, expectedEnd) {
 		return job.ReadySince - placement.LateDueAt
 	}
-	met, missed := s.countObjectives(job, age, end)
-	left := run * model.Micros(len(job.Waiting))
+	met, missed := s.countObjectives(job, age, expectedEnd)
+	remainingWork := runTime * model.Micros(len(job.Waiting))
 	switch {
 	case met == 0:
 		return placement.LateDueAt + job.ReadySince
 	case missed == 0 || len(s.Params.StartObjectives[job.Class]) == 0 && job.Deadline == 0:
-		return left
+		return remainingWork
 	}
-	return missedObjectiveOffset + left
+	return missedObjectiveOffset + remainingWork
 }
 
 // isAboutToMissLastObjective tells whether a job of that age and expected end is about to miss the
 // last target of its class for the start or the end, while all waiting tasks of the class
 // can start in time.
-func (s *State) isAboutToMissLastObjective(job *model.JobState, age, end model.Micros) bool {
-	waits := s.Params.StartObjectives[job.Class]
-	if len(waits) == 0 {
+func (s *State) isAboutToMissLastObjective(job *model.JobState, age, expectedEnd model.Micros) bool {
+	startObjectives := s.Params.StartObjectives[job.Class]
+	if len(startObjectives) == 0 {
 		return false
 	}
-	last := waits[len(waits)-1]
-	near := min(last*3/4, maxOvertaken)
-	if age >= near && age < last && s.classLoads[job.Class].timeToStart() < last*3/4 {
+	lastObjective := startObjectives[len(startObjectives)-1]
+	minAge := min(lastObjective*3/4, maxOvertakenTime)
+	if age >= minAge && age < lastObjective && s.classLoads[job.Class].timeToStart() < lastObjective*3/4 {
 		return true
 	}
-	finish := s.Params.FinishObjectives[job.Class]
-	if len(finish) == 0 {
+	finishObjectives := s.Params.FinishObjectives[job.Class]
+	if len(finishObjectives) == 0 {
 		return false
 	}
-	last = finish[len(finish)-1]
-	return end >= last*3/4 && end <= last && s.classLoads[job.Class].timeToStart() < last/4
+	lastObjective = finishObjectives[len(finishObjectives)-1]
+	return expectedEnd >= lastObjective*3/4 && expectedEnd <= lastObjective && s.classLoads[job.Class].timeToStart() < lastObjective/4
 }
 
 // countObjectives counts the targets that a job of that age and expected end can still
 // meet, and those that it misses.
-func (s *State) countObjectives(job *model.JobState, age, end model.Micros) (met, missed int) {
+func (s *State) countObjectives(job *model.JobState, age, expectedEnd model.Micros) (met, missed int) {
 	count := func(meets bool) {
 		if meets {
 			met++
@@ -110,17 +110,17 @@
 			missed++
 		}
 	}
-	for _, wait := range s.Params.StartObjectives[job.Class] {
-		count(age < wait)
+	for _, objective := range s.Params.StartObjectives[job.Class] {
+		count(age < objective)
 	}
 	if job.Deadline > 0 {
-		count(end <= job.Deadline)
-		for _, times := range s.Params.DeadlineObjectives[job.Class] {
-			count(end <= model.Micros(float64(job.Deadline)*times))
+		count(expectedEnd <= job.Deadline)
+		for _, multiple := range s.Params.DeadlineObjectives[job.Class] {
+			count(expectedEnd <= model.Micros(float64(job.Deadline)*multiple))
 		}
 	}
-	for _, finish := range s.Params.FinishObjectives[job.Class] {
-		count(end <= finish)
+	for _, objective := range s.Params.FinishObjectives[job.Class] {
+		count(expectedEnd <= objective)
 	}
 	return met, missed
 }
@@ -128,16 +128,16 @@
 // lossMakesLate tells whether a job is expected to meet its deadline, or a multiple of
 // it that is a target, but not if a task is lost after half of its run. Such jobs
 // should not run on spot machines.
-func (s *State) lossMakesLate(job *model.JobState, now model.Micros) bool {
+func (s *State) lateIfTaskLost(job *model.JobState, now model.Micros) bool {
 	if job.Deadline <= 0 {
 		return false
 	}
-	run := s.ExpectedRunTime(job.Job)
+	runTime := s.ExpectedRunTime(job.Job)
 	age := now - job.ReadySince
-	for _, times := range append([]float64{1}, s.Params.DeadlineObjectives[job.Class]...) {
-		aim := model.Micros(float64(job.Deadline) * times)
-		if age+run*9/10 <= aim {
-			return age+run*3/2+2*s.Params.HeartbeatInterval > aim
+	for _, multiple := range append([]float64{1}, s.Params.DeadlineObjectives[job.Class]...) {
+		objective := model.Micros(float64(job.Deadline) * multiple)
+		if age+runTime*9/10 <= objective {
+			return age+runTime*3/2+2*s.Params.HeartbeatInterval > objective
 		}
 	}
 	return false
--- a/internal/core/shard/placement.go
+++ b/internal/core/shard/placement.go
@@ -27,7 +27,7 @@
 	// promptMaxWaitDivisor gives it for classes that are to start within promptStart, for
 	// which stopping a task takes a larger part of that time.
 	promptMaxWaitDivisor = 4
-	promptStart          = 60 * model.Second
+	promptStartObjective = 60 * model.Second
 	// deadlineMaxWaitDivisor gives it from what a run leaves of the job's deadline.
 	deadlineMaxWaitDivisor = 4
 )
@@ -35,7 +35,7 @@
 // PlacementInput returns what a placement round works on.
 func (s *State) PlacementInput(now model.Micros) *placement.Round {
 	adapter := placementAdapter{state: s, now: now}
-	w := &placement.Round{
+	round := &placement.Round{
 		Now:                now,
 		HeartbeatTimeout:   maxMissedHeartbeats * s.Params.HeartbeatInterval,
 		StopTime:           s.Params.HeartbeatInterval * stopTimePercent / 100,
@@ -49,13 +49,13 @@
 		Executor:           adapter,
 	}
 	for _, machine := range s.Machines {
-		w.Machines = append(w.Machines, machine)
+		round.Machines = append(round.Machines, machine)
 	}
-	demand := s.gpuDemand(w.Jobs)
-	w.RequestPerGPU = demand.requestPerGPU()
-	w.WantedGPUs = s.wantedGPUs(demand)
-	s.updateClassLoads(w.Jobs, now)
-	return w
+	demand := s.gpuDemand(round.Jobs)
+	round.RequestPerGPU = demand.requestPerGPU()
+	round.WantedGPUs = s.wantedGPUs(demand)
+	s.updateClassLoads(round.Jobs, now)
+	return round
 }
 
 // placeableJobs are the jobs whose tasks may be placed here, brought up to date.
@@ -65,7 +65,7 @@
 		if job.FinalStatus != "" || job.Suspended {
 			continue
 		}
-		job.LateIfTaskLost = job.AllowsSpot && s.lossMakesLate(job, now)
+		job.LateIfTaskLost = job.AllowsSpot && s.lateIfTaskLost(job, now)
 		jobs = append(jobs, job)
 	}
 	return jobs
@@ -123,17 +123,17 @@
 
 // maxWait is how long a job waits until others are preempted for it.
 func (s *State) maxWait(job *model.JobState) model.Micros {
-	if waits := s.Params.StartObjectives[job.Class]; len(waits) > 0 {
-		first := waits[0]
-		if first < promptStart {
-			return first / promptMaxWaitDivisor
+	if startObjectives := s.Params.StartObjectives[job.Class]; len(startObjectives) > 0 {
+		firstObjective := startObjectives[0]
+		if firstObjective < promptStartObjective {
+			return firstObjective / promptMaxWaitDivisor
 		}
-		return first * maxWaitPercent / 100
+		return firstObjective * maxWaitPercent / 100
 	}
 	if job.Deadline > 0 && job.Priority >= model.HighPriority {
 		// The deadline is its only aim: it can wait for a part of what its run leaves.
-		left := max(0, job.Deadline-s.ExpectedRunTime(job.Job))
-		return min(defaultMaxWait, left/deadlineMaxWaitDivisor)
+		slack := max(0, job.Deadline-s.ExpectedRunTime(job.Job))
+		return min(defaultMaxWait, slack/deadlineMaxWaitDivisor)
 	}
 	return defaultMaxWait
 }
@@ -142,9 +142,9 @@
 // stopped, which takes longer.
 func (s *State) Place(now model.Micros, preempting bool) {
 	s.NeedsPlacement = false
-	w := s.PlacementInput(now)
-	w.Reservations, w.Preempting = s.reservations, preempting
-	w.Run()
+	round := s.PlacementInput(now)
+	round.Reservations, round.Preempting = s.reservations, preempting
+	round.Run()
 }
 
 // placementAdapter gives a placement round the state's estimates, and carries out its
--- a/internal/core/shard/placement_test.go
+++ b/internal/core/shard/placement_test.go
@@ -308,7 +308,7 @@
 		42 * sec: true,
 		55 * sec: false, // nothing can be met any more
 	} {
-		if got := s.lossMakesLate(job, age); got != want {
+		if got := s.lateIfTaskLost(job, age); got != want {
 			t.Errorf("after %v s: %v", age.Seconds(), got)
 		}
 	}
--- a/internal/core/shard/reachability.go
+++ b/internal/core/shard/reachability.go
@@ -13,7 +13,7 @@
 // pause. A machine whose heartbeats arrive while no response reaches it kills its tasks
 // whenever its lease expires.
 func (s *State) checkReceivesAnswers(machine *model.Machine, heartbeat *Heartbeat, now model.Micros) {
-	before := machine.ReceivesAnswers
+	receivedBefore := machine.ReceivesAnswers
 	machine.ReceivesAnswers = s.receivedLastResponse(machine, heartbeat, now)
 	switch {
 	case machine.ReceivesAnswers:
@@ -21,7 +21,7 @@
 	case machine.UnansweredSince == 0:
 		machine.UnansweredSince = now
 	}
-	if machine.ReceivesAnswers && !before {
+	if machine.ReceivesAnswers && !receivedBefore {
 		machine.HasNewCapacity, s.NeedsPlacement = true, true
 	}
 }
--- a/internal/core/shard/records.go
+++ b/internal/core/shard/records.go
@@ -37,7 +37,7 @@
 
 // Has tells whether the bundle has an entry of this name.
 func (b *BundleRecord) Has(name string) (ok bool) {
-	if machineID, machine := strings.CutPrefix(name, MachineEntry); machine {
+	if machineID, isMachine := strings.CutPrefix(name, MachineEntry); isMachine {
 		_, ok = b.Machines[machineID]
 	} else {
 		_, ok = b.Done[strings.TrimPrefix(name, DoneEntry)]
@@ -76,10 +76,10 @@
 )
 
 // machineRecord returns the present record of a machine.
-func machineRecord(m *model.Machine) *MachineRecord {
-	tasks := make(map[string][][2]uint64, len(m.Bindings))
-	for id, b := range m.Bindings {
-		tasks[id.Job] = append(tasks[id.Job], [2]uint64{uint64(id.Index), b.Attempt})
+func machineRecord(machine *model.Machine) *MachineRecord {
+	tasks := make(map[string][][2]uint64, len(machine.Bindings))
+	for id, binding := range machine.Bindings {
+		tasks[id.Job] = append(tasks[id.Job], [2]uint64{uint64(id.Index), binding.Attempt})
 	}
-	return &MachineRecord{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Tasks: tasks}
+	return &MachineRecord{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot, Tasks: tasks}
 }
--- a/internal/core/shard/runtimes.go
+++ b/internal/core/shard/runtimes.go
@@ -11,7 +11,7 @@
 }
 
 // recordRunTime adds the run time of a completed task to the statistics of its class.
-func (s *State) recordRunTime(class string, run model.Micros) {
+func (s *State) recordRunTime(class string, runTime model.Micros) {
 	stats := s.runTimes[class]
 	if stats == nil {
 		stats = &runTimeStats{}
@@ -19,7 +19,7 @@
 	}
 	stats.count++
 	weight := max(1/float64(stats.count), 0.05)
-	stats.mean += (float64(run) - stats.mean) * weight
+	stats.mean += (float64(runTime) - stats.mean) * weight
 }
 
 // ExpectedRunTime is the expected run time of a task of the job: the mean of the owner's
@@ -36,14 +36,14 @@
 }
 
 // Remaining is the expected time until a bound task is done.
-func (s *State) Remaining(b *model.Binding, now model.Micros) model.Micros {
-	expected := s.ExpectedRunTime(b.Job)
-	if b.RunningSince == 0 {
+func (s *State) Remaining(binding *model.Binding, now model.Micros) model.Micros {
+	expected := s.ExpectedRunTime(binding.Job)
+	if binding.RunningSince == 0 {
 		return expected
 	}
-	ran := now - b.RunningSince
+	elapsed := now - binding.RunningSince
 	// The longer a task has exceeded its estimate, the longer it may still take.
-	return max(expected-ran, ran/4)
+	return max(expected-elapsed, elapsed/4)
 }
 
 // A machine counts as slow if two tasks on it run for three times their expected time: a
@@ -59,17 +59,17 @@
 // detectSlowMachine marks a slow machine. Its tasks are left to finish, but for a while
 // new tasks go to other machines first.
 func (s *State) detectSlowMachine(machine *model.Machine, now model.Micros) {
-	slow := 0
+	slowTasks := 0
 	for _, b := range machine.Bindings {
 		expected := s.ExpectedRunTime(b.Job)
 		if b.RunningSince == 0 || expected <= 0 {
 			continue
 		}
 		if now-b.RunningSince > slowFactor*max(expected, minExpectedRunTime) {
-			slow++
+			slowTasks++
 		}
 	}
-	if slow < minSlowTasks {
+	if slowTasks < minSlowTasks {
 		return
 	}
 	if now >= machine.SlowUntil {
--- a/internal/core/shard/sizes.go
+++ b/internal/core/shard/sizes.go
@@ -62,14 +62,14 @@
 func addRecordBytes(binding *model.Binding, sign int) {
 	machine := binding.Machine
 	machine.RecordBytes += sign * taskBytes(binding.ID.Index, binding.Attempt)
-	before := machine.TaskCounts[binding.ID.Job]
-	if before == 0 || before == 1 && sign < 0 {
+	previousCount := machine.TaskCounts[binding.ID.Job]
+	if previousCount == 0 || previousCount == 1 && sign < 0 {
 		machine.RecordBytes += sign * (bytesPerJob + len(binding.ID.Job))
 	}
 	if machine.TaskCounts == nil {
 		machine.TaskCounts = map[string]int{}
 	}
-	if machine.TaskCounts[binding.ID.Job] = before + sign; before+sign == 0 {
+	if machine.TaskCounts[binding.ID.Job] = previousCount + sign; previousCount+sign == 0 {
 		delete(machine.TaskCounts, binding.ID.Job)
 	}
 }
@@ -80,13 +80,13 @@
 	if s.Params.MaxValue == 0 {
 		return model.MaxTasks
 	}
-	left := s.Params.MaxValue - s.Params.MaxValue/liveShareDivisor - s.bundleBytes()
+	bytesLeft := s.Params.MaxValue - s.Params.MaxValue/liveShareDivisor - s.bundleBytes()
 	if s.Params.DenseBundles {
-		left -= s.denseEntryBytes(MachineEntry+machine.ID, nil) + base64Bytes(denseBytesPerJob+denseNameBytes(job.ID, nil))
-		return max(0, left*3/4/s.denseTaskBytes(job.Tasks, (s.Token+1)<<attemptBits))
+		bytesLeft -= s.denseEntryBytes(MachineEntry+machine.ID, nil) + base64Bytes(denseBytesPerJob+denseNameBytes(job.ID, nil))
+		return max(0, bytesLeft*3/4/s.denseTaskBytes(job.Tasks, (s.Token+1)<<attemptBits))
 	}
-	left -= s.machineBytes(machine) + bytesPerJob + len(job.ID)
-	return max(0, left/taskBytes(job.Tasks, (s.Token+1)<<attemptBits))
+	bytesLeft -= s.machineBytes(machine) + bytesPerJob + len(job.ID)
+	return max(0, bytesLeft/taskBytes(job.Tasks, (s.Token+1)<<attemptBits))
 }
 
 // needsParts tells whether a job's finished tasks are stored in parts.
@@ -95,15 +95,15 @@
 }
 
 // finishedBytes returns what a job's finished tasks take as a bit set of so many bytes.
-func finishedBytes(job *model.Job, bits int) int {
-	return bytesPerFinished + len(job.ID) + (bits+2)/3*4
+func finishedBytes(job *model.Job, bitSetBytes int) int {
+	return bytesPerFinished + len(job.ID) + (bitSetBytes+2)/3*4
 }
 
 // partOf returns the job of an entry of finished tasks and the number of its part, -1
 // for the whole.
 func (s *State) partOf(entry string) (*model.JobState, int) {
-	jobID, suffix, parted := strings.Cut(strings.TrimPrefix(entry, DoneEntry), PartSeparator)
-	if !parted {
+	jobID, suffix, isPart := strings.Cut(strings.TrimPrefix(entry, DoneEntry), PartSeparator)
+	if !isPart {
 		return s.Jobs[jobID], -1
 	}
 	part, err := strconv.Atoi(suffix)
@@ -127,13 +127,13 @@
 
 // entryBytesIn returns the most that an entry takes in a bundle that has the known
 // names in its tables.
-func (s *State) entryBytesIn(entry string, known map[string]bool) int {
+func (s *State) entryBytesIn(entry string, tableNames map[string]bool) int {
 	if s.Params.DenseBundles {
-		return s.denseEntryBytes(entry, known)
+		return s.denseEntryBytes(entry, tableNames)
 	}
 	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
-		if m := s.Machines[machineID]; m != nil {
-			return s.machineBytes(m)
+		if machine := s.Machines[machineID]; machine != nil {
+			return s.machineBytes(machine)
 		}
 		return bytesPerMachine + len(machineID)
 	}
--- a/internal/core/shard/slots.go
+++ b/internal/core/shard/slots.go
@@ -16,26 +16,26 @@
 // SetSlotEntries notes the entries that are durable in a slot, in a bundle that was just
 // written or one of an earlier owner. Bundles have to be loaded in the order in which
 // they were written.
-func (s *State) SetSlotEntries(slotIndex int, names []string) {
+func (s *State) SetSlotEntries(slotIndex int, entries []string) {
 	for len(s.slots) <= slotIndex {
 		s.slots = append(s.slots, &bundleSlot{})
 	}
 	slot := s.slots[slotIndex]
-	old := slot.sizes
-	slot.sizes, slot.liveBytes = make(map[string]int, len(names)), 0
-	for _, entry := range names {
+	previousSizes := slot.sizes
+	slot.sizes, slot.liveBytes = make(map[string]int, len(entries)), 0
+	for _, entry := range entries {
 		size := s.entryBytes(entry)
 		slot.sizes[entry] = size
 		slot.liveBytes += size
-		if _, ok := old[entry]; !ok {
+		if _, ok := previousSizes[entry]; !ok {
 			s.copies[entry]++
 		}
-		if previous, ok := s.latestSlot[entry]; ok && previous != slotIndex {
-			s.slots[previous].liveBytes -= s.slots[previous].sizes[entry]
+		if previousSlot, ok := s.latestSlot[entry]; ok && previousSlot != slotIndex {
+			s.slots[previousSlot].liveBytes -= s.slots[previousSlot].sizes[entry]
 		}
 		s.latestSlot[entry] = slotIndex
 	}
-	for entry := range old {
+	for entry := range previousSizes {
 		if _, ok := slot.sizes[entry]; ok {
 			continue
 		}
@@ -88,10 +88,10 @@
 
 // newBundle begins a bundle for an entry of the given size, in the slot with the least
 // to keep. A slot is added if all of them have much to keep.
-func (s *State) newBundle(taken map[int]bool, size int) *Write {
-	slotIndex := s.chooseSlot(taken, size)
+func (s *State) newBundle(usedSlots map[int]bool, size int) *Write {
+	slotIndex := s.chooseSlot(usedSlots, size)
 	s.bundlesSinceRecount++
-	taken[slotIndex] = true
+	usedSlots[slotIndex] = true
 	write := &Write{Slot: slotIndex, versions: map[string]uint64{}, tableNames: map[string]bool{}, size: s.bundleBytes()}
 	entries, _ := s.liveEntries(slotIndex)
 	slices.Sort(entries)
@@ -102,20 +102,20 @@
 }
 
 // chooseSlot returns the slot with the least to keep, or a new one.
-func (s *State) chooseSlot(taken map[int]bool, size int) int {
-	most := max(0, min(s.Params.MaxValue/liveShareDivisor, s.Params.MaxValue-s.bundleBytes()-size))
-	best := s.emptiestSlot(taken)
-	if best >= 0 && s.slots[best].liveBytes > most && s.bundlesSinceRecount > len(s.slots)/4 {
+func (s *State) chooseSlot(usedSlots map[int]bool, size int) int {
+	maxLiveBytes := max(0, min(s.Params.MaxValue/liveShareDivisor, s.Params.MaxValue-s.bundleBytes()-size))
+	best := s.emptiestSlot(usedSlots)
+	if best >= 0 && s.slots[best].liveBytes > maxLiveBytes && s.bundlesSinceRecount > len(s.slots)/4 {
 		// Entries that are no longer needed may be all that fills the slots.
 		s.recountSlots()
-		best = s.emptiestSlot(taken)
+		best = s.emptiestSlot(usedSlots)
 	}
-	for best >= 0 && s.slots[best].liveBytes <= most {
+	for best >= 0 && s.slots[best].liveBytes <= maxLiveBytes {
 		// Its entries may have grown since they were written.
-		if s.recountSlot(best); s.slots[best].liveBytes <= most {
+		if s.recountSlot(best); s.slots[best].liveBytes <= maxLiveBytes {
 			return best
 		}
-		best = s.emptiestSlot(taken)
+		best = s.emptiestSlot(usedSlots)
 	}
 	s.slots = append(s.slots, &bundleSlot{})
 	return len(s.slots) - 1
@@ -146,10 +146,10 @@
 // emptiestSlot returns the slot with the fewest live bytes, -1 if all are taken. These
 // are counted as bundles are written: in a large fleet, adding up all entries of all
 // slots would take longer than the rest of a transaction.
-func (s *State) emptiestSlot(taken map[int]bool) int {
+func (s *State) emptiestSlot(usedSlots map[int]bool) int {
 	best := -1
 	for slotIndex, slot := range s.slots {
-		if !taken[slotIndex] && (best < 0 || slot.liveBytes < s.slots[best].liveBytes) {
+		if !usedSlots[slotIndex] && (best < 0 || slot.liveBytes < s.slots[best].liveBytes) {
 			best = slotIndex
 		}
 	}
--- a/internal/core/shard/suspend.go
+++ b/internal/core/shard/suspend.go
@@ -7,12 +7,12 @@
 )
 
 // Suspend keeps a job from being placed and started, and stops its tasks.
-func (s *State) Suspend(job *model.JobState, why string, now model.Micros) {
+func (s *State) Suspend(job *model.JobState, reason string, now model.Micros) {
 	job.Suspended = true
 	delete(s.reservations, job)
 	for _, bindings := range job.Bindings {
 		for _, b := range bindings {
-			s.stop(b, 0, why, now)
+			s.stop(b, 0, reason, now)
 		}
 	}
 	if job.Kind == model.Gang && len(job.Bindings) > 0 {
@@ -41,9 +41,9 @@
 
 // AddGuest adds a job of another cell, suspended at first. Its home cell stores its
 // finished tasks and its end.
-func (s *State) AddGuest(spec *model.Job, home string, done model.TaskSet, now model.Micros) *model.JobState {
+func (s *State) AddGuest(spec *model.Job, homeCell string, done model.TaskSet, now model.Micros) *model.JobState {
 	job := &model.JobState{Job: spec, Done: done, Bindings: map[int][]*model.Binding{}, DoneVersions: make([]model.Versions, 1),
-		ReadySince: now, IdleSince: now, HomeCell: home, Suspended: true}
+		ReadySince: now, IdleSince: now, HomeCell: homeCell, Suspended: true}
 	job.Confirmed = model.TaskSetFromBytes(done.Bytes())
 	for i := range spec.Tasks {
 		if !done.Has(i) {
@@ -51,7 +51,7 @@
 		}
 	}
 	s.Jobs[spec.ID] = job
-	s.Log(Event{Kind: EventJob, Task: spec.ID, Reason: spec.Class + " of " + spec.Team + ", lent by " + home})
+	s.Log(Event{Kind: EventJob, Task: spec.ID, Reason: spec.Class + " of " + spec.Team + ", lent by " + homeCell})
 	return job
 }
 
@@ -76,9 +76,9 @@
 // RecordRemoteCompletions notes the tasks that are done in another cell: single tasks of an
 // array, or a gang as a whole. A completion counts whichever cell had the right to run
 // the job.
-func (s *State) RecordRemoteCompletions(job *model.JobState, done []byte, whole bool, now model.Micros) {
+func (s *State) RecordRemoteCompletions(job *model.JobState, done []byte, allDone bool, now model.Micros) {
 	if job.Kind == model.Gang {
-		if whole {
+		if allDone {
 			s.recordCompletion(model.TaskID{Job: job.ID}, nil, now)
 		}
 		return
--- a/internal/core/shard/writes.go
+++ b/internal/core/shard/writes.go
@@ -35,9 +35,9 @@
 }
 
 // markChanged queues the record of a machine that has changed.
-func (s *State) markChanged(m *model.Machine) {
-	m.Version++
-	s.enqueue(MachineEntry + m.ID)
+func (s *State) markChanged(machine *model.Machine) {
+	machine.Version++
+	s.enqueue(MachineEntry + machine.ID)
 }
 
 // PendingWrites returns the number of records that wait to be written.
@@ -107,8 +107,8 @@
 		bits = job.Done.Part(part)
 	}
 	bundle.Done[strings.TrimPrefix(entry, DoneEntry)], write.versions[entry] = slices.Clone(bits), 0
-	if v := finishedVersions(job, part); v != nil {
-		write.versions[entry] = v.Current
+	if versions := finishedVersions(job, part); versions != nil {
+		write.versions[entry] = versions.Current
 	}
 	return true
 }
@@ -132,13 +132,13 @@
 // Writes that got no answer go first, unchanged and alone: until their keys have been
 // written again, a late copy of them could revert entries that were since written to
 // other bundles.
-func (s *State) Writes(ops, bytes int) []Write {
-	if n := min(ops, len(s.unansweredWrites)); n > 0 {
-		writes := s.unansweredWrites[:n:n]
-		s.unansweredWrites = s.unansweredWrites[n:]
+func (s *State) Writes(maxWrites, maxBytes int) []Write {
+	if count := min(maxWrites, len(s.unansweredWrites)); count > 0 {
+		writes := s.unansweredWrites[:count:count]
+		s.unansweredWrites = s.unansweredWrites[count:]
 		return writes
 	}
-	txn := &transaction{maxWrites: ops, bytesLeft: bytes, usedSlots: map[int]bool{}, written: map[string]bool{}}
+	txn := &transaction{maxWrites: maxWrites, bytesLeft: maxBytes, usedSlots: map[int]bool{}, written: map[string]bool{}}
 	// Ends of jobs go first, as users and dependent jobs wait for them. Their order among
 	// the bundles does not matter: all tasks of these jobs are done.
 	s.addEnds(txn)
@@ -161,10 +161,10 @@
 
 // addQueued adds as many entries of the queue as fit.
 func (s *State) addQueued(txn *transaction) {
-	taken := 0
+	processed := 0
 	var postponed []string
-	for taken < len(s.queue) {
-		entry := s.queue[taken]
+	for processed < len(s.queue) {
+		entry := s.queue[processed]
 		switch {
 		case txn.written[entry]:
 			// A bundle has its present version already. Readers could not tell which of two
@@ -175,22 +175,22 @@
 			postponed = append(postponed, entry)
 		default:
 			if !s.addEntry(txn, entry) {
-				s.dequeue(taken, postponed)
+				s.dequeue(processed, postponed)
 				return
 			}
 		}
-		taken++
+		processed++
 	}
-	s.dequeue(taken, postponed)
+	s.dequeue(processed, postponed)
 }
 
 // dequeue removes the first entries from the queue, and puts the postponed ones among
 // them back at its end.
-func (s *State) dequeue(taken int, postponed []string) {
-	for _, entry := range s.queue[:taken] {
+func (s *State) dequeue(count int, postponed []string) {
+	for _, entry := range s.queue[:count] {
 		delete(s.queued, entry)
 	}
-	s.queue = s.queue[taken:]
+	s.queue = s.queue[count:]
 	for _, entry := range postponed {
 		s.enqueue(entry)
 	}
@@ -231,10 +231,10 @@
 	if txn.bytesLeft < size && len(txn.bundle.versions) > 0 {
 		return false
 	}
-	before := txn.bundle.size
+	sizeBefore := txn.bundle.size
 	s.include(txn.bundle, entry)
 	txn.written[entry] = true
-	txn.bytesLeft -= txn.bundle.size - before
+	txn.bytesLeft -= txn.bundle.size - sizeBefore
 	return true
 }
 
@@ -280,14 +280,14 @@
 // markDurable notes that a version of an entry is durable.
 func (s *State) markDurable(entry string, version uint64) {
 	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
-		if m := s.Machines[machineID]; m != nil {
-			m.DurableVersion, m.Stored = max(m.DurableVersion, version), true
+		if machine := s.Machines[machineID]; machine != nil {
+			machine.DurableVersion, machine.Stored = max(machine.DurableVersion, version), true
 		}
 		return
 	}
 	if job, part := s.partOf(entry); job != nil {
-		if v := finishedVersions(job, part); v != nil {
-			v.Stored = max(v.Stored, version)
+		if versions := finishedVersions(job, part); versions != nil {
+			versions.Stored = max(versions.Stored, version)
 		}
 	}
 }
@@ -310,30 +310,30 @@
 // Retry takes back writes whose transaction failed, or got no answer (lost). In the
 // latter case bundles are written again unchanged: they are known to fit, and the
 // conditions on the revisions that we last saw make late copies harmless.
-func (s *State) Retry(writes []Write, lost bool) {
-	var head, ends []string
-	var again []Write
+func (s *State) Retry(writes []Write, outcomeUnknown bool) {
+	var entries, endedJobs []string
+	var unanswered []Write
 	for i := range writes {
 		write := writes[i]
 		if write.Slot == noSlot {
-			ends = append(ends, strings.TrimPrefix(write.Key, jobKeyPrefix))
+			endedJobs = append(endedJobs, strings.TrimPrefix(write.Key, jobKeyPrefix))
 			continue
 		}
-		if write.unanswered = write.unanswered || lost; write.unanswered {
-			again = append(again, write)
+		if write.unanswered = write.unanswered || outcomeUnknown; write.unanswered {
+			unanswered = append(unanswered, write)
 			continue
 		}
 		for entry := range write.versions {
-			head = append(head, entry)
+			entries = append(entries, entry)
 		}
 	}
-	s.unansweredWrites = append(again, s.unansweredWrites...)
-	s.pendingEnds = append(ends, s.pendingEnds...)
-	slices.Sort(head)
+	s.unansweredWrites = append(unanswered, s.unansweredWrites...)
+	s.pendingEnds = append(endedJobs, s.pendingEnds...)
+	slices.Sort(entries)
 	// Entries that have changed again since move to the front.
-	s.queue = slices.DeleteFunc(s.queue, func(entry string) bool { return slices.Contains(head, entry) })
-	for _, entry := range head {
+	s.queue = slices.DeleteFunc(s.queue, func(entry string) bool { return slices.Contains(entries, entry) })
+	for _, entry := range entries {
 		s.queued[entry] = true
 	}
-	s.queue = append(head, s.queue...)
+	s.queue = append(entries, s.queue...)
 }
