--- a/internal/core/shard/bindings.go
+++ b/internal/core/shard/bindings.go
@@ -6,7 +6,7 @@
 	"woadweir/internal/core/model"
 )
 
-// Restore adds a binding that an earlier shard owner made durable.
+// Restore adds a binding that an earlier owner of the shard made durable.
 func (s *State) Restore(job *model.JobState, index int, attempt uint64, m *model.Machine) {
 	b := s.addBinding(job, index, m, attempt, m.LastAnswer)
 	b.Version = m.DurableVersion
@@ -17,7 +17,7 @@
 }
 
 // addBinding adds a binding to its job and its machine, and counts its resources as
-// used.
+// used by the machine and the team.
 func (s *State) addBinding(job *model.JobState, index int, machine *model.Machine, attempt uint64, now model.Micros) *model.Binding {
 	id := model.TaskID{Job: job.ID, Index: index}
 	binding := &model.Binding{ID: id, Attempt: attempt, Job: job.Job, Machine: machine, BoundAt: now}
@@ -33,7 +33,8 @@
 	return binding
 }
 
-// estimateImageFetch notes when the image of a new binding's task will be on the machine.
+// estimateImageFetch records when the image of a newly bound task is expected to be on
+// the machine.
 func (s *State) estimateImageFetch(binding *model.Binding, now model.Micros) {
 	machine, job := binding.Machine, binding.Job
 	machineType := s.MachineTypes[machine.MachineType]
@@ -51,8 +52,8 @@
 	machine.TouchImage(job.Image, job.ImageGB, machineType.CacheGB)
 }
 
-// bind decides that a task goes to a machine. The start may be sent only once the
-// record is durable.
+// bind binds a task to a machine. The start command may be sent only once the record of
+// the machine is durable.
 func (s *State) bind(job *model.JobState, index int, machine *model.Machine, attempt uint64, now model.Micros) {
 	binding := s.addBinding(job, index, machine, attempt, now)
 	s.markChanged(machine)
@@ -63,8 +64,8 @@
 	s.Log(Event{Kind: EventBind, Machine: machine.ID, Task: binding.ID.String(), Attempt: attempt})
 }
 
-// unbind removes a binding. The caller has proof that the attempt is not on the machine
-// and can never start there.
+// unbind removes a binding. The caller must have proof that the attempt is not on the
+// machine and can never start there.
 func (s *State) unbind(binding *model.Binding, proof string, now model.Micros) {
 	machine := binding.Machine
 	if machine.Bindings[binding.ID] != binding {
@@ -82,20 +83,20 @@
 	removeFromJob(job, binding, now)
 	if !job.Done.Has(binding.ID.Index) || job.FinalStatus != "" {
 		// The task may be bound to another machine next. The removal has to be durable
-		// before that binding, and the queue keeps this order. A completed task is never
-		// bound again, so its removal can wait for the next write of the record.
+		// before that binding, and the queue preserves this order. A completed task is
+		// never bound again, so its removal can wait for the next write of the record.
 		s.markChanged(machine)
 	}
 	s.Log(Event{Kind: EventUnbind, Machine: machine.ID, Task: binding.ID.String(), Attempt: binding.Attempt, Reason: proof})
 	if job.Kind == model.Gang && job.FinalStatus == "" && !job.EndPending && len(job.Bindings) > 0 && !job.AttemptFailed {
-		s.failGangAttempt(job, "mate "+binding.ID.String()+" gone", now)
+		s.failGangAttempt(job, "gang member "+binding.ID.String()+" is gone", now)
 	}
 	s.NeedsPlacement = true
 	s.removeIfEnded(job)
 }
 
-// removeFromJob removes a binding from its job. A task that is not bound any more waits
-// again unless it is done.
+// removeFromJob removes a binding from its job. A task without any binding left is
+// waiting again unless it is done.
 func removeFromJob(job *model.JobState, binding *model.Binding, now model.Micros) {
 	index := binding.ID.Index
 	remaining := slices.DeleteFunc(job.Bindings[index], func(other *model.Binding) bool { return other == binding })
@@ -113,8 +114,8 @@
 	}
 }
 
-// stop decides that a bound task is to be stopped. A stop that was decided before is
-// only ever made shorter.
+// stop marks a bound task to be stopped. If it is marked already, the grace period can
+// only be shortened.
 func (s *State) stop(binding *model.Binding, grace model.Micros, reason string, now model.Micros) {
 	if binding.Stopping && grace >= binding.StopGrace {
 		return
@@ -126,9 +127,9 @@
 	binding.Stopping, binding.StopGrace, binding.StopReason = true, grace, reason
 }
 
-// stopBeforeReclaim stops tasks on a spot machine that is about to be reclaimed, if
+// stopBeforeReclaim stops the tasks on a spot machine that is about to be reclaimed, if
 // they would not finish in time. Tasks with checkpoints save their state, the others
-// start again on another machine.
+// start from the beginning on another machine.
 func (s *State) stopBeforeReclaim(machine *model.Machine, now model.Micros) {
 	s.Log(Event{Kind: EventReclaim, Machine: machine.ID})
 	timeLeft := machine.ReclaimedAt - now
@@ -151,7 +152,8 @@
 	}
 }
 
-// stopGrace is the time that a task gets to save its state when so much time is left.
+// stopGrace returns the time that a task of the job gets to save its state if the
+// machine will be gone after timeLeft.
 func (s *State) stopGrace(job *model.JobState, timeLeft model.Micros) model.Micros {
 	if job.CheckpointInterval == 0 || timeLeft < job.SaveTime {
 		return 0
@@ -175,21 +177,21 @@
 	}
 }
 
-// LeaseExpiry is the time after the last possible response at which a worker has
-// certainly killed all its tasks.
+// LeaseExpiry returns the time after the last possible response within which a worker
+// has certainly killed all its tasks. It allows for a clock drift of 1/500.
 func (s *State) LeaseExpiry() model.Micros {
 	return s.Params.WorkerLease + s.Params.WorkerLease/500 + s.Params.LeaseMargin
 }
 
 // Tick removes the bindings of machines whose lease has certainly expired, and fails
-// gang attempts that do not start.
+// gang attempts that have not started in time.
 func (s *State) Tick(now model.Micros) {
 	for _, machine := range s.Machines {
 		if now-machine.LastAnswer <= s.LeaseExpiry() {
 			continue
 		}
 		for _, b := range machine.Bindings {
-			s.unbind(b, "worker's lease is over", now)
+			s.unbind(b, "worker lease expired", now)
 		}
 		if machine.Up && !machine.Lost {
 			machine.Lost = true
@@ -199,14 +201,14 @@
 	for _, job := range s.Jobs {
 		s.checkGang(job, now)
 	}
-	// Jobs become late without any other event.
+	// The passing of time alone makes jobs late.
 	s.NeedsPlacement = true
 }
 
-// StopSuperseded runs once all bindings are restored after a takeover. It stops the
-// bindings of ended jobs and older attempts of tasks that are bound more than once: the
-// earlier owner had proof that those were gone, but its removal of them was not
-// written. They must never be started again beside the newest attempt.
+// StopSuperseded is called once all bindings are restored after a takeover. It stops the
+// bindings of ended jobs, and the older attempts of tasks that are bound more than once:
+// the earlier owner had proof that these attempts were gone, but had not written their
+// removal. They must never be started again in parallel with the newest attempt.
 func (s *State) StopSuperseded() {
 	for _, job := range s.Jobs {
 		for _, bindings := range job.Bindings {
@@ -224,18 +226,18 @@
 			}
 		}
 		if job.Kind == model.Gang && len(job.Bindings) > 0 && len(job.Bindings) < job.Tasks && job.FinalStatus == "" {
-			s.failGangAttempt(job, "attempt is not whole", 0)
+			s.failGangAttempt(job, "gang attempt is incomplete", 0)
 		}
 		s.removeIfEnded(job)
 	}
 	s.refreshOldestAttempt()
 }
 
-// MaxHeartbeatGap is the time after a heartbeat by which the next one should have
+// MaxHeartbeatGap returns the time after a heartbeat by which the next one should have
 // arrived: workers send them at every interval, with a jitter of a quarter of it.
 func (s *State) MaxHeartbeatGap() model.Micros { return s.Params.HeartbeatInterval*5/4 + model.Second }
 
-// Drain stops the tasks on a machine so that they start again on others, and the
+// Drain stops the tasks on a machine so that they start again on other machines, and the
 // machine can be returned to the cloud.
 func (s *State) Drain(m *model.Machine, now model.Micros) {
 	m.Draining = true
--- a/internal/core/shard/capacity.go
+++ b/internal/core/shard/capacity.go
@@ -4,29 +4,30 @@
 	"woadweir/internal/core/model"
 )
 
-// bootTimeFactor is the number of boot times for which a rented machine is expected to
-// come up.
+// bootTimeFactor is the multiple of its boot time within which a rented machine is
+// expected to come up.
 const bootTimeFactor = 2
 
-// isBooting tells whether a machine was rented recently and is expected to come up.
+// isBooting reports whether a machine was rented recently and is expected to come up.
 func (s *State) isBooting(m *model.Machine, now model.Micros) bool {
 	machineType := s.MachineTypes[m.MachineType]
 	return !m.Up && !m.Failed && machineType != nil && now-m.RentedAt < bootTimeFactor*model.Seconds(machineType.BootS)
 }
 
-// HasRoomFor tells whether so many more tasks of a job fit now on the machines that are
-// up, with the given share of the capacity of these machines left free.
+// HasRoomFor reports whether the given number of further tasks of a job fits now on the
+// machines that are up, with the share headroom of their cores left free.
 func (s *State) HasRoomFor(job *model.Job, tasks int, headroom float64) bool {
 	return s.hasRoom(job, tasks, headroom, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers })
 }
 
-// HasRoomSoonFor is like RoomFor without headroom, on machines that are up or booting.
+// HasRoomSoonFor reports whether the given number of further tasks of a job fits on the
+// machines that are up or booting, without headroom.
 func (s *State) HasRoomSoonFor(job *model.Job, tasks int, now model.Micros) bool {
 	return s.hasRoom(job, tasks, 0, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers || s.isBooting(m, now) })
 }
 
-// hasRoom tells whether so many more tasks of a job fit on the usable machines, with
-// the given share of the capacity of these machines left free.
+// hasRoom reports whether the given number of further tasks of a job fits on the usable
+// machines, with the share headroom of their cores left free.
 func (s *State) hasRoom(job *model.Job, tasks int, headroom float64, usable func(m *model.Machine) bool) bool {
 	var total, free model.Resources
 	byZone := map[string]int{}
@@ -55,15 +56,15 @@
 	return !job.SameZone && sum >= tasks
 }
 
-// WithinLimit tells whether so many more tasks of a job are within the limit of its
-// team.
+// WithinLimit reports whether the given number of further tasks of a job is within the
+// limit of its team.
 func (s *State) WithinLimit(job *model.Job, tasks int) bool {
 	team := s.Params.Teams[job.Team]
 	return team != nil && team.WithinLimit(s.Used[job.Team].Plus(job.Request.Times(tasks)))
 }
 
-// OwnWorkWaits tells whether a job of this cell has waited for longer than the
-// patience, and only lacks machines to start.
+// OwnWorkWaits reports whether a job of this cell has waited for longer than maxWait, and
+// only lacks machines to start.
 func (s *State) OwnWorkWaits(maxWait, now model.Micros) bool {
 	for _, job := range s.Jobs {
 		if job.HomeCell != "" || job.Suspended || job.FinalStatus != "" || len(job.Waiting) == 0 || now < job.NotBefore {
--- a/internal/core/shard/commands.go
+++ b/internal/core/shard/commands.go
@@ -6,26 +6,26 @@
 	"woadweir/internal/core/model"
 )
 
-// Command tells a worker what to do with a task.
+// Command is an instruction to a worker about an attempt of a task.
 type Command struct {
 	Op      CommandOp
 	Task    model.TaskID
 	Attempt uint64
-	Grace   model.Micros // of a stop: the time that the task gets to save its state
+	Grace   model.Micros // for StopTask: the time that the task gets to save its state
 }
 
-// CommandOp is what a command tells a worker to do.
+// CommandOp is the operation of a command.
 type CommandOp uint8
 
 // The operations of commands.
 const (
 	StartTask CommandOp = iota + 1 // start an attempt
 	StopTask                       // stop an attempt
-	ClearTask                      // forget an attempt that has exited
+	ClearTask                      // drop the status of an attempt that has exited
 )
 
-// Commands returns the commands in the response to the last heartbeat that was accepted
-// from this machine. The caller sends them at once or not at all.
+// Commands returns the commands for the response to the last heartbeat that was accepted
+// from its machine. The caller must send them immediately or not at all.
 func (s *State) Commands(heartbeat *Heartbeat, now model.Micros) []Command {
 	machine := s.Machines[heartbeat.Machine]
 	if machine == nil {
@@ -59,8 +59,8 @@
 	return Command{Op: ClearTask, Task: task.ID, Attempt: task.Attempt}, true
 }
 
-// stopCommand returns the command to stop a bound task if that was decided, and the
-// task neither has exited nor saves its state already.
+// stopCommand returns the command to stop a bound task if it is marked to be stopped, and
+// has neither exited nor begun to save its state.
 func stopCommand(binding *model.Binding, task *TaskStatus, now model.Micros) (Command, bool) {
 	if !binding.Stopping || task.Status == model.Exited {
 		return Command{}, false
@@ -74,15 +74,15 @@
 	return Command{Op: StopTask, Task: task.ID, Attempt: task.Attempt, Grace: binding.StopGrace}, true
 }
 
-// awaitsDurableCompletion tells whether a task is known to be done, but the record of
-// it is not durable yet.
+// awaitsDurableCompletion reports whether a task is known to be done, but its completion
+// is not durable yet.
 func (s *State) awaitsDurableCompletion(id model.TaskID) bool {
 	job := s.Jobs[id.Job]
 	return job != nil && job.FinalStatus == "" && (job.EndPending || !isCompletionDurable(job, id.Index))
 }
 
 // bindingsToStart returns the bindings of a machine whose tasks are to be started and
-// are not in its heartbeat, in the order of the starts.
+// are not in its heartbeat, in the order in which they are to start.
 func (s *State) bindingsToStart(machine *model.Machine, tasks []TaskStatus) []*model.Binding {
 	reported := make(map[model.TaskID]uint64, len(tasks))
 	for i := range tasks {
@@ -101,7 +101,7 @@
 	return toStart
 }
 
-// mayStart tells whether a binding is durable and its task may be started now.
+// mayStart reports whether a binding is durable and its task may be started now.
 func (s *State) mayStart(binding *model.Binding) bool {
 	if binding.Version > binding.Machine.DurableVersion || binding.Stopping || binding.Reported {
 		return false
@@ -116,8 +116,8 @@
 	return !job.AttemptFailed && s.isGangDurable(job) && !s.shouldStartLater(job, binding)
 }
 
-// isGangDurable tells whether all bindings of a gang's attempt are durable. None of them
-// starts before.
+// isGangDurable reports whether all bindings of a gang's attempt are durable. No task of
+// the gang is started before that.
 func (s *State) isGangDurable(job *model.JobState) bool {
 	if len(job.Bindings) != job.Tasks {
 		return false
@@ -132,10 +132,10 @@
 	return true
 }
 
-// shouldStartLater tells whether a gang's task should start later because other members
-// of the gang may fetch their image for longer than a task waits for its gang. It
-// starts once their images are there. Members are ordered by the length of the fetch,
-// so no two wait for each other.
+// shouldStartLater reports whether the start of a gang's task should be delayed because
+// other members of the gang may take longer to fetch their image than a task waits for
+// its gang. The task starts once their images are there. A member only waits for members
+// with a longer fetch, so no two members wait for each other.
 func (s *State) shouldStartLater(job *model.JobState, binding *model.Binding) bool {
 	for _, bindings := range job.Bindings {
 		for _, member := range bindings {
@@ -147,7 +147,8 @@
 	return false
 }
 
-// HasPendingWrite tells whether the machine has a binding that is not durable yet.
+// HasPendingWrite reports whether the machine's record has changes that are not durable
+// yet.
 func (s *State) HasPendingWrite(machineID string) bool {
 	m := s.Machines[machineID]
 	return m != nil && m.Version > m.DurableVersion
--- a/internal/core/shard/dense.go
+++ b/internal/core/shard/dense.go
@@ -2,20 +2,23 @@
 
 import "encoding/json"
 
-// The dense encoding of a bundle is for deployments whose values have to be small: it
-// takes a third of the plain JSON. Controllers that do not know it fail to read it and
-// stop, as "hosts" is a string in it.
+// denseVersion is the first byte of the dense encoding of a bundle.
+//
+// The dense encoding is a binary encoding, stored as a base64 string in the JSON field
+// "hosts". It is for deployments whose values have to be small: it takes a third of the
+// size of plain JSON. Controllers that do not support it fail to read it and stop,
+// because they expect an object in "hosts".
 //
 // All numbers are unsigned varints, and strings are preceded by their length. Attempts
-// are relative to the smallest one in the bundle. Jobs, machine types and zones are
-// numbers in tables. Of a machine's name, the prefix that it shares with the machine
-// before it is left out.
+// are relative to the smallest attempt in the bundle. Jobs, machine types and zones are
+// indexes into string tables. The name of a machine omits the prefix that it shares with
+// the name of the machine before it.
 const denseVersion = 1
 
-// plainBundle is a bundle without the methods, for plain JSON.
+// plainBundle is a BundleRecord without methods, so that it is encoded as plain JSON.
 type plainBundle BundleRecord
 
-// MarshalJSON writes the dense or the plain encoding, as Dense says.
+// MarshalJSON returns the dense encoding if b.Dense is set, and plain JSON otherwise.
 func (b BundleRecord) MarshalJSON() ([]byte, error) {
 	if !b.Dense {
 		return json.Marshal(plainBundle(b))
@@ -25,7 +28,7 @@
 	}{b.encodeDense()})
 }
 
-// UnmarshalJSON reads either encoding.
+// UnmarshalJSON decodes either encoding.
 func (b *BundleRecord) UnmarshalJSON(raw []byte) error {
 	var envelope struct {
 		Hosts json.RawMessage `json:"hosts"`
--- a/internal/core/shard/dense_decode.go
+++ b/internal/core/shard/dense_decode.go
@@ -5,15 +5,17 @@
 	"errors"
 )
 
-var errInvalidDenseBundle = errors.New("not a dense bundle of this version")
+// errInvalidDenseBundle is returned for input of another version, and for malformed or
+// incomplete input.
+var errInvalidDenseBundle = errors.New("decoding dense bundle: unsupported version or malformed data")
 
-// denseReader reads the basic values of the dense encoding.
+// denseReader reads the primitive values of the dense encoding.
 type denseReader struct {
 	input     []byte
 	malformed bool
 }
 
-// fail marks the input as malformed. All values read after that are empty.
+// fail marks the input as malformed. All values that are read afterwards are zero.
 func (r *denseReader) fail() { r.malformed, r.input = true, nil }
 
 func (r *denseReader) readUvarint() uint64 {
@@ -26,8 +28,8 @@
 	return value
 }
 
-// readCount reads the number of items that follow. Each takes a byte at least, so a number
-// beyond the input is malformed.
+// readCount reads the number of items that follow. Each item takes at least one byte, so
+// a number greater than the remaining bytes of input is malformed.
 func (r *denseReader) readCount() int {
 	count := r.readUvarint()
 	if count > uint64(len(r.input)) {
@@ -52,7 +54,7 @@
 	return table
 }
 
-// readTableName reads the number of a name in a table.
+// readTableName reads the index of a name in a table and returns the name.
 func (r *denseReader) readTableName(table []string) string {
 	index := r.readUvarint()
 	if index >= uint64(len(table)) {
@@ -62,13 +64,14 @@
 	return table[index]
 }
 
-// bundleDecoder decodes the body of a bundle with the tables of its header.
+// bundleDecoder decodes the body of a bundle with the string tables of its header.
 type bundleDecoder struct {
 	denseReader
 	baseAttempt  uint64
 	labels, jobs []string
 }
 
+// decodeDense replaces the bundle with the one decoded from input.
 func (b *BundleRecord) decodeDense(input []byte) error {
 	if len(input) == 0 || input[0] != denseVersion {
 		return errInvalidDenseBundle
@@ -90,19 +93,19 @@
 	machines := map[string]*MachineRecord{}
 	previous := ""
 	for range d.readCount() {
-		prefix := d.readUvarint()
-		if prefix > uint64(len(previous)) {
+		prefixLength := d.readUvarint()
+		if prefixLength > uint64(len(previous)) {
 			d.fail()
 			return machines
 		}
-		id := previous[:prefix] + d.readString()
+		id := previous[:prefixLength] + d.readString()
 		machines[id] = d.readMachine()
 		previous = id
 	}
 	return machines
 }
 
-// readMachine decodes a machine's record, nil if the machine is gone.
+// readMachine decodes the record of a machine. It returns nil if the machine is gone.
 func (d *bundleDecoder) readMachine() *MachineRecord {
 	kind := d.readUvarint()
 	if kind == denseMachineGone {
@@ -118,7 +121,7 @@
 	return machine
 }
 
-// readTasks decodes pairs of a task's index and its attempt.
+// readTasks decodes pairs of task index and attempt.
 func (d *bundleDecoder) readTasks() [][2]uint64 {
 	tasks := make([][2]uint64, 0, 4)
 	for range d.readCount() {
--- a/internal/core/shard/dense_encode.go
+++ b/internal/core/shard/dense_encode.go
@@ -6,12 +6,13 @@
 	"slices"
 )
 
-// stringTable numbers strings in the order of their first use.
+// stringTable assigns indexes to strings in the order of their first use.
 type stringTable struct {
 	indexes map[string]uint64
 	names   []string
 }
 
+// index returns the index of a string, which is added if it is new.
 func (t *stringTable) index(name string) uint64 {
 	n, ok := t.indexes[name]
 	if !ok {
@@ -25,14 +26,18 @@
 	return n
 }
 
-// denseWriter appends the basic values of the dense encoding.
+// denseWriter appends the primitive values of the dense encoding to a buffer.
 type denseWriter struct{ buffer []byte }
 
 func (w *denseWriter) writeUvarint(value uint64) { w.buffer = binary.AppendUvarint(w.buffer, value) }
+
+// writeString writes the length of a string and the string.
 func (w *denseWriter) writeString(text string) {
 	w.writeUvarint(uint64(len(text)))
 	w.buffer = append(w.buffer, text...)
 }
+
+// writeTable writes the number of strings in a table and the strings.
 func (w *denseWriter) writeTable(table *stringTable) {
 	w.writeUvarint(uint64(len(table.names)))
 	for _, name := range table.names {
@@ -40,7 +45,8 @@
 	}
 }
 
-// bundleEncoder encodes the body of a bundle and collects the tables of its header.
+// bundleEncoder encodes the body of a bundle and collects the string tables for its
+// header.
 type bundleEncoder struct {
 	denseWriter
 	baseAttempt uint64      // attempts are relative to it
@@ -48,6 +54,7 @@
 	jobs        stringTable
 }
 
+// encodeDense returns the dense encoding of the bundle.
 func (b *BundleRecord) encodeDense() []byte {
 	body := bundleEncoder{baseAttempt: b.smallestAttempt()}
 	body.writeMachines(b.Machines)
@@ -76,20 +83,21 @@
 	return smallest
 }
 
+// writeMachines encodes the records of machines, sorted by name.
 func (e *bundleEncoder) writeMachines(machines map[string]*MachineRecord) {
 	ids := slices.Sorted(maps.Keys(machines))
 	e.writeUvarint(uint64(len(ids)))
 	previous := ""
 	for _, id := range ids {
-		prefix := sharedPrefixLength(previous, id)
-		e.writeUvarint(uint64(prefix))
-		e.writeString(id[prefix:])
+		prefixLength := sharedPrefixLength(previous, id)
+		e.writeUvarint(uint64(prefixLength))
+		e.writeString(id[prefixLength:])
 		e.writeMachine(machines[id])
 		previous = id
 	}
 }
 
-// sharedPrefix returns the length of the common prefix of two strings.
+// sharedPrefixLength returns the length of the common prefix of two strings.
 func sharedPrefixLength(a, b string) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
@@ -98,13 +106,14 @@
 	return n
 }
 
-// Kinds of machines in the dense encoding.
+// The kinds of machines in the dense encoding.
 const (
 	denseMachineGone     = 0
 	denseMachineOnDemand = 1
 	denseMachineSpot     = 2
 )
 
+// writeMachine encodes the record of a machine, which is nil if the machine is gone.
 func (e *bundleEncoder) writeMachine(machine *MachineRecord) {
 	if machine == nil {
 		e.writeUvarint(denseMachineGone)
@@ -124,7 +133,7 @@
 	}
 }
 
-// writeTasks encodes pairs of a task's index and its attempt.
+// writeTasks encodes pairs of task index and attempt.
 func (e *bundleEncoder) writeTasks(tasks [][2]uint64) {
 	e.writeUvarint(uint64(len(tasks)))
 	for _, task := range tasks {
@@ -133,6 +142,7 @@
 	}
 }
 
+// writeFinished encodes the finished tasks by job or part of a job, sorted by name.
 func (e *bundleEncoder) writeFinished(done map[string][]byte) {
 	names := slices.Sorted(maps.Keys(done))
 	e.writeUvarint(uint64(len(names)))
--- a/internal/core/shard/dense_sizes.go
+++ b/internal/core/shard/dense_sizes.go
@@ -2,18 +2,18 @@
 
 import "strings"
 
-// Upper bounds of the bytes that parts of the dense encoding take.
+// Upper bounds of the sizes in bytes of parts of the dense encoding.
 const (
-	denseBytesPerBundle   = 64 // version, smallest attempt, counts, and the quotes
-	denseBytesPerMachine  = 8  // lengths, kind, numbers of type and zone, number of jobs
-	denseBytesPerJob      = 4  // number and count
-	denseBytesPerFinished = 6
+	denseBytesPerBundle   = 64 // version, smallest attempt, counts, and the JSON quotes
+	denseBytesPerMachine  = 8  // lengths, kind, indexes of type and zone, number of jobs
+	denseBytesPerJob      = 4  // index of the job and number of its tasks
+	denseBytesPerFinished = 6  // lengths of the name and of the bit set
 )
 
-// base64Bytes returns the length of n bytes in base64.
+// base64Bytes returns the length of n bytes encoded in base64.
 func base64Bytes(n int) int { return (n*4 + 2) / 3 }
 
-// uvarintBytes returns the length of a number as an unsigned varint.
+// uvarintBytes returns the length of v encoded as an unsigned varint.
 func uvarintBytes(v uint64) int {
 	n := 1
 	for ; v >= 0x80; v >>= 7 {
@@ -22,13 +22,15 @@
 	return n
 }
 
-// denseTaskBytes returns the most that a bound task takes. Its attempt is relative to
-// the smallest one in the bundle, which is never below the smallest one that is bound.
+// denseTaskBytes returns the maximum size of a bound task. Its attempt is encoded
+// relative to the smallest attempt in the bundle, which is never below the smallest
+// attempt that is bound.
 func (s *State) denseTaskBytes(index int, attempt uint64) int {
 	return uvarintBytes(uint64(index)) + uvarintBytes(attempt-min(s.oldestAttempt, attempt))
 }
 
-// denseNameBytes returns what a name takes in a table, 0 if it is there already.
+// denseNameBytes returns the number of bytes that a name adds to the string tables, 0 if
+// tableNames contains it already.
 func denseNameBytes(name string, tableNames map[string]bool) int {
 	if tableNames[name] {
 		return 0
@@ -36,8 +38,8 @@
 	return uvarintBytes(uint64(len(name))) + len(name)
 }
 
-// denseEntryBytes returns the most that an entry takes in a bundle whose tables have
-// the known names.
+// denseEntryBytes returns the maximum size of an entry in a bundle whose string tables
+// contain tableNames.
 func (s *State) denseEntryBytes(entry string, tableNames map[string]bool) int {
 	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
 		size := denseBytesPerMachine + len(machineID)
@@ -64,7 +66,7 @@
 	return base64Bytes(denseBytesPerFinished + len(job.ID) + len(job.Done.Bytes()))
 }
 
-// addTableNames adds the names that an entry puts into the tables to the known ones.
+// addTableNames adds to tableNames the names that an entry adds to the string tables.
 func (s *State) addTableNames(entry string, tableNames map[string]bool) {
 	if m := s.Machines[strings.TrimPrefix(entry, MachineEntry)]; m != nil {
 		tableNames[m.MachineType], tableNames[m.Zone] = true, true
@@ -74,7 +76,7 @@
 	}
 }
 
-// refreshOldestAttempt finds the smallest attempt that is bound.
+// refreshOldestAttempt sets oldestAttempt to the smallest attempt that is bound.
 func (s *State) refreshOldestAttempt() {
 	s.oldestAttempt = s.Token << attemptBits
 	for _, m := range s.Machines {
--- a/internal/core/shard/finished.go
+++ b/internal/core/shard/finished.go
@@ -6,11 +6,11 @@
 	"woadweir/internal/core/model"
 )
 
-// enqueueFinished queues the finished tasks of a job to be written, or the part of them
-// with the given index if they are stored in parts.
+// enqueueFinished queues the finished tasks of a job to be written. If they are stored in
+// parts, only the part that contains the task with the given index is queued.
 func (s *State) enqueueFinished(job *model.JobState, index int) {
 	if job.HomeCell != "" {
-		return // its home cell stores them
+		return // the home cell stores them
 	}
 	if len(job.DoneVersions) == 1 {
 		job.DoneVersions[0].Current++
@@ -23,8 +23,9 @@
 }
 
 // finishedVersions returns the versions of a part of a job's finished tasks, or of the
-// whole (-1). It is nil if the job is stored in the other form: such an entry was
-// written by an owner with other limits, and is only copied along.
+// whole set if part is -1. It returns nil if the job is stored in the other form: such an
+// entry was written by an owner with other size limits, and is only copied when its slot
+// is rewritten.
 func finishedVersions(job *model.JobState, part int) *model.Versions {
 	if (part < 0) != (len(job.DoneVersions) == 1) {
 		return nil
@@ -32,7 +33,8 @@
 	return &job.DoneVersions[max(part, 0)]
 }
 
-// storeInParts stores a job's finished tasks in parts from now on.
+// storeInParts switches a job to storing its finished tasks in parts, and queues the
+// parts that are not empty.
 func (s *State) storeInParts(job *model.JobState) {
 	job.DoneVersions = make([]model.Versions, model.PartCount(job.Tasks))
 	for part := range job.DoneVersions {
@@ -42,7 +44,7 @@
 	}
 }
 
-// isCompletionDurable tells whether the completion of a task is durable, or will be
+// isCompletionDurable reports whether the completion of a task is durable, or will be
 // with the end of the job.
 func isCompletionDurable(job *model.JobState, index int) bool {
 	if job.HomeCell != "" {
--- a/internal/core/shard/gangs.go
+++ b/internal/core/shard/gangs.go
@@ -2,8 +2,8 @@
 
 import "woadweir/internal/core/model"
 
-// failGangAttempt stops what is left of a gang's attempt, so that the next attempt can
-// begin.
+// failGangAttempt marks a gang's attempt as failed and stops its remaining tasks, so that
+// the next attempt can begin.
 func (s *State) failGangAttempt(job *model.JobState, reason string, now model.Micros) {
 	job.AttemptFailed = true
 	for _, bindings := range job.Bindings {
@@ -13,9 +13,9 @@
 	}
 }
 
-// checkGang fails an attempt that has not started in the time that fetching the images
-// and waiting for the other members can take. Its machines must not stay idle for it
-// without end.
+// checkGang fails an attempt that has not started within the time that fetching the
+// images and waiting for the other members can take. Without this limit its machines
+// could stay idle indefinitely.
 func (s *State) checkGang(job *model.JobState, now model.Micros) {
 	if job.Kind != model.Gang || job.AttemptFailed || job.FinalStatus != "" || job.EndPending || len(job.Bindings) == 0 {
 		return
@@ -30,6 +30,6 @@
 		}
 	}
 	if now-boundSince > 3*maxFetch+2*s.Params.GangWait+s.LeaseExpiry() {
-		s.failGangAttempt(job, "it does not come together", now)
+		s.failGangAttempt(job, "gang attempt has not started in time", now)
 	}
 }
--- a/internal/core/shard/heartbeats.go
+++ b/internal/core/shard/heartbeats.go
@@ -9,11 +9,11 @@
 	ID         model.TaskID
 	Attempt    uint64
 	Status     model.TaskState
-	Cause      ExitCause // of an exited task
+	Cause      ExitCause // why the attempt has exited, empty until then
 	StateSaved bool      // the task saved its state before it exited
 }
 
-// ExitCause is why an attempt has exited, as it is logged.
+// ExitCause is the cause of an attempt's exit. Its value is sent by workers and logged.
 type ExitCause string
 
 // The causes of exits.
@@ -43,27 +43,28 @@
 
 // The results of ApplyHeartbeat.
 const (
-	// Accepted heartbeats are answered with commands.
+	// Accepted means that the heartbeat was applied. It is answered with commands.
 	Accepted HeartbeatResult = iota
-	// Stale heartbeats are late copies, or of a machine that is being deleted.
+	// Stale means that the heartbeat is a late copy, or that its machine is being deleted.
 	Stale
-	// HigherToken means that the worker knows a higher fencing token than ours.
+	// HigherToken means that the worker knows a higher fencing token than that of this
+	// shard's owner.
 	HigherToken
-	// TokenUnknown means that an unknown machine does not know our token yet. It is
-	// answered with the token alone: unless the heartbeat is an old copy, the machine's
-	// next heartbeat has that token.
+	// TokenUnknown means that the machine is unknown and does not know the owner's token
+	// yet. It is answered with the token alone: unless the heartbeat is an old copy, the
+	// machine's next heartbeat has that token.
 	TokenUnknown
 )
 
-// ApplyHeartbeat updates the state with a heartbeat. The response is made by Commands,
-// after the placement round that the heartbeat may have caused.
+// ApplyHeartbeat updates the state from a heartbeat. The commands for the response are
+// returned by Commands, after the placement round that the heartbeat may have caused.
 func (s *State) ApplyHeartbeat(heartbeat *Heartbeat, now model.Micros) HeartbeatResult {
 	if heartbeat.Token > s.Token {
 		return HigherToken
 	}
 	machine := s.Machines[heartbeat.Machine]
 	if machine == nil && heartbeat.Token != s.Token {
-		// It may be an old copy, of a machine that is gone.
+		// It may be an old copy of a heartbeat of a machine that is gone.
 		return TokenUnknown
 	}
 	if machine == nil {
@@ -78,22 +79,22 @@
 	s.detectSlowMachine(machine, now)
 	s.quarantineIfFaulty(machine, now)
 	if heartbeat.Token == s.Token {
-		// Under an older token, a start of an earlier owner may still be on its way.
+		// Under an older token, a start command of an earlier owner may still be in flight.
 		s.unbindMissing(machine, reported, now)
 	}
 	return Accepted
 }
 
-// isLateCopy tells whether a newer heartbeat of the machine has been applied already. A
-// late copy must not revert what that said.
+// isStale reports whether the same or a newer heartbeat of the machine has been applied
+// already. A late copy must not revert its effects.
 func isStale(machine *model.Machine, heartbeat *Heartbeat) bool {
 	return heartbeat.Incarnation < machine.Incarnation || heartbeat.Incarnation == machine.Incarnation && heartbeat.Sequence <= machine.Sequence
 }
 
-// updateMachine applies what a heartbeat says about the machine itself.
+// updateMachine applies the fields of a heartbeat that describe the machine itself.
 func (s *State) updateMachine(machine *model.Machine, heartbeat *Heartbeat, now model.Micros) {
 	s.checkReceivesAnswers(machine, heartbeat, now)
-	// The response must not wait for a placement round if it may not arrive.
+	// The response must not wait for a placement round if it may not reach the worker.
 	machine.HasNewCapacity = machine.HasNewCapacity && machine.ReceivesAnswers
 	if !machine.Up && heartbeat.Token == s.Token {
 		machine.Up, machine.HasNewCapacity, s.NeedsPlacement = true, true, true
@@ -109,8 +110,8 @@
 	}
 }
 
-// applyTaskStatuses applies the states of the tasks in a heartbeat. It returns the
-// bound tasks that are in it.
+// applyTaskStatuses applies the statuses of the tasks in a heartbeat. It returns which
+// bound tasks are in it.
 func (s *State) applyTaskStatuses(machine *model.Machine, tasks []TaskStatus, now model.Micros) map[model.TaskID]bool {
 	reported := make(map[model.TaskID]bool, len(tasks))
 	for i := range tasks {
@@ -126,8 +127,8 @@
 	return reported
 }
 
-// unbindMissing removes the bindings of tasks that are proven not to be on the machine,
-// as its heartbeat does not have them.
+// unbindMissing removes the bindings of tasks that are proven not to be on the machine
+// because they are missing from its heartbeat.
 func (s *State) unbindMissing(machine *model.Machine, reported map[model.TaskID]bool, now model.Micros) {
 	for id, binding := range machine.Bindings {
 		if reported[id] {
@@ -136,18 +137,18 @@
 		sent := binding.SentIncarnation != 0 || binding.SentSequence != 0
 		switch {
 		case binding.Reported:
-			s.unbind(binding, "newer report without it", now)
+			s.unbind(binding, "missing from a newer heartbeat", now)
 		case binding.Stopping || s.Jobs[id.Job].Done.Has(id.Index) || s.Jobs[id.Job].FinalStatus != "":
-			// We never started it, or that response was lost: a worker only acts on the
+			// The start was never sent, or that response was lost: a worker only acts on the
 			// response to its last heartbeat, and this heartbeat is newer.
-			s.unbind(binding, "newer report without it, not wanted", now)
+			s.unbind(binding, "missing from a newer heartbeat, no longer needed", now)
 		case sent && now-binding.BoundAt > s.Params.GangWait:
-			s.unbind(binding, "start never took", now)
+			s.unbind(binding, "start had no effect", now)
 		}
 	}
 }
 
-// updateBinding applies the reported state of a bound task.
+// updateBinding applies the reported status of a bound task.
 func (s *State) updateBinding(binding *model.Binding, task *TaskStatus, now model.Micros) {
 	machine := binding.Machine
 	binding.Reported = true
@@ -170,7 +171,7 @@
 	machine := binding.Machine
 	if machine.Token != s.Token {
 		// The heartbeat may be an old copy, and the same attempt may have been started
-		// again since. A completion stays true all the same.
+		// again since. A completion remains valid in any case.
 		if task.Cause == CauseDone {
 			s.recordCompletion(task.ID, binding, now)
 		}
@@ -181,7 +182,7 @@
 	case CauseDone:
 		s.recordCompletion(task.ID, binding, now)
 		s.clearFailures(machine)
-		s.unbind(binding, "ended: done", now)
+		s.unbind(binding, "exited: done", now)
 		return
 	case CauseError:
 		s.recordFailure(job, machine, now)
@@ -189,11 +190,11 @@
 		job.UnknownToWorkers = job.UnknownToWorkers || task.Cause == CauseJobUnknown
 		job.NotBefore = max(job.NotBefore, now+model.Second)
 	}
-	s.unbind(binding, "ended: "+string(task.Cause), now)
+	s.unbind(binding, "exited: "+string(task.Cause), now)
 }
 
 // recordCompletion marks a task as done, and requests the end of its job if it was the
-// last one. The binding is nil if the attempt is not bound.
+// last task. The binding is nil if the attempt is not bound.
 func (s *State) recordCompletion(id model.TaskID, binding *model.Binding, now model.Micros) {
 	job := s.Jobs[id.Job]
 	if job == nil || job.FinalStatus != "" || id.Index >= job.Tasks {
@@ -203,7 +204,7 @@
 		s.recordRunTime(job.Class, now-binding.RunningSince)
 	}
 	if job.Kind == model.Gang {
-		// One done task of a gang means that all of them are done.
+		// A gang is done as soon as one of its tasks is done.
 		s.requestEnd(job)
 		return
 	}
--- a/internal/core/shard/job_order.go
+++ b/internal/core/shard/job_order.go
@@ -5,13 +5,14 @@
 	"woadweir/internal/core/placement"
 )
 
-// classLoad is the load that the tasks of a class make.
+// classLoad is the load caused by the tasks of a class.
 type classLoad struct {
-	rate    float64 // tasks that are expected to end in a second
-	waiting int     // tasks that may be started
+	rate    float64 // tasks that are expected to end per second
+	waiting int     // waiting tasks that may be started
 }
 
-// timeToStart is the time until all waiting tasks of the class have started.
+// timeToStart returns the expected time until all waiting tasks of the class have
+// started.
 func (l classLoad) timeToStart() model.Micros {
 	if l.waiting == 0 {
 		return 0
@@ -22,11 +23,12 @@
 	return model.Seconds(min(float64(l.waiting)/l.rate, unboundedTime.Seconds()))
 }
 
-// unboundedTime is longer than any time that matters.
+// unboundedTime stands for a time without an upper bound. It is longer than any time
+// that matters here.
 const unboundedTime = model.Micros(1) << 50
 
-// updateClassLoads computes the load of every class from the bindings, so a new owner
-// knows it at once.
+// updateClassLoads computes the load of every class from the bindings, so that a new
+// owner of the shard has it immediately.
 func (s *State) updateClassLoads(jobs []*model.JobState, now model.Micros) {
 	s.classLoads = make(map[string]classLoad, len(s.runTimes)+1)
 	for _, job := range jobs {
@@ -41,25 +43,26 @@
 	}
 }
 
-// missedObjectiveOffset is the first due time of jobs that have missed a target, but can still
-// meet another.
+// missedObjectiveOffset is the smallest order key of jobs that have missed an objective,
+// but can still meet another.
 const missedObjectiveOffset = placement.LateDueAt / 2
 
-// maxOvertaken bounds the time for which a job may be overtaken by jobs with less work
-// left. It is well within the four minutes in which all jobs are to start, as the
-// largest ones need most time to get their machines.
+// maxOvertakenTime is the longest time for which jobs with less remaining work may go
+// before a job. It is well within the four minutes in which all jobs are to start,
+// because the largest jobs need the most time to get their machines.
 const maxOvertakenTime = 90 * model.Second
 
-// orderKey orders jobs of the same priority. Jobs that can still meet all targets of their
-// class go first, those with the least work left before the others: when not all jobs
-// can be in time, this order gets the most of them done in time. Then come jobs that
-// have missed a target and can meet another, and finally, by age, jobs that cannot meet
-// any. A job that is about to miss the last target for its start or its end goes before
-// all these, as long as all waiting tasks can be in time; otherwise this would only
-// make all of them late.
+// orderKey returns the key by which jobs of the same priority are ordered, smallest
+// first. Jobs that can still meet all objectives of their class go first, ordered by
+// remaining work: when not all jobs can be in time, shortest-first gets the most of them
+// done in time. Then come jobs that have missed an objective and can meet another, and
+// finally, by age, jobs that cannot meet any. A job that is about to miss the last
+// objective for its start or its end goes before all of these, as long as all waiting
+// tasks can be in time; otherwise this would only make all of them late.
 func (s *State) orderKey(job *model.JobState, now model.Micros) model.Micros {
 	if job.Kind == model.Gang && job.HasRun {
-		// It lost its machines after it had started: it need not wait in the queue again.
+		// The gang lost its machines after it had started. It does not wait in the queue
+		// again.
 		return job.ReadySince - placement.LateDueAt
 	}
 	runTime := s.ExpectedRunTime(job.Job)
@@ -79,9 +82,9 @@
 	return missedObjectiveOffset + remainingWork
 }
 
-// isAboutToMissLastObjective tells whether a job of that age and expected end is about to miss the
-// last target of its class for the start or the end, while all waiting tasks of the class
-// can start in time.
+// isAboutToMissLastObjective reports whether a job of the given age and expected end is
+// about to miss the last objective of its class for the start or the end, while all
+// waiting tasks of the class can start in time.
 func (s *State) isAboutToMissLastObjective(job *model.JobState, age, expectedEnd model.Micros) bool {
 	startObjectives := s.Params.StartObjectives[job.Class]
 	if len(startObjectives) == 0 {
@@ -100,8 +103,8 @@
 	return expectedEnd >= lastObjective*3/4 && expectedEnd <= lastObjective && s.classLoads[job.Class].timeToStart() < lastObjective/4
 }
 
-// countObjectives counts the targets that a job of that age and expected end can still
-// meet, and those that it misses.
+// countObjectives counts the objectives that a job of the given age and expected end can
+// still meet, and those that it misses.
 func (s *State) countObjectives(job *model.JobState, age, expectedEnd model.Micros) (met, missed int) {
 	count := func(meets bool) {
 		if meets {
@@ -125,9 +128,9 @@
 	return met, missed
 }
 
-// lossMakesLate tells whether a job is expected to meet its deadline, or a multiple of
-// it that is a target, but not if a task is lost after half of its run. Such jobs
-// should not run on spot machines.
+// lateIfTaskLost reports whether a job is expected to meet its deadline, or a multiple of
+// the deadline that is an objective, but would miss it if a task were lost halfway
+// through its run. Such jobs should not run on spot machines.
 func (s *State) lateIfTaskLost(job *model.JobState, now model.Micros) bool {
 	if job.Deadline <= 0 {
 		return false
--- a/internal/core/shard/jobs.go
+++ b/internal/core/shard/jobs.go
@@ -2,8 +2,10 @@
 
 import "woadweir/internal/core/model"
 
-// AddJob adds a job that was accepted age ago, with the tasks that are done already.
-func (s *State) AddJob(spec *model.Job, done model.TaskSet, ended string, now, age model.Micros) *model.JobState {
+// AddJob adds a job that has been ready for the given age, with the tasks that are done
+// already. It returns the existing job if the job is known. If finalStatus is not empty,
+// the job has ended.
+func (s *State) AddJob(spec *model.Job, done model.TaskSet, finalStatus string, now, age model.Micros) *model.JobState {
 	if job := s.Jobs[spec.ID]; job != nil {
 		return job
 	}
@@ -11,16 +13,16 @@
 		Job:          spec,
 		Done:         done,
 		DoneVersions: make([]model.Versions, 1),
-		FinalStatus:  ended,
+		FinalStatus:  finalStatus,
 		Bindings:     map[int][]*model.Binding{},
 		ReadySince:   now - age,
 		IdleSince:    now - age,
 	}
-	if s.needsParts(spec) && ended == "" {
-		// The finished tasks may be stored as a whole that is too large to be written again.
+	if s.needsParts(spec) && finalStatus == "" {
+		// The finished tasks may be stored as a whole set that is too large to be rewritten.
 		s.storeInParts(job)
 	}
-	if ended == "" {
+	if finalStatus == "" {
 		job.Waiting = make([]int, 0, spec.Tasks-done.Len())
 		for i := range spec.Tasks {
 			if !done.Has(i) {
@@ -52,15 +54,15 @@
 	s.removeIfEnded(job)
 }
 
-// removeIfEnded removes an ended job once none of its tasks is bound. Its end stays in
-// the state service for ever.
+// removeIfEnded removes an ended job once none of its tasks is bound. Its end remains in
+// the state service permanently.
 func (s *State) removeIfEnded(job *model.JobState) {
 	if job.FinalStatus != "" && len(job.Bindings) == 0 {
 		delete(s.Jobs, job.ID)
 	}
 }
 
-// requestEnd queues the end of a job whose tasks are done, to be written.
+// requestEnd queues the end of a job whose tasks are done, so that it is written.
 func (s *State) requestEnd(job *model.JobState) {
 	if job.FinalStatus == "" && !job.EndPending {
 		job.EndPending = true
--- a/internal/core/shard/placement.go
+++ b/internal/core/shard/placement.go
@@ -6,33 +6,37 @@
 )
 
 const (
-	// maxMissedHeartbeats is after how many heartbeat intervals without one a machine gets
-	// no new work.
+	// maxMissedHeartbeats is the number of heartbeat intervals without a heartbeat after
+	// which a machine gets no new work.
 	maxMissedHeartbeats = 3
-	// stopTimePercent is about how long it takes until a stopped task's resources are
+	// stopTimePercent is the approximate time until the resources of a stopped task are
 	// free, in percent of the heartbeat interval.
 	stopTimePercent = 120
-	// gpuGrowthDivisor gives, from the GPUs in use, those that may soon be wanted.
+	// gpuGrowthDivisor is applied to the GPUs in use. The quotient is the number of GPUs
+	// that may soon be wanted in addition.
 	gpuGrowthDivisor = 2
-	// milliPerUnit is how many thousandths make a whole.
+	// milliPerUnit is the number of thousandths in a unit.
 	milliPerUnit = 1000
 )
 
-// How long jobs wait before others are preempted for them.
+// The time that jobs wait before others are preempted for them.
 const (
-	// defaultMaxWait is for jobs without an aim.
+	// defaultMaxWait applies to jobs without an objective.
 	defaultMaxWait = 180 * model.Second
-	// maxWaitPercent is for classes with a start aim, in percent of it.
+	// maxWaitPercent applies to classes with a start objective, in percent of that
+	// objective.
 	maxWaitPercent = 40
-	// promptMaxWaitDivisor gives it for classes that are to start within promptStart, for
-	// which stopping a task takes a larger part of that time.
+	// promptMaxWaitDivisor applies to classes with a start objective below
+	// promptStartObjective: they wait for that objective divided by it. Stopping a task
+	// takes a larger part of a short objective.
 	promptMaxWaitDivisor = 4
 	promptStartObjective = 60 * model.Second
-	// deadlineMaxWaitDivisor gives it from what a run leaves of the job's deadline.
+	// deadlineMaxWaitDivisor applies to jobs that have only a deadline: they wait for the
+	// time that their run leaves until the deadline, divided by it.
 	deadlineMaxWaitDivisor = 4
 )
 
-// PlacementInput returns what a placement round works on.
+// PlacementInput returns a placement round that works on the current state.
 func (s *State) PlacementInput(now model.Micros) *placement.Round {
 	adapter := placementAdapter{state: s, now: now}
 	round := &placement.Round{
@@ -58,7 +62,8 @@
 	return round
 }
 
-// placeableJobs are the jobs whose tasks may be placed here, brought up to date.
+// placeableJobs returns the jobs whose tasks may be placed in this cell, after updating
+// their LateIfTaskLost.
 func (s *State) placeableJobs(now model.Micros) []*model.JobState {
 	jobs := make([]*model.JobState, 0, len(s.Jobs))
 	for _, job := range s.Jobs {
@@ -71,15 +76,15 @@
 	return jobs
 }
 
-// gpuDemand is what jobs with GPUs ask for.
+// gpuDemand holds the resources requested by jobs that use GPUs.
 type gpuDemand struct {
-	// requested is what all their tasks take, waiting and bound.
+	// requested is the sum for all their tasks, waiting and bound.
 	requested model.Resources
-	// waiting are, by team, the GPUs of waiting tasks that the team's limit allows.
+	// waiting maps a team to the GPUs of its waiting tasks that its limit allows.
 	waiting map[string]model.Milli
 }
 
-// gpuDemand sums up what jobs with GPUs ask for.
+// gpuDemand adds up the resources requested by jobs that use GPUs.
 func (s *State) gpuDemand(jobs []*model.JobState) gpuDemand {
 	demand := gpuDemand{waiting: map[string]model.Milli{}}
 	for _, job := range jobs {
@@ -90,7 +95,7 @@
 		demand.requested = demand.requested.Plus(job.Request.Times(tasks))
 		if team := s.Params.Teams[job.Team]; team != nil {
 			request := job.Request
-			request.Mem = 0 // memory is not limited
+			request.Mem = 0 // team limits do not include memory
 			allowed := request.FitCount(team.Limit.Minus(s.Used[job.Team]), len(job.Waiting))
 			demand.waiting[job.Team] += job.Request.GPUs * model.Milli(allowed)
 		}
@@ -98,7 +103,7 @@
 	return demand
 }
 
-// requestPerGPU is what a task takes beside each of its GPUs, on average.
+// requestPerGPU returns the average cores and memory that tasks request per GPU.
 func (d gpuDemand) requestPerGPU() model.Resources {
 	gpus := d.requested.GPUs
 	if gpus == 0 {
@@ -110,8 +115,8 @@
 	}
 }
 
-// wantedGPUs are the GPUs that are wanted beyond those in use. Besides those of waiting
-// tasks, some more may soon be wanted: half of what is in use.
+// wantedGPUs returns the GPUs that are wanted in addition to those in use: those of
+// waiting tasks, and half of those in use, which may soon be wanted as well.
 func (s *State) wantedGPUs(demand gpuDemand) (wanted model.Milli) {
 	for name, waiting := range demand.waiting {
 		used := s.Used[name].GPUs
@@ -121,7 +126,7 @@
 	return wanted
 }
 
-// maxWait is how long a job waits until others are preempted for it.
+// maxWait returns how long a job waits before others are preempted for it.
 func (s *State) maxWait(job *model.JobState) model.Micros {
 	if startObjectives := s.Params.StartObjectives[job.Class]; len(startObjectives) > 0 {
 		firstObjective := startObjectives[0]
@@ -131,15 +136,16 @@
 		return firstObjective * maxWaitPercent / 100
 	}
 	if job.Deadline > 0 && job.Priority >= model.HighPriority {
-		// The deadline is its only aim: it can wait for a part of what its run leaves.
+		// The deadline is the only objective of the job: it can wait for a part of the time
+		// that its run leaves.
 		slack := max(0, job.Deadline-s.ExpectedRunTime(job.Job))
 		return min(defaultMaxWait, slack/deadlineMaxWaitDivisor)
 	}
 	return defaultMaxWait
 }
 
-// Place runs a placement round. One that preempts also looks for work to be
-// stopped, which takes longer.
+// Place runs a placement round. A preempting round also looks for tasks to be stopped,
+// which takes longer.
 func (s *State) Place(now model.Micros, preempting bool) {
 	s.NeedsPlacement = false
 	round := s.PlacementInput(now)
@@ -147,8 +153,8 @@
 	round.Run()
 }
 
-// placementAdapter gives a placement round the state's estimates, and carries out its
-// decisions on the state.
+// placementAdapter provides the state's estimates to a placement round, and applies the
+// decisions of the round to the state.
 type placementAdapter struct {
 	state *State
 	now   model.Micros
@@ -189,7 +195,7 @@
 }
 
 // Stop implements placement.Executor. A task that saves checkpoints gets the time to save
-// one more.
+// another one.
 func (a placementAdapter) Stop(binding *model.Binding, reason string) {
 	grace := model.Micros(0)
 	if binding.Job.CheckpointInterval > 0 {
--- a/internal/core/shard/reachability.go
+++ b/internal/core/shard/reachability.go
@@ -6,12 +6,12 @@
 	"woadweir/internal/core/model"
 )
 
-// checkReceivesAnswers finds out from a heartbeat whether our response to the one
-// before reached the worker. In that case the heartbeat has our token, comes without
-// the delay of a retry, is of the same incarnation, and has the tasks that the response
-// started. A worker whose response was lost tries another controller first, after a
-// pause. A machine whose heartbeats arrive while no response reaches it kills its tasks
-// whenever its lease expires.
+// checkReceivesAnswers determines from a heartbeat whether the response to the previous
+// one reached the worker. In that case the heartbeat has the owner's token, arrives
+// without the delay of a retry, is of the same incarnation, and contains the tasks that
+// the response started. A worker whose response was lost tries another controller first,
+// after a pause. A machine whose heartbeats arrive while no response reaches it kills its
+// tasks whenever its lease expires.
 func (s *State) checkReceivesAnswers(machine *model.Machine, heartbeat *Heartbeat, now model.Micros) {
 	receivedBefore := machine.ReceivesAnswers
 	machine.ReceivesAnswers = s.receivedLastResponse(machine, heartbeat, now)
@@ -26,8 +26,8 @@
 	}
 }
 
-// receivedLastResponse tells whether a heartbeat shows that the worker has received our
-// response to the one before.
+// receivedLastResponse reports whether a heartbeat shows that the worker has received the
+// response to its previous heartbeat.
 func (s *State) receivedLastResponse(machine *model.Machine, heartbeat *Heartbeat, now model.Micros) bool {
 	if heartbeat.Token != s.Token || heartbeat.Incarnation != machine.Incarnation {
 		return false
@@ -44,15 +44,15 @@
 	return true
 }
 
-// has tells whether the attempt of a binding is in the heartbeat.
+// has reports whether the heartbeat contains the attempt of a binding.
 func (h *Heartbeat) has(b *model.Binding) bool {
 	return slices.ContainsFunc(h.Tasks, func(task TaskStatus) bool {
 		return task.ID == b.ID && task.Attempt == b.Attempt
 	})
 }
 
-// Unreachable tells whether a machine still sends heartbeats, but has not received our
-// responses for longer than its tasks can live without them.
+// Unreachable reports whether a machine still sends heartbeats, but has not received
+// responses for longer than its tasks can run without them.
 func (s *State) Unreachable(m *model.Machine, now model.Micros) bool {
 	if m.UnansweredSince == 0 || now-m.LastHeartbeat >= s.LeaseExpiry() {
 		return false
--- a/internal/core/shard/runtimes.go
+++ b/internal/core/shard/runtimes.go
@@ -4,7 +4,7 @@
 	"woadweir/internal/core/model"
 )
 
-// runTimeStats are the statistics of the run times of a class.
+// runTimeStats holds statistics of the run times of a class.
 type runTimeStats struct {
 	count int
 	mean  float64 // moving average in microseconds
@@ -22,8 +22,9 @@
 	stats.mean += (float64(runTime) - stats.mean) * weight
 }
 
-// ExpectedRunTime is the expected run time of a task of the job: the mean of the owner's
-// estimate and the average of the class.
+// ExpectedRunTime returns the expected run time of a task of the job: the mean of the
+// estimate given with the job and the average of the class. Until three tasks of the
+// class have completed, it returns the estimate alone.
 func (s *State) ExpectedRunTime(job *model.Job) model.Micros {
 	stats := s.runTimes[job.Class]
 	if stats == nil || stats.count < 3 {
@@ -35,7 +36,7 @@
 	return (job.EstimatedRun + model.Micros(stats.mean)) / 2
 }
 
-// Remaining is the expected time until a bound task is done.
+// Remaining returns the expected time until a bound task is done.
 func (s *State) Remaining(binding *model.Binding, now model.Micros) model.Micros {
 	expected := s.ExpectedRunTime(binding.Job)
 	if binding.RunningSince == 0 {
@@ -46,18 +47,18 @@
 	return max(expected-elapsed, elapsed/4)
 }
 
-// A machine counts as slow if two tasks on it run for three times their expected time: a
-// single one may be due to a wrong estimate.
+// A machine counts as slow if two tasks on it run for more than three times their expected
+// time: a single one may be due to a wrong estimate.
 const (
 	slowFactor   = 3
 	minSlowTasks = 2
 	slowDuration = 60 * model.Second
-	// minExpectedRunTime is the least time that a task is expected to run for here.
+	// minExpectedRunTime is the lower bound of the expected time in this comparison.
 	minExpectedRunTime = 5 * model.Second
 )
 
-// detectSlowMachine marks a slow machine. Its tasks are left to finish, but for a while
-// new tasks go to other machines first.
+// detectSlowMachine marks a machine as slow if its tasks run for too long. They continue,
+// but for slowDuration new tasks preferably go to other machines.
 func (s *State) detectSlowMachine(machine *model.Machine, now model.Micros) {
 	slowTasks := 0
 	for _, b := range machine.Bindings {
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -1,7 +1,7 @@
-// Package shard has the state of the machines in a shard and of the tasks that are
-// bound to them. Its owner, a controller, applies the heartbeats of workers, and gets
-// the commands of the responses and the records that have to be written. The package
-// does no input or output and reads no clock: both are the caller's.
+// Package shard holds the state of the machines in a shard and of the tasks bound to
+// them. The controller that owns the shard applies the heartbeats of workers, and gets
+// the commands for the responses and the records that have to be written. The package
+// does no I/O and reads no clock: both are left to the caller.
 package shard
 
 import (
@@ -12,22 +12,24 @@
 // Params are the settings of a shard.
 type Params struct {
 	Teams             map[string]*model.Team
-	HeartbeatInterval model.Micros // interval of heartbeats
-	WorkerLease       model.Micros // workers kill their tasks if they get no response for so long
+	HeartbeatInterval model.Micros // interval between the heartbeats of a worker
+	WorkerLease       model.Micros // time without a response after which a worker kills its tasks
 	GangWait          model.Micros // time for which a worker keeps a gang's task waiting for the others
-	MaxValue          int          // bytes of a bundle at most, 0 for no limit
+	MaxValue          int          // maximum size of a bundle in bytes, 0 for no limit
 	DenseBundles      bool         // bundles are written in the dense encoding
-	// StartObjectives has, by class, the times within which its tasks should start, ascending.
+	// StartObjectives maps a class to the times within which its tasks should start, in
+	// ascending order.
 	StartObjectives map[string][]model.Micros
-	// FinishObjectives has, by class, the times within which its jobs should be done, ascending.
+	// FinishObjectives maps a class to the times within which its jobs should be done, in
+	// ascending order.
 	FinishObjectives map[string][]model.Micros
-	// DeadlineObjectives has, by class, the multiples of their deadline within which its jobs
-	// should be done, ascending.
+	// DeadlineObjectives maps a class to the multiples of their deadline within which its
+	// jobs should be done, in ascending order.
 	DeadlineObjectives map[string][]float64
-	// GuaranteeObjective is the time within which jobs within the guarantee of their team should
-	// start, 0 if that is not measured for each job.
+	// GuaranteeObjective is the time within which jobs within the guarantee of their team
+	// should start, 0 if that is not measured for each job.
 	GuaranteeObjective model.Micros
-	// LeaseMargin is added where the expiry of another process's lease is waited for.
+	// LeaseMargin is added to the wait for the expiry of another process's lease.
 	LeaseMargin model.Micros
 }
 
@@ -35,59 +37,60 @@
 type Event struct {
 	Kind    EventKind
 	Machine string
-	Task    string // a task, or a job
+	Task    string // id of a task or a job
 	Attempt uint64
 	Reason  string
 }
 
-// EventKind is the kind of an event, as it is logged.
+// EventKind is the kind of an event. Its value is the text of the log line.
 type EventKind string
 
 // The kinds of events.
 const (
-	EventJob             EventKind = "job"              // a job was added
-	EventBind            EventKind = "bind"             // a task was bound to a machine
-	EventUnbind          EventKind = "unbind"           // a binding was removed
-	EventStop            EventKind = "stop"             // a task is to be stopped
-	EventRunning         EventKind = "runs"             // a task began to run
-	EventFailsEverywhere EventKind = "fails everywhere" // a job has failed on several machines
-	EventAppeared        EventKind = "appeared"         // an unknown machine sent a heartbeat
-	EventUp              EventKind = "up"               // a machine is up
-	EventLost            EventKind = "lost"             // the lease of a machine's worker expired
-	EventReclaim         EventKind = "recall"           // a spot machine will be reclaimed
-	EventSlow            EventKind = "slow"             // tasks on a machine run for too long
-	EventQuarantined     EventKind = "sick"             // a machine was quarantined
+	EventJob             EventKind = "job added"
+	EventBind            EventKind = "task bound to machine"
+	EventUnbind          EventKind = "task unbound from machine"
+	EventStop            EventKind = "task is to be stopped"
+	EventRunning         EventKind = "task started running"
+	EventFailsEverywhere EventKind = "job has failed on several machines"
+	EventAppeared        EventKind = "heartbeat from unknown machine"
+	EventUp              EventKind = "machine is up"
+	EventLost            EventKind = "worker lease expired"
+	EventReclaim         EventKind = "spot machine will be reclaimed"
+	EventSlow            EventKind = "tasks on machine run for too long"
+	EventQuarantined     EventKind = "machine quarantined"
 )
 
-// State is the state of one shard, as its owner knows it. It must be used by a single
-// goroutine at a time.
+// State is the state of one shard as its owner knows it. It is not safe for concurrent
+// use.
 type State struct {
 	Params       Params
-	Token        uint64 // fencing token of the grant under which we own the shard
+	Token        uint64 // fencing token of the grant under which the shard is owned
 	Jobs         map[string]*model.JobState
 	Machines     map[string]*model.Machine
 	Used         map[string]model.Resources // by team
 	MachineTypes map[string]*model.MachineType
 	Log          func(Event)
-	// NeedsPlacement is set when something happened that may let waiting tasks start.
+	// NeedsPlacement is set after a change that may allow waiting tasks to start.
 	NeedsPlacement bool
 
 	attemptCount uint64
-	// oldestAttempt is a lower bound of the attempts that were bound at its last refresh.
+	// oldestAttempt is a lower bound of the attempt numbers that were bound when it was
+	// last refreshed.
 	oldestAttempt uint64
 	runTimes      map[string]*runTimeStats // by class
 	classLoads    map[string]classLoad     // by class, as of the last placement round
 	reservations  map[*model.JobState][]placement.Reservation
 
-	queue               []string        // entries to be written
-	queued              map[string]bool // the same, as a set
+	queue               []string        // entries to be written, in order
+	queued              map[string]bool // the entries in queue, as a set
 	pendingEnds         []string        // jobs whose end is to be written
-	unansweredWrites    []Write         // bundles whose last write may yet be carried out late
+	unansweredWrites    []Write         // bundle writes without an answer, which may still take effect
 	slots               []*bundleSlot
 	latestSlot          map[string]int // entry -> the slot with its latest durable version
-	copies              map[string]int // entry -> the number of slots with some version of it
-	bundlesSinceRecount int            // bundles begun since the slots were last recounted
-	labelSizes          map[string]int // bytes of the names of machine types and zones
+	copies              map[string]int // entry -> the number of slots that hold any version of it
+	bundlesSinceRecount int            // bundles created since the last recount of the slots
+	labelSizes          map[string]int // JSON sizes in bytes of the names of machine types and zones
 }
 
 // New returns the state of a shard without machines and jobs.
@@ -110,18 +113,18 @@
 	}
 }
 
-// attemptBits is the number of low bits of an attempt that count the attempts under a
-// token. The bits above them are the token.
+// attemptBits is the number of low bits of an attempt number that count the attempts
+// under a token. The bits above them hold the token.
 const attemptBits = 20
 
-// NextAttempt returns an attempt number that no start has ever had: no other grant has
-// our token, and every grant has a higher one than those before.
+// NextAttempt returns an attempt number that has never been used: no other grant has
+// the same token, and every grant has a higher token than the grants before it.
 func (s *State) NextAttempt() uint64 {
 	s.attemptCount++
 	return s.Token<<attemptBits + s.attemptCount
 }
 
-// AddMachine adds a machine, unless it is known already.
+// AddMachine adds a machine unless it is known already, and returns it.
 func (s *State) AddMachine(machineID, machineType, zone string, spot bool, now model.Micros) *model.Machine {
 	if m := s.Machines[machineID]; m != nil {
 		return m
@@ -143,7 +146,7 @@
 	return m
 }
 
-// SetMachineTypes updates the machine types.
+// SetMachineTypes updates the machine types, and the sizes of the machines accordingly.
 func (s *State) SetMachineTypes(machineTypes []model.MachineType) {
 	for i := range machineTypes {
 		s.MachineTypes[machineTypes[i].Name] = &machineTypes[i]
--- a/internal/core/shard/sizes.go
+++ b/internal/core/shard/sizes.go
@@ -8,16 +8,16 @@
 	"woadweir/internal/core/model"
 )
 
-// Upper bounds of the bytes that parts of records take in JSON.
+// Upper bounds of the sizes in bytes of parts of records in plain JSON.
 const (
 	bytesPerMachine  = len(`"":{"build":,"yard":,"spot":true,"pieces":{}},`)
 	bytesPerTask     = len(`[,],`)   // without the digits
-	bytesPerJob      = len(`"":[],`) // of the tasks on a machine, without its name
+	bytesPerJob      = len(`"":[],`) // for the tasks of a job on a machine, without the job id
 	bytesPerFinished = len(`"":"",`) + 4
 	bytesPerBundle   = len(`{"hosts":{},"done":{}}`)
 )
 
-// digits returns the number of decimal digits of a number.
+// digits returns the number of decimal digits of v.
 func digits(v uint64) int {
 	n := 1
 	for ; v > 9; v /= 10 {
@@ -26,13 +26,13 @@
 	return n
 }
 
-// taskBytes returns what a bound task takes in the record of its machine, besides its
+// taskBytes returns the size of a bound task in the record of its machine, without its
 // job.
 func taskBytes(index int, attempt uint64) int {
 	return bytesPerTask + digits(uint64(index)) + digits(attempt)
 }
 
-// quotedBytes returns what a string takes in JSON.
+// quotedBytes returns the size of a string in JSON.
 func quotedBytes(text string) int {
 	raw, err := json.Marshal(text)
 	if err != nil {
@@ -41,13 +41,13 @@
 	return len(raw)
 }
 
-// machineBytes returns the most that the record of a machine takes.
+// machineBytes returns the maximum size of the record of a machine in plain JSON.
 func (s *State) machineBytes(m *model.Machine) int {
 	return bytesPerMachine + len(m.ID) + s.labelBytes(m.MachineType) + s.labelBytes(m.Zone) + m.RecordBytes
 }
 
-// labelBytes returns what the name of a machine type or a zone takes in JSON. These are
-// few, so the results are kept.
+// labelBytes returns the size of the name of a machine type or a zone in JSON. There are
+// few of these names, so the results are cached.
 func (s *State) labelBytes(name string) int {
 	n, ok := s.labelSizes[name]
 	if !ok {
@@ -57,8 +57,8 @@
 	return n
 }
 
-// addRecordBytes adds what a task takes to the size of its machine's record, or
-// subtracts it with sign -1.
+// addRecordBytes adds the size of a bound task to the size of its machine's record if
+// sign is 1, and subtracts it if sign is -1.
 func addRecordBytes(binding *model.Binding, sign int) {
 	machine := binding.Machine
 	machine.RecordBytes += sign * taskBytes(binding.ID.Index, binding.Attempt)
@@ -74,8 +74,8 @@
 	}
 }
 
-// TaskSlots returns how many more tasks of a job may be bound to a machine, so that its
-// record fits into a bundle beside the entries that the bundle has to keep.
+// TaskSlots returns how many more tasks of a job may be bound to a machine so that its
+// record fits into a bundle together with the live entries of the bundle's slot.
 func (s *State) TaskSlots(job *model.Job, machine *model.Machine) int {
 	if s.Params.MaxValue == 0 {
 		return model.MaxTasks
@@ -89,18 +89,19 @@
 	return max(0, bytesLeft/taskBytes(job.Tasks, (s.Token+1)<<attemptBits))
 }
 
-// needsParts tells whether a job's finished tasks are stored in parts.
+// needsParts reports whether a job's finished tasks have to be stored in parts.
 func (s *State) needsParts(job *model.Job) bool {
 	return s.Params.MaxValue > 0 && job.Tasks > model.TasksPerPart && finishedBytes(job, (job.Tasks+7)/8) > s.Params.MaxValue/2
 }
 
-// finishedBytes returns what a job's finished tasks take as a bit set of so many bytes.
+// finishedBytes returns the size in plain JSON of a job's finished tasks whose bit set
+// has bitSetBytes bytes.
 func finishedBytes(job *model.Job, bitSetBytes int) int {
 	return bytesPerFinished + len(job.ID) + (bitSetBytes+2)/3*4
 }
 
-// partOf returns the job of an entry of finished tasks and the number of its part, -1
-// for the whole.
+// partOf returns the job of an entry of finished tasks and the number of the part, or -1
+// if the entry holds the whole set. The job is nil if the entry belongs to no known job.
 func (s *State) partOf(entry string) (*model.JobState, int) {
 	jobID, suffix, isPart := strings.Cut(strings.TrimPrefix(entry, DoneEntry), PartSeparator)
 	if !isPart {
@@ -114,7 +115,7 @@
 	return job, part
 }
 
-// bundleBytes returns what a bundle takes besides its entries.
+// bundleBytes returns the maximum size of a bundle without its entries.
 func (s *State) bundleBytes() int {
 	if s.Params.DenseBundles {
 		return denseBytesPerBundle
@@ -122,11 +123,11 @@
 	return bytesPerBundle
 }
 
-// entryBytes returns the most that an entry takes in a bundle of its own.
+// entryBytes returns the maximum size of an entry in a bundle without other entries.
 func (s *State) entryBytes(entry string) int { return s.entryBytesIn(entry, nil) }
 
-// entryBytesIn returns the most that an entry takes in a bundle that has the known
-// names in its tables.
+// entryBytesIn returns the maximum size of an entry in a bundle whose string tables
+// contain tableNames. Only the dense encoding has string tables.
 func (s *State) entryBytesIn(entry string, tableNames map[string]bool) int {
 	if s.Params.DenseBundles {
 		return s.denseEntryBytes(entry, tableNames)
--- a/internal/core/shard/slots.go
+++ b/internal/core/shard/slots.go
@@ -7,15 +7,15 @@
 	"woadweir/internal/core/model"
 )
 
-// bundleSlot is a key of the state service that holds a bundle.
+// bundleSlot describes a key of the state service that holds a bundle.
 type bundleSlot struct {
-	sizes     map[string]int // the entries, with their sizes when they were written
-	liveBytes int            // of the entries whose latest version is in this slot
+	sizes     map[string]int // entry -> its size when it was written
+	liveBytes int            // size of the entries whose latest version is in this slot
 }
 
-// SetSlotEntries notes the entries that are durable in a slot, in a bundle that was just
-// written or one of an earlier owner. Bundles have to be loaded in the order in which
-// they were written.
+// SetSlotEntries records which entries are durable in a slot: those of a bundle that was
+// just written, or of a bundle of an earlier owner. It has to be called for bundles in
+// the order in which they were written.
 func (s *State) SetSlotEntries(slotIndex int, entries []string) {
 	for len(s.slots) <= slotIndex {
 		s.slots = append(s.slots, &bundleSlot{})
@@ -48,9 +48,10 @@
 	}
 }
 
-// isLive tells whether an entry has to be written again with its slot: the slot has
-// its latest version, and that is still needed. The record that a machine is gone is
-// needed as long as another slot has an older version of the machine.
+// isLive reports whether an entry has to be included when its slot is rewritten: the
+// slot holds its latest version, and that version is still needed. The record that a
+// machine is gone is needed as long as another slot holds an older version of the
+// machine's record.
 func (s *State) isLive(entry string, slotIndex int) bool {
 	if s.latestSlot[entry] != slotIndex {
 		return false
@@ -63,15 +64,15 @@
 		return false
 	}
 	if part < 0 && len(job.DoneVersions) > 1 {
-		// An earlier owner with larger values has stored the whole. It is needed until all
-		// of it is stored in parts.
+		// An earlier owner with a higher size limit has stored the whole set. It is needed
+		// until all of it is stored in parts.
 		return slices.ContainsFunc(job.DoneVersions, func(v model.Versions) bool { return v.Stored == 0 && v.Current > 0 })
 	}
 	return true
 }
 
-// liveEntries returns the entries that have to be written again with a slot, and
-// their size.
+// liveEntries returns the entries that have to be included when a slot is rewritten, and
+// their total size.
 func (s *State) liveEntries(slotIndex int) (entries []string, size int) {
 	for entry := range s.slots[slotIndex].sizes {
 		if s.isLive(entry, slotIndex) {
@@ -82,12 +83,13 @@
 	return entries, size
 }
 
-// liveShareDivisor is the divisor of the size of a bundle that gives the most that entries
-// kept from its slot may take.
+// liveShareDivisor limits the share of a bundle that live entries of its slot may take:
+// the maximum bundle size divided by liveShareDivisor.
 const liveShareDivisor = 4
 
-// newBundle begins a bundle for an entry of the given size, in the slot with the least
-// to keep. A slot is added if all of them have much to keep.
+// newBundle creates a bundle for an entry of the given size, in the slot with the fewest
+// live bytes, and includes the live entries of that slot. A slot is added if all slots
+// have too many live bytes.
 func (s *State) newBundle(usedSlots map[int]bool, size int) *Write {
 	slotIndex := s.chooseSlot(usedSlots, size)
 	s.bundlesSinceRecount++
@@ -101,17 +103,18 @@
 	return write
 }
 
-// chooseSlot returns the slot with the least to keep, or a new one.
+// chooseSlot returns the unused slot with the fewest live bytes, or a new slot if no slot
+// leaves enough space.
 func (s *State) chooseSlot(usedSlots map[int]bool, size int) int {
 	maxLiveBytes := max(0, min(s.Params.MaxValue/liveShareDivisor, s.Params.MaxValue-s.bundleBytes()-size))
 	best := s.emptiestSlot(usedSlots)
 	if best >= 0 && s.slots[best].liveBytes > maxLiveBytes && s.bundlesSinceRecount > len(s.slots)/4 {
-		// Entries that are no longer needed may be all that fills the slots.
+		// The slots may be full only of entries that are no longer needed.
 		s.recountSlots()
 		best = s.emptiestSlot(usedSlots)
 	}
 	for best >= 0 && s.slots[best].liveBytes <= maxLiveBytes {
-		// Its entries may have grown since they were written.
+		// The entries of the slot may have grown since they were written.
 		if s.recountSlot(best); s.slots[best].liveBytes <= maxLiveBytes {
 			return best
 		}
@@ -121,7 +124,7 @@
 	return len(s.slots) - 1
 }
 
-// recountSlots computes anew how much has to be kept of every slot.
+// recountSlots recomputes the live bytes of every slot.
 func (s *State) recountSlots() {
 	s.bundlesSinceRecount = 0
 	s.refreshOldestAttempt()
@@ -130,7 +133,7 @@
 	}
 }
 
-// recountSlot computes anew how much has to be kept of a slot.
+// recountSlot recomputes the live bytes of a slot from the present sizes of its entries.
 func (s *State) recountSlot(slotIndex int) {
 	slot := s.slots[slotIndex]
 	slot.liveBytes = 0
@@ -143,9 +146,9 @@
 	}
 }
 
-// emptiestSlot returns the slot with the fewest live bytes, -1 if all are taken. These
-// are counted as bundles are written: in a large fleet, adding up all entries of all
-// slots would take longer than the rest of a transaction.
+// emptiestSlot returns the slot with the fewest live bytes, or -1 if all slots are used.
+// Live bytes are updated as bundles are written: in a large fleet, adding up all entries
+// of all slots would take longer than the rest of a transaction.
 func (s *State) emptiestSlot(usedSlots map[int]bool) int {
 	best := -1
 	for slotIndex, slot := range s.slots {
--- a/internal/core/shard/suspend.go
+++ b/internal/core/shard/suspend.go
@@ -6,7 +6,7 @@
 	"woadweir/internal/core/model"
 )
 
-// Suspend keeps a job from being placed and started, and stops its tasks.
+// Suspend stops the tasks of a job and prevents them from being placed and started.
 func (s *State) Suspend(job *model.JobState, reason string, now model.Micros) {
 	job.Suspended = true
 	delete(s.reservations, job)
@@ -20,7 +20,7 @@
 	}
 }
 
-// Resume lets a suspended job be placed again.
+// Resume allows a suspended job to be placed again.
 func (s *State) Resume(job *model.JobState) {
 	if job.Suspended {
 		job.Suspended = false
@@ -28,19 +28,20 @@
 	}
 }
 
-// ReserveQuota counts the resources that a team uses in other cells towards its limit here.
+// ReserveQuota counts resources that a team uses in other cells towards its limit in this
+// cell.
 func (s *State) ReserveQuota(team string, amount model.Resources) {
 	s.Used[team] = s.Used[team].Plus(amount)
 }
 
-// ReleaseQuota ends a reservation.
+// ReleaseQuota reverts ReserveQuota.
 func (s *State) ReleaseQuota(team string, amount model.Resources) {
 	s.Used[team] = s.Used[team].Minus(amount)
 	s.NeedsPlacement = true
 }
 
-// AddGuest adds a job of another cell, suspended at first. Its home cell stores its
-// finished tasks and its end.
+// AddGuest adds a job of another cell. It is suspended initially. Its home cell stores
+// its finished tasks and its end.
 func (s *State) AddGuest(spec *model.Job, homeCell string, done model.TaskSet, now model.Micros) *model.JobState {
 	job := &model.JobState{Job: spec, Done: done, Bindings: map[int][]*model.Binding{}, DoneVersions: make([]model.Versions, 1),
 		ReadySince: now, IdleSince: now, HomeCell: homeCell, Suspended: true}
@@ -55,8 +56,8 @@
 	return job
 }
 
-// ConfirmCompletions notes the finished tasks of a guest job that its home cell has stored.
-// Workers may now clear them.
+// ConfirmCompletions records the finished tasks of a guest job that its home cell has
+// stored. Workers may then clear them.
 func (s *State) ConfirmCompletions(job *model.JobState, stored []byte) {
 	job.Confirmed.Merge(stored, 0)
 	for i := range job.Tasks {
@@ -66,16 +67,16 @@
 	}
 }
 
-// removeFromWaiting removes a finished task from the waiting ones of its job.
+// removeFromWaiting removes a finished task from the waiting tasks of its job.
 func (s *State) removeFromWaiting(job *model.JobState, index int) {
 	if i, ok := slices.BinarySearch(job.Waiting, index); ok {
 		job.Waiting = slices.Delete(job.Waiting, i, i+1)
 	}
 }
 
-// RecordRemoteCompletions notes the tasks that are done in another cell: single tasks of an
-// array, or a gang as a whole. A completion counts whichever cell had the right to run
-// the job.
+// RecordRemoteCompletions records the tasks that are done in another cell: single tasks
+// of an array, or a gang as a whole if allDone is set. A completion counts regardless of
+// which cell had the right to run the job.
 func (s *State) RecordRemoteCompletions(job *model.JobState, done []byte, allDone bool, now model.Micros) {
 	if job.Kind == model.Gang {
 		if allDone {
@@ -94,7 +95,8 @@
 	}
 }
 
-// DurableCompletions returns the set of a job's finished tasks that are durable.
+// DurableCompletions returns the set of a job's finished tasks whose completion is
+// durable.
 func (s *State) DurableCompletions(job *model.JobState) []byte {
 	if !slices.ContainsFunc(job.DoneVersions, func(v model.Versions) bool { return v.Stored < v.Current }) {
 		return slices.Clone(job.Done.Bytes())
--- a/internal/core/shard/writes.go
+++ b/internal/core/shard/writes.go
@@ -7,20 +7,20 @@
 	"woadweir/internal/core/model"
 )
 
-// Write is a change of one key that is to be made durable under our grant.
+// Write is a change of one key that has to be made durable under the owner's grant.
 type Write struct {
 	Key        string // key of a job's end, empty for a bundle
 	Slot       int    // slot of a bundle, noSlot for a job's end
 	Value      any
-	versions   map[string]uint64 // the entries of the bundle, with their versions
-	tableNames map[string]bool   // names in the tables of the dense encoding
-	size       int               // bytes of the value at most
-	// unanswered means that the same write got no answer before, and may yet be
-	// carried out late.
+	versions   map[string]uint64 // entry of the bundle -> its version
+	tableNames map[string]bool   // names in the string tables of the dense encoding
+	size       int               // maximum size of the value in bytes
+	// unanswered is set if an earlier try of the same write got no answer, and may still
+	// take effect.
 	unanswered bool
 }
 
-// noSlot is the slot of writes that are not bundles.
+// noSlot is the value of Slot in writes that are not bundles.
 const noSlot = -1
 
 // jobKeyPrefix is the prefix of the keys of jobs.
@@ -34,18 +34,18 @@
 	}
 }
 
-// markChanged queues the record of a machine that has changed.
+// markChanged increments the version of a machine's record and queues the record.
 func (s *State) markChanged(machine *model.Machine) {
 	machine.Version++
 	s.enqueue(MachineEntry + machine.ID)
 }
 
-// PendingWrites returns the number of records that wait to be written.
+// PendingWrites returns the number of records that are waiting to be written.
 func (s *State) PendingWrites() int {
 	return len(s.pendingEnds) + len(s.queue) + len(s.unansweredWrites)
 }
 
-// include adds the present value of an entry to a bundle.
+// include adds the current value of an entry to a bundle, if it is needed.
 func (s *State) include(write *Write, entry string) {
 	bundle, _ := write.Value.(BundleRecord)
 	bundle.Dense = s.Params.DenseBundles
@@ -65,12 +65,12 @@
 }
 
 // includeMachine adds the record of a machine to a bundle, nil if the machine is gone.
-// It tells whether the record is needed.
+// It reports whether the record is needed.
 func (s *State) includeMachine(write *Write, bundle *BundleRecord, machineID string) bool {
 	entry := MachineEntry + machineID
 	machine := s.Machines[machineID]
 	if machine == nil && s.copiesElsewhere(entry, write.Slot) == 0 {
-		return false // no other slot has a record that would bring the machine back
+		return false // no other slot has a record from which the machine would be restored
 	}
 	if bundle.Machines == nil {
 		bundle.Machines = map[string]*MachineRecord{}
@@ -83,7 +83,7 @@
 	return true
 }
 
-// copiesElsewhere returns the number of other slots with some version of an entry.
+// copiesElsewhere returns the number of other slots that hold any version of an entry.
 func (s *State) copiesElsewhere(entry string, slot int) int {
 	copies := s.copies[entry]
 	if _, ok := s.slots[slot].sizes[entry]; ok {
@@ -92,8 +92,8 @@
 	return copies
 }
 
-// includeFinished adds the finished tasks of a job to a bundle. It tells whether they
-// are needed, as the job has not ended.
+// includeFinished adds the finished tasks of a job to a bundle. It reports whether they
+// are needed: they are not once the job has ended.
 func (s *State) includeFinished(write *Write, bundle *BundleRecord, entry string) bool {
 	job, part := s.partOf(entry)
 	if job == nil || job.FinalStatus != "" {
@@ -113,25 +113,25 @@
 	return true
 }
 
-// maxEndBytes is the most that the end of a job takes in a transaction.
+// maxEndBytes is the maximum size of the end of a job in a transaction.
 const maxEndBytes = 300
 
-// transaction collects the writes of one transaction, within its limits.
+// transaction collects the writes of one transaction within its limits.
 type transaction struct {
 	maxWrites int
 	bytesLeft int
 	writes    []*Write
 	bundle    *Write          // the last bundle, to which entries are added while they fit
 	usedSlots map[int]bool    // slots of the bundles
-	written   map[string]bool // entries of the bundles
+	written   map[string]bool // entries that the bundles contain
 }
 
-// Writes takes changes from the queue, in order, as many as fit into a transaction of
-// so many operations and bytes. The values are made now, so they contain everything
-// decided before. If the transaction fails, the caller gives them back with Retry.
-// Writes that got no answer go first, unchanged and alone: until their keys have been
-// written again, a late copy of them could revert entries that were since written to
-// other bundles.
+// Writes removes changes from the queue, in order, and returns them as the writes of one
+// transaction of at most maxWrites operations and maxBytes bytes. The values are
+// generated by this call, so they contain everything decided before it. If the
+// transaction fails, the caller returns the writes with Retry. Writes that got no answer
+// go first, unchanged and alone: until their keys have been written again, a late copy of
+// them could revert entries that have since been written to other bundles.
 func (s *State) Writes(maxWrites, maxBytes int) []Write {
 	if count := min(maxWrites, len(s.unansweredWrites)); count > 0 {
 		writes := s.unansweredWrites[:count:count]
@@ -139,14 +139,14 @@
 		return writes
 	}
 	txn := &transaction{maxWrites: maxWrites, bytesLeft: maxBytes, usedSlots: map[int]bool{}, written: map[string]bool{}}
-	// Ends of jobs go first, as users and dependent jobs wait for them. Their order among
-	// the bundles does not matter: all tasks of these jobs are done.
+	// Ends of jobs go first, because users and dependent jobs wait for them. Their order
+	// relative to the bundles does not matter: all tasks of these jobs are done.
 	s.addEnds(txn)
 	s.addQueued(txn)
 	return txn.result()
 }
 
-// addEnds adds as many ends of jobs as fit.
+// addEnds adds the ends of as many jobs as fit.
 func (s *State) addEnds(txn *transaction) {
 	for len(s.pendingEnds) > 0 && len(txn.writes) < txn.maxWrites && txn.bytesLeft >= maxEndBytes {
 		jobID := s.pendingEnds[0]
@@ -159,7 +159,7 @@
 	}
 }
 
-// addQueued adds as many entries of the queue as fit.
+// addQueued adds as many queued entries as fit.
 func (s *State) addQueued(txn *transaction) {
 	processed := 0
 	var postponed []string
@@ -167,10 +167,10 @@
 		entry := s.queue[processed]
 		switch {
 		case txn.written[entry]:
-			// A bundle has its present version already. Readers could not tell which of two
-			// versions in one transaction counts.
+			// A bundle of this transaction contains its current version already. Readers could
+			// not tell which of two copies in one transaction takes precedence.
 		case s.isStoredInParts(entry):
-			// The parts are queued themselves.
+			// The parts are queued as entries of their own.
 		case s.exceedsMaxValue(entry):
 			postponed = append(postponed, entry)
 		default:
@@ -184,8 +184,8 @@
 	s.dequeue(processed, postponed)
 }
 
-// dequeue removes the first entries from the queue, and puts the postponed ones among
-// them back at its end.
+// dequeue removes the first count entries from the queue, and appends the postponed ones
+// among them to its end.
 func (s *State) dequeue(count int, postponed []string) {
 	for _, entry := range s.queue[:count] {
 		delete(s.queued, entry)
@@ -196,23 +196,23 @@
 	}
 }
 
-// isStoredInParts tells whether an entry has all finished tasks of a job that is now
+// isStoredInParts reports whether an entry is for all finished tasks of a job that is now
 // stored in parts.
 func (s *State) isStoredInParts(entry string) bool {
 	job, part := s.partOf(entry)
 	return job != nil && finishedVersions(job, part) == nil
 }
 
-// exceedsMaxValue tells whether the record of a machine is too large for a bundle, as an
-// earlier owner with a higher limit has bound too many tasks to it. The machine gets no
-// new tasks, so its record will fit. Until then, a new owner finds tasks in the old
-// record that are gone, and has to get its own proof of that.
+// exceedsMaxValue reports whether the record of a machine is too large for a bundle,
+// because an earlier owner with a higher limit has bound too many tasks to the machine.
+// The machine gets no new tasks, so its record will fit later. Until then, a new owner
+// finds tasks in the old record that are gone, and has to get its own proof of that.
 func (s *State) exceedsMaxValue(entry string) bool {
 	return strings.HasPrefix(entry, MachineEntry) && s.bundleBytes()+s.entryBytes(entry) > s.Params.MaxValue
 }
 
 // addEntry adds an entry to the last bundle, or to a new one if it does not fit there.
-// It tells whether the transaction had room for it.
+// It reports whether the transaction had space for it.
 func (s *State) addEntry(txn *transaction, entry string) bool {
 	size := 0
 	if txn.bundle != nil {
@@ -238,7 +238,7 @@
 	return true
 }
 
-// addBundle adds a bundle for an entry of the given size.
+// addBundle adds a bundle for an entry of the given size to the transaction.
 func (s *State) addBundle(txn *transaction, size int) {
 	txn.bundle = s.newBundle(txn.usedSlots, size)
 	for entry := range txn.bundle.versions {
@@ -248,7 +248,7 @@
 	txn.writes = append(txn.writes, txn.bundle)
 }
 
-// result returns the writes with their values.
+// result returns the writes of the transaction with their values.
 func (txn *transaction) result() []Write {
 	writes := make([]Write, 0, len(txn.writes))
 	for _, write := range txn.writes {
@@ -260,7 +260,7 @@
 	return writes
 }
 
-// Committed notes that writes are durable.
+// Committed records that writes are durable.
 func (s *State) Committed(writes []Write, now model.Micros) {
 	for i := range writes {
 		write := &writes[i]
@@ -277,7 +277,7 @@
 	}
 }
 
-// markDurable notes that a version of an entry is durable.
+// markDurable records that a version of an entry is durable.
 func (s *State) markDurable(entry string, version uint64) {
 	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
 		if machine := s.Machines[machineID]; machine != nil {
@@ -292,9 +292,9 @@
 	}
 }
 
-// RetryTooLarge takes back writes that were refused as too large: their entries are
+// RetryTooLarge requeues writes that were rejected as too large: their entries are
 // written in bundles within MaxValue, which the caller has lowered. Earlier tries of
-// these writes will not be carried out any more.
+// these writes can no longer take effect.
 func (s *State) RetryTooLarge(writes []Write) {
 	for _, job := range s.Jobs {
 		if len(job.DoneVersions) == 1 && s.needsParts(job.Job) {
@@ -307,9 +307,9 @@
 	s.Retry(writes, false)
 }
 
-// Retry takes back writes whose transaction failed, or got no answer (lost). In the
-// latter case bundles are written again unchanged: they are known to fit, and the
-// conditions on the revisions that we last saw make late copies harmless.
+// Retry requeues writes whose transaction failed. If outcomeUnknown is set, the
+// transaction got no answer. In that case bundles are written again unchanged: they are
+// known to fit, and the conditions on the last seen revisions make late copies harmless.
 func (s *State) Retry(writes []Write, outcomeUnknown bool) {
 	var entries, endedJobs []string
 	var unanswered []Write
@@ -330,7 +330,7 @@
 	s.unansweredWrites = append(unanswered, s.unansweredWrites...)
 	s.pendingEnds = append(endedJobs, s.pendingEnds...)
 	slices.Sort(entries)
-	// Entries that have changed again since move to the front.
+	// Entries that have been queued again since move to the front.
 	s.queue = slices.DeleteFunc(s.queue, func(entry string) bool { return slices.Contains(entries, entry) })
 	for _, entry := range entries {
 		s.queued[entry] = true
