--- a/internal/core/shard/bench_test.go
+++ b/internal/core/shard/bench_test.go
@@ -62,10 +62,10 @@
 // addLargeFleetJobs adds gangs and arrays for so many machines.
 func addLargeFleetJobs(s *State, machines int) {
 	jobCount := 0
-	add := func(tasks int, kind model.JobKind, need model.Resources, class, team string) {
+	add := func(tasks int, kind model.JobKind, request model.Resources, class, team string) {
 		jobCount++
 		job := &model.Job{ID: fmt.Sprintf("j-%06d", jobCount), Class: class, Team: team, Kind: kind, Priority: model.LowPriority, Tasks: tasks,
-			Request: need, Image: fmt.Sprintf("img-%d", jobCount%6), ImageGB: 4, EstimatedRun: 60 * sec, AllowsSpot: kind == model.Array}
+			Request: request, Image: fmt.Sprintf("img-%d", jobCount%6), ImageGB: 4, EstimatedRun: 60 * sec, AllowsSpot: kind == model.Array}
 		if kind == model.Gang {
 			job.Priority, job.AllowsSpot, job.CheckpointInterval, job.SaveTime = model.HighPriority, false, 15*sec, 5*sec
 		}
@@ -117,9 +117,9 @@
 		// A few tasks end between two rounds.
 		for k := range 4 {
 			m := s.Machines[workers[(i*7+k*151)%len(workers)].heartbeat.Machine]
-			for _, x := range m.Bindings {
-				if x.Job.Kind == model.Array {
-					s.unbind(x, "ended", now)
+			for _, binding := range m.Bindings {
+				if binding.Job.Kind == model.Array {
+					s.unbind(binding, "ended", now)
 					break
 				}
 			}
--- a/internal/core/shard/bindings_test.go
+++ b/internal/core/shard/bindings_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestUnbindNeedsNewerReportUnderOurToken(t *testing.T) {
+func TestUnbindNeedsNewerHeartbeatUnderOwnToken(t *testing.T) {
 	s := newTestState(5)
 	job := s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
@@ -45,7 +45,7 @@
 
 // The worker's lease is counted from the last moment at which any entitled node
 // may have answered it; a listing or silence proves nothing.
-func TestLeaseProof(t *testing.T) {
+func TestUnbindAfterLeaseExpiry(t *testing.T) {
 	s := newTestState(5)
 	s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
@@ -68,7 +68,7 @@
 
 // A new owner knows nothing of what the former answered, so it counts from its
 // own takeover.
-func TestLeaseProofAfterTakeover(t *testing.T) {
+func TestLeaseExpiryAfterTakeover(t *testing.T) {
 	s := newTestState(9)
 	job := s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 100*sec, 0)
 	s.Restore(job, 0, 7, s.AddMachine("h1", "box", "a", false, 100*sec))
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestDeletionProof(t *testing.T) {
+func TestUnbindAfterMachineDeletion(t *testing.T) {
 	s := newTestState(5)
 	job := s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
@@ -95,9 +95,9 @@
 	s.AddJob(newJob("j-1", 2, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
 	w.startBoundTasks()
-	b := firstBinding(s, "h1")
+	binding := firstBinding(s, "h1")
 	s.EndJob("j-1", "withdrawn", 2*sec)
-	_, commands := w.sendHeartbeat(3*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running})
+	_, commands := w.sendHeartbeat(3*sec, 5, TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Running})
 	if countCommands(commands, StartTask) != 0 || countCommands(commands, StopTask) != 1 || commands[0].Grace != 0 {
 		t.Fatalf("commands %v, want one stop without grace", commands)
 	}
@@ -120,7 +120,7 @@
 		t.Fatal("not bound elsewhere")
 	}
 	writes := s.Writes(1, 48<<10)
-	if rec := writes[0].Value.(BundleRecord); len(writes) != 1 || len(rec.Machines) != 2 || len(rec.Machines["h1"].Tasks) != 0 {
+	if record := writes[0].Value.(BundleRecord); len(writes) != 1 || len(record.Machines) != 2 || len(record.Machines["h1"].Tasks) != 0 {
 		t.Fatalf("written: %+v", writes)
 	}
 }
@@ -128,34 +128,34 @@
 // Where a binding got durable before the task's leaving of another machine did,
 // a new owner finds the task bound twice. The newest attempt is the true one:
 // the older may never be started beside it.
-func TestNewestAttemptWinsAtTakeover(t *testing.T) {
+func TestNewestAttemptIsKeptAtTakeover(t *testing.T) {
 	s := newTestState(9)
 	job := s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	for machineID, attempt := range map[string]uint64{"h1": 7, "h2": 8} {
 		s.Restore(job, 0, attempt, s.AddMachine(machineID, "box", "a", false, 0))
 	}
 	s.StopSuperseded()
-	_, o1 := newWorker(s, "h1", "box", "a").sendHeartbeat(sec, 5)
-	_, o2 := newWorker(s, "h2", "box", "a").sendHeartbeat(sec, 5)
-	if countCommands(o1, StartTask) != 0 || countCommands(o2, StartTask) != 1 {
-		t.Fatalf("older attempt: %v, newest: %v", o1, o2)
+	_, olderCommands := newWorker(s, "h1", "box", "a").sendHeartbeat(sec, 5)
+	_, newestCommands := newWorker(s, "h2", "box", "a").sendHeartbeat(sec, 5)
+	if countCommands(olderCommands, StartTask) != 0 || countCommands(newestCommands, StartTask) != 1 {
+		t.Fatalf("older attempt: %v, newest: %v", olderCommands, newestCommands)
 	}
 }
 
 func TestAttemptsNeverRepeat(t *testing.T) {
-	a, b := newTestState(5), newTestState(6)
+	earlier, later := newTestState(5), newTestState(6)
 	var last uint64
 	for range 1000 {
-		last = a.NextAttempt()
+		last = earlier.NextAttempt()
 	}
-	if first := b.NextAttempt(); first <= last {
+	if first := later.NextAttempt(); first <= last {
 		t.Fatalf("attempt %d under a later grant, %d under the earlier", first, last)
 	}
 }
 
 // A machine that is drained gets nothing new, and what is on it begins anew elsewhere once
 // it is gone from there, never before.
-func TestVacateMovesWithProof(t *testing.T) {
+func TestDrainRestartsTasksOnlyOnceTheyAreGone(t *testing.T) {
 	s := newTestState(5)
 	w := newWorker(s, "h1", "box", "a")
 	s.AddJob(newJob("j-1", 1, model.Service), model.TaskSet{}, "", 0, 0)
@@ -164,15 +164,15 @@
 	other := newWorker(s, "h2", "box", "a")
 	other.sendHeartbeat(3*sec, 5)
 	s.Drain(s.Machines["h1"], 4*sec)
-	if _, cs := w.sendHeartbeat(5*sec, 5, runningTasks(s, "h1")...); len(cs) != 1 || cs[0].Op != StopTask {
-		t.Fatalf("commands %v, want a stop", cs)
+	if _, commands := w.sendHeartbeat(5*sec, 5, runningTasks(s, "h1")...); len(commands) != 1 || commands[0].Op != StopTask {
+		t.Fatalf("commands %v, want a stop", commands)
 	}
 	other.sendHeartbeat(5*sec, 5)
 	if n := len(s.Machines["h2"].Bindings); n != 0 {
 		t.Fatal("bound elsewhere before it is gone")
 	}
-	b := s.Machines["h1"].Bindings[model.TaskID{Job: "j-1"}]
-	w.sendHeartbeat(6*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Exited, Cause: CauseStopped})
+	binding := s.Machines["h1"].Bindings[model.TaskID{Job: "j-1"}]
+	w.sendHeartbeat(6*sec, 5, TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Exited, Cause: CauseStopped})
 	if len(s.Machines["h1"].Bindings) != 0 || len(s.Machines["h2"].Bindings) != 1 {
 		t.Errorf("%d tasks on the drained machine, %d on the other", len(s.Machines["h1"].Bindings), len(s.Machines["h2"].Bindings))
 	}
--- a/internal/core/shard/dense_test.go
+++ b/internal/core/shard/dense_test.go
@@ -12,7 +12,7 @@
 
 // What is written in the dense form is read as it was, takes no more than it was
 // thought to, and much less than in the plain form.
-func TestDenseBundles(t *testing.T) {
+func TestDenseEncodingRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	plainBytes, denseBytes := 0, 0
 	for round := range 200 {
@@ -43,20 +43,20 @@
 				t.Fatalf("round %d: nothing is written of %d", round, s.PendingWrites())
 			}
 			for _, write := range writes {
-				rec := write.Value.(BundleRecord)
-				raw, err := json.Marshal(rec)
+				record := write.Value.(BundleRecord)
+				raw, err := json.Marshal(record)
 				if err != nil || len(raw) > write.size || len(raw) > s.Params.MaxValue {
 					t.Fatalf("%d bytes, thought to be %d: %v", len(raw), write.size, err)
 				}
 				denseBytes += len(raw)
-				var back BundleRecord
-				if err := json.Unmarshal(raw, &back); err != nil || !back.Dense {
+				var decoded BundleRecord
+				if err := json.Unmarshal(raw, &decoded); err != nil || !decoded.Dense {
 					t.Fatalf("read back: %v", err)
 				}
 				// Both as plain JSON.
-				rec.Dense, back.Dense = false, false
-				want, _ := json.Marshal(rec)
-				got, _ := json.Marshal(back)
+				record.Dense, decoded.Dense = false, false
+				want, _ := json.Marshal(record)
+				got, _ := json.Marshal(decoded)
 				plainBytes += len(want)
 				if !bytes.Equal(want, got) {
 					t.Fatalf("%s is read as %s", want, got)
@@ -75,29 +75,29 @@
 }
 
 // What is no dense bundle is refused, whatever it is.
-func TestDenseGarbage(t *testing.T) {
-	good := BundleRecord{Dense: true, Machines: map[string]*MachineRecord{"h1": {MachineType: "box", Zone: "a", Tasks: map[string][][2]uint64{"j-1": {{3, 70}}}}, "h2": nil},
+func TestDenseDecodingOfMalformedInput(t *testing.T) {
+	bundle := BundleRecord{Dense: true, Machines: map[string]*MachineRecord{"h1": {MachineType: "box", Zone: "a", Tasks: map[string][][2]uint64{"j-1": {{3, 70}}}}, "h2": nil},
 		Done: map[string][]byte{"j-1": {7}}}
-	packed := good.encodeDense()
+	encoded := bundle.encodeDense()
 	rng := rand.New(rand.NewPCG(5, 6))
-	for n := range packed {
-		var b BundleRecord
-		if b.decodeDense(packed[:n]) == nil {
-			t.Errorf("the first %d of %d bytes are taken", n, len(packed))
+	for length := range encoded {
+		var decoded BundleRecord
+		if decoded.decodeDense(encoded[:length]) == nil {
+			t.Errorf("the first %d of %d bytes are taken", length, len(encoded))
 		}
 	}
 	for range 20_000 {
-		bad := bytes.Clone(packed)
+		malformed := bytes.Clone(encoded)
 		for range 1 + rng.IntN(3) {
-			bad[rng.IntN(len(bad))] = byte(rng.Uint32())
+			malformed[rng.IntN(len(malformed))] = byte(rng.Uint32())
 		}
-		var b BundleRecord
-		_ = b.decodeDense(bad) // whatever comes of it, it comes to an end
+		var decoded BundleRecord
+		_ = decoded.decodeDense(malformed) // whatever comes of it, it comes to an end
 	}
-	for _, s := range []string{`{"hosts":"!"}`, `{"hosts":"AA=="}`, `{"hosts":""}`, `{"hosts":[]}`, `{"hosts":7}`} {
-		var b BundleRecord
-		if json.Unmarshal([]byte(s), &b) == nil {
-			t.Errorf("%s is taken", s)
+	for _, input := range []string{`{"hosts":"!"}`, `{"hosts":"AA=="}`, `{"hosts":""}`, `{"hosts":[]}`, `{"hosts":7}`} {
+		var decoded BundleRecord
+		if json.Unmarshal([]byte(input), &decoded) == nil {
+			t.Errorf("%s is taken", input)
 		}
 	}
 }
--- a/internal/core/shard/gangs_test.go
+++ b/internal/core/shard/gangs_test.go
@@ -25,26 +25,26 @@
 	if s.Committed(writes, sec); len(writes) != 1 || len(writes[0].versions) != 1 {
 		t.Fatalf("%+v written, want one of two records", writes)
 	}
-	_, o1 := w1.sendHeartbeat(2*sec, 5)
-	_, o2 := w2.sendHeartbeat(2*sec, 5)
-	if countCommands(o1, StartTask)+countCommands(o2, StartTask) != 0 {
+	_, commands1 := w1.sendHeartbeat(2*sec, 5)
+	_, commands2 := w2.sendHeartbeat(2*sec, 5)
+	if countCommands(commands1, StartTask)+countCommands(commands2, StartTask) != 0 {
 		t.Fatal("a task of a gang starts before all bindings are durable")
 	}
 	commitAll(s, 2*sec)
 	w1.sendHeartbeat(3*sec, 5)
 	w2.sendHeartbeat(3*sec, 5)
-	b1, b2 := firstBinding(s, "h1"), firstBinding(s, "h2")
-	w1.sendHeartbeat(4*sec, 5, TaskStatus{ID: b1.ID, Attempt: b1.Attempt, Status: model.Running})
-	w2.sendHeartbeat(4*sec, 5, TaskStatus{ID: b2.ID, Attempt: b2.Attempt, Status: model.Running})
+	binding1, binding2 := firstBinding(s, "h1"), firstBinding(s, "h2")
+	w1.sendHeartbeat(4*sec, 5, TaskStatus{ID: binding1.ID, Attempt: binding1.Attempt, Status: model.Running})
+	w2.sendHeartbeat(4*sec, 5, TaskStatus{ID: binding2.ID, Attempt: binding2.Attempt, Status: model.Running})
 	newWorker(s, "h3", "box", "a").sendHeartbeat(4*sec, 5)
 	newWorker(s, "h4", "box", "a").sendHeartbeat(4*sec, 5)
 	w1.sendHeartbeat(5*sec, 5) // gone without a trace
-	_, o2 = w2.sendHeartbeat(5*sec, 5, TaskStatus{ID: b2.ID, Attempt: b2.Attempt, Status: model.Running})
-	if len(job.Bindings) != 1 || countCommands(o2, StopTask) != 1 {
-		t.Fatalf("%d bound, commands %v: want the rest of the attempt stopped, and no new one", len(job.Bindings), o2)
+	_, commands2 = w2.sendHeartbeat(5*sec, 5, TaskStatus{ID: binding2.ID, Attempt: binding2.Attempt, Status: model.Running})
+	if len(job.Bindings) != 1 || countCommands(commands2, StopTask) != 1 {
+		t.Fatalf("%d bound, commands %v: want the rest of the attempt stopped, and no new one", len(job.Bindings), commands2)
 	}
-	w2.sendHeartbeat(6*sec, 5, TaskStatus{ID: b2.ID, Attempt: b2.Attempt, Status: model.Exited, Cause: CauseStopped})
-	if len(job.Bindings) != 2 || job.Bindings[0][0].Attempt == b1.Attempt {
+	w2.sendHeartbeat(6*sec, 5, TaskStatus{ID: binding2.ID, Attempt: binding2.Attempt, Status: model.Exited, Cause: CauseStopped})
+	if len(job.Bindings) != 2 || job.Bindings[0][0].Attempt == binding1.Attempt {
 		t.Fatal("no new attempt after the old one is gone")
 	}
 }
@@ -69,53 +69,53 @@
 		firstBinding(s, workers[n].heartbeat.Machine).ExpectedFetch = fetch
 	}
 	commitAll(s, sec)
-	started := func(now model.Micros) (n []int) {
+	startTasks := func(now model.Micros) (started []int) {
 		for i, w := range workers {
-			b := firstBinding(s, w.heartbeat.Machine)
+			binding := firstBinding(s, w.heartbeat.Machine)
 			var tasks []TaskStatus
-			if b.Reported {
-				tasks = append(tasks, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: b.Status})
+			if binding.Reported {
+				tasks = append(tasks, TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: binding.Status})
 			}
-			if _, o := w.sendHeartbeat(now, 5, tasks...); countCommands(o, StartTask) > 0 {
-				n = append(n, i)
-				b.Reported, b.Status = true, model.Fetching
+			if _, commands := w.sendHeartbeat(now, 5, tasks...); countCommands(commands, StartTask) > 0 {
+				started = append(started, i)
+				binding.Reported, binding.Status = true, model.Fetching
 			}
 		}
-		return n
+		return started
 	}
-	if n := started(2 * sec); len(n) != 2 || n[0] != 1 {
-		t.Fatalf("started %v, want the two that fetch", n)
+	if started := startTasks(2 * sec); len(started) != 2 || started[0] != 1 {
+		t.Fatalf("started %v, want the two that fetch", started)
 	}
 	for _, w := range workers[1:] {
 		firstBinding(s, w.heartbeat.Machine).Status = model.WaitingForGang
 	}
-	if n := started(100 * sec); len(n) != 1 || n[0] != 0 {
-		t.Fatalf("started %v, want the one that has its image", n)
+	if started := startTasks(100 * sec); len(started) != 1 || started[0] != 0 {
+		t.Fatalf("started %v, want the one that has its image", started)
 	}
 }
 
 // A gang that does not come together, for whatever reason, gives its machines
 // back.
-func TestGangThatNeverRunsIsEnded(t *testing.T) {
+func TestGangAttemptThatNeverRunsFails(t *testing.T) {
 	s := newTestState(5)
 	job := s.AddJob(newJob("j-1", 1, model.Gang), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
 	w.sendHeartbeat(sec, 5)
 	commitAll(s, sec)
-	b := firstBinding(s, "h1")
-	at := 10 * sec
-	for ; at < 200*sec && !job.AttemptFailed; at += 10 * sec {
-		w.sendHeartbeat(at, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Fetching})
-		s.Tick(at)
+	binding := firstBinding(s, "h1")
+	now := 10 * sec
+	for ; now < 200*sec && !job.AttemptFailed; now += 10 * sec {
+		w.sendHeartbeat(now, 5, TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Fetching})
+		s.Tick(now)
 	}
-	if !job.AttemptFailed || at < 60*sec {
-		t.Fatalf("broken %v after %v s", job.AttemptFailed, at.Seconds())
+	if !job.AttemptFailed || now < 60*sec {
+		t.Fatalf("broken %v after %v s", job.AttemptFailed, now.Seconds())
 	}
 }
 
 // A gang that its team's limit keeps waiting is not overtaken by single tasks of
 // the team for ever, and has them stopped once it is late.
-func TestGangIsOwedItsTeamsLimit(t *testing.T) {
+func TestSingleTasksDoNotOvertakeGangAtTeamLimit(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"hot": {40 * sec}}
 	s.AddJob(newJob("j-1", 30, model.Array), model.TaskSet{}, "", 0, 0)
@@ -125,9 +125,9 @@
 	if s.Used["red"].Cores != 8000 {
 		t.Fatal("the team is not at its limit")
 	}
-	hot := newJob("j-2", 2, model.Gang)
-	hot.Priority, hot.Class, hot.Request.Cores = model.HighPriority, "hot", 2000
-	job := s.AddJob(hot, model.TaskSet{}, "", sec, 0)
+	gang := newJob("j-2", 2, model.Gang)
+	gang.Priority, gang.Class, gang.Request.Cores = model.HighPriority, "hot", 2000
+	job := s.AddJob(gang, model.TaskSet{}, "", sec, 0)
 	s.recordCompletion(model.TaskID{Job: "j-1"}, nil, 2*sec)
 	s.unbind(s.Jobs["j-1"].Bindings[0][0], "ended: done", 2*sec)
 	s.Place(2*sec, true)
@@ -151,39 +151,39 @@
 
 // Machines that come free are kept for a gang that needs several at once and
 // can't have others stopped: work of its own rank would take them one by one.
-func TestMachinesAreAwaitedForALargeGang(t *testing.T) {
+func TestFreedMachinesAreReservedForLargeGang(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"c": {40 * sec}}
-	one := func(machineID string, tasks int, now model.Micros) *model.JobState {
-		spec := newJob(machineID, tasks, model.Gang)
+	addGang := func(jobID string, tasks int, now model.Micros) *model.JobState {
+		spec := newJob(jobID, tasks, model.Gang)
 		spec.Priority, spec.Team, spec.Request.Cores, spec.SameZone = model.HighPriority, "blue", 4000, true
 		return s.AddJob(spec, model.TaskSet{}, "", now, 0)
 	}
 	var workers []*worker
-	running := map[int]TaskStatus{}
+	statuses := map[int]TaskStatus{}
 	for i, machineID := range []string{"h1", "h2", "h3"} {
-		one("j-s"+machineID, 1, 0)
+		addGang("j-s"+machineID, 1, 0)
 		w := newWorker(s, machineID, "box", "a")
 		w.startBoundTasks()
-		b := firstBinding(s, machineID)
-		running[i] = TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running}
+		binding := firstBinding(s, machineID)
+		statuses[i] = TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Running}
 		workers = append(workers, w)
 	}
-	big := one("j-big", 2, 3*sec)
+	big := addGang("j-big", 2, 3*sec)
 	for i := range 4 {
-		one("j-t"+string(rune('a'+i)), 1, 4*sec)
+		addGang("j-t"+string(rune('a'+i)), 1, 4*sec)
 	}
 	for i, w := range workers {
-		w.sendHeartbeat(60*sec, 5, running[i])
+		w.sendHeartbeat(60*sec, 5, statuses[i])
 	}
-	done := running[0]
+	done := statuses[0]
 	done.Status, done.Cause = model.Exited, CauseDone
 	workers[0].sendHeartbeat(61*sec, 5, done)
 	s.Place(61*sec, true)
 	if b := firstBinding(s, "h1"); b != nil {
 		t.Fatalf("%s took the machine that the large gang waits for", b.ID)
 	}
-	done = running[1]
+	done = statuses[1]
 	done.Status, done.Cause = model.Exited, CauseDone
 	workers[1].sendHeartbeat(62*sec, 5, done)
 	s.Place(62*sec, true)
@@ -194,91 +194,91 @@
 
 // A gang that would strand GPUs that are wanted waits for another machine, until
 // it gets short of time.
-func TestGangLeavesWantedGPUs(t *testing.T) {
+func TestGangLeavesWantedGPUsToGPUTasks(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"hot": {100 * sec}}
-	gpu := newJob("j-1", 4, model.Array)
-	gpu.Team, gpu.Request.GPUs, gpu.Request.Cores = "blue", 1000, 3000
-	s.AddJob(gpu, model.TaskSet{}, "", 0, 0)
+	gpuSpec := newJob("j-1", 4, model.Array)
+	gpuSpec.Team, gpuSpec.Request.GPUs, gpuSpec.Request.Cores = "blue", 1000, 3000
+	s.AddJob(gpuSpec, model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "gpu", "a")
 	w.startBoundTasks()
-	hot := newJob("j-2", 1, model.Gang)
-	hot.Team, hot.Class, hot.Priority, hot.Request.Cores = "blue", "hot", model.HighPriority, 2000
-	job := s.AddJob(hot, model.TaskSet{}, "", 2*sec, 0)
-	report := func(now model.Micros) {
+	gangSpec := newJob("j-2", 1, model.Gang)
+	gangSpec.Team, gangSpec.Class, gangSpec.Priority, gangSpec.Request.Cores = "blue", "hot", model.HighPriority, 2000
+	job := s.AddJob(gangSpec, model.TaskSet{}, "", 2*sec, 0)
+	sendRunning := func(now model.Micros) {
 		var tasks []TaskStatus
-		for id, b := range s.Machines["h1"].Bindings {
+		for id, binding := range s.Machines["h1"].Bindings {
 			if id.Job == "j-1" {
-				tasks = append(tasks, TaskStatus{ID: id, Attempt: b.Attempt, Status: model.Running})
+				tasks = append(tasks, TaskStatus{ID: id, Attempt: binding.Attempt, Status: model.Running})
 			}
 		}
 		w.sendHeartbeat(now, 5, tasks...)
 	}
-	if report(3 * sec); len(job.Bindings) != 0 {
+	if sendRunning(3 * sec); len(job.Bindings) != 0 {
 		t.Fatal("the gang takes what GPU tasks need, with time to spare")
 	}
-	if report(90 * sec); len(job.Bindings) != 1 {
+	if sendRunning(90 * sec); len(job.Bindings) != 1 {
 		t.Fatal("the gang does not take the room when it is short of time")
 	}
 }
 
 // Room that others were stopped for is not taken by a gang served earlier: that
 // one has its own made, and nobody is stopped twice for the same.
-func TestRoomMadeForAGangIsItsOwn(t *testing.T) {
+func TestPreemptedResourcesAreReservedForGang(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"hot": {8 * sec}}
-	low := newJob("j-1", 8, model.Array)
-	low.Priority, low.Team = model.LowPriority, "blue"
-	s.AddJob(low, model.TaskSet{}, "", 0, 0)
+	lowSpec := newJob("j-1", 8, model.Array)
+	lowSpec.Priority, lowSpec.Team = model.LowPriority, "blue"
+	s.AddJob(lowSpec, model.TaskSet{}, "", 0, 0)
 	var workers []*worker
 	for _, machineID := range []string{"h1", "h2"} {
 		w := newWorker(s, machineID, "box", "a")
 		w.startBoundTasks()
 		workers = append(workers, w)
 	}
-	gang := func(machineID string, now, age model.Micros) *model.JobState {
-		spec := newJob(machineID, 1, model.Gang)
+	addGang := func(jobID string, now, age model.Micros) *model.JobState {
+		spec := newJob(jobID, 1, model.Gang)
 		spec.Priority, spec.Class, spec.Team, spec.Request.Cores = model.HighPriority, "hot", "blue", 4000
 		return s.AddJob(spec, model.TaskSet{}, "", now, age)
 	}
-	stops := func() (n [2]int) {
+	stops := func() (counts [2]int) {
 		for i, machineID := range []string{"h1", "h2"} {
 			for _, b := range s.Machines[machineID].Bindings {
 				if b.Stopping {
-					n[i]++
+					counts[i]++
 				}
 			}
 		}
-		return n
+		return counts
 	}
 	for _, w := range workers {
 		tasks := runningTasks(s, w.heartbeat.Machine)
 		w.sendHeartbeat(8*sec, 5, tasks...)
 	}
-	a := gang("j-2", 8*sec, 7*sec)
+	firstGang := addGang("j-2", 8*sec, 7*sec)
 	s.Place(9*sec, true)
-	first := stops()
-	if first[0]+first[1] != 4 {
-		t.Fatalf("stopped for one gang: %v", first)
+	firstStops := stops()
+	if firstStops[0]+firstStops[1] != 4 {
+		t.Fatalf("stopped for one gang: %v", firstStops)
 	}
-	b := gang("j-3", 9*sec, 8*sec) // older, and so served first but for what was made for the other
-	b.AcceptedRevision = 0
-	a.AcceptedRevision = 1
+	secondGang := addGang("j-3", 9*sec, 8*sec) // older, and so served first but for what was made for the other
+	secondGang.AcceptedRevision = 0
+	firstGang.AcceptedRevision = 1
 	for i := range model.Micros(4) {
 		s.Place(9500*model.Millisecond+i*sec/10, true)
 	}
 	if n := stops(); n != [2]int{4, 4} {
 		t.Fatalf("stopped for two gangs: %v", n)
 	}
-	made := "h1"
-	if first[1] == 4 {
-		made = "h2"
+	freedMachine := "h1"
+	if firstStops[1] == 4 {
+		freedMachine = "h2"
 	}
-	for _, x := range s.Machines[made].Bindings {
-		s.unbind(x, "ended: stopped", 10*sec)
+	for _, binding := range s.Machines[freedMachine].Bindings {
+		s.unbind(binding, "ended: stopped", 10*sec)
 	}
 	s.Place(10*sec, true)
-	if x := firstBinding(s, made); x == nil || x.ID.Job != "j-2" {
+	if x := firstBinding(s, freedMachine); x == nil || x.ID.Job != "j-2" {
 		t.Errorf("the room made for one gang went to %v", x)
 	}
 }
--- a/internal/core/shard/heartbeats_test.go
+++ b/internal/core/shard/heartbeats_test.go
@@ -6,27 +6,27 @@
 	"woadweir/internal/core/model"
 )
 
-func TestLateReportMovesNothingBack(t *testing.T) {
+func TestStaleHeartbeatIsIgnored(t *testing.T) {
 	s := newTestState(5)
 	s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
 	w.startBoundTasks()
-	b := firstBinding(s, "h1")
-	w.sendHeartbeat(3*sec, 5, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running})
-	late := w.heartbeat
-	late.Sequence, late.Token = 2, 5
-	if v := s.ApplyHeartbeat(&late, 4*sec); v != Stale {
-		t.Fatalf("verdict %v for a late copy", v)
-	}
-	if firstBinding(s, "h1") != b {
+	binding := firstBinding(s, "h1")
+	w.sendHeartbeat(3*sec, 5, TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Running})
+	stale := w.heartbeat
+	stale.Sequence, stale.Token = 2, 5
+	if result := s.ApplyHeartbeat(&stale, 4*sec); result != Stale {
+		t.Fatalf("verdict %v for a late copy", result)
+	}
+	if firstBinding(s, "h1") != binding {
 		t.Fatal("a late copy unbound the task")
 	}
 }
 
-func TestHigherTokenDeposes(t *testing.T) {
+func TestHigherTokenIsReported(t *testing.T) {
 	s := newTestState(5)
-	if v, _ := newWorker(s, "h1", "box", "a").sendHeartbeat(sec, 6); v != HigherToken {
-		t.Fatalf("verdict %v for a worker that knows a higher token", v)
+	if result, _ := newWorker(s, "h1", "box", "a").sendHeartbeat(sec, 6); result != HigherToken {
+		t.Fatalf("verdict %v for a worker that knows a higher token", result)
 	}
 }
 
@@ -58,7 +58,7 @@
 }
 
 // A cancellation that was decided first stands, whatever finishes.
-func TestCancelAgainstCompletion(t *testing.T) {
+func TestCancellationBeforeEndIsDurable(t *testing.T) {
 	s := newTestState(5)
 	job := s.AddJob(newJob("j-1", 2, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
@@ -67,8 +67,8 @@
 		s.recordCompletion(model.TaskID{Job: "j-1", Index: n}, nil, 3*sec)
 	}
 	s.EndJob("j-1", "withdrawn", 4*sec)
-	for _, x := range s.Writes(16, 48<<10) {
-		if x.Key == "job/j-1" {
+	for _, write := range s.Writes(16, 48<<10) {
+		if write.Key == "job/j-1" {
 			t.Fatal("the end is to be written over a cancellation")
 		}
 	}
@@ -98,7 +98,7 @@
 // A machine is quarantined when tasks of two jobs fail on it that are known to
 // run: their work is done elsewhere. Two new jobs that fail on it at once are no
 // evidence against it until they are seen to run.
-func TestFaultIsFoundOut(t *testing.T) {
+func TestFailuresOfProvenJobsQuarantineMachine(t *testing.T) {
 	s := newTestState(5)
 	for _, jobID := range []string{"j-1", "j-2"} {
 		s.AddJob(newJob(jobID, 2, model.Array), model.TaskSet{}, "", 0, 0)
@@ -130,7 +130,7 @@
 // A machine that fails all that comes to it is quarantined even if it is one job that
 // has nowhere else to go: else that would fail there for ever. The job has one machine
 // quarantined, not every one that it fails on.
-func TestJobWithOneMachineToGoTo(t *testing.T) {
+func TestFailingJobQuarantinesOnlyOneMachine(t *testing.T) {
 	s := newTestState(5)
 	job := s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
@@ -154,12 +154,12 @@
 
 // What fails on a machine where other work runs is at fault itself, if nothing of it has
 // run yet.
-func TestOtherWorkThatRunsClearsAMachine(t *testing.T) {
+func TestRunningTasksOfOtherJobsClearMachine(t *testing.T) {
 	s := newTestState(5)
 	s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
-	mistaken := s.AddJob(newJob("j-2", 3, model.Array), model.TaskSet{}, "", 0, 0)
+	faulty := s.AddJob(newJob("j-2", 3, model.Array), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
-	runs := func(at model.Micros) {
+	sendStatuses := func(at model.Micros) {
 		tasks := failedTasks(s, "h1")
 		for i := range tasks {
 			if tasks[i].ID.Job == "j-1" {
@@ -172,13 +172,13 @@
 	commitAll(s, sec)
 	w.sendHeartbeat(2*sec, 5)
 	for i := range 2 * unprovenFailureThreshold {
-		runs(model.Micros(3+100*i) * sec)
+		sendStatuses(model.Micros(3+100*i) * sec)
 		commitAll(s, model.Micros(4+100*i)*sec)
 	}
 	if s.Machines["h1"].Quarantined {
 		t.Fatal("a machine on which other work runs is quarantined for a job that never ran")
 	}
-	if !mistaken.IsAtFault() {
+	if !faulty.IsAtFault() {
 		t.Fatal("a job that fails where other work runs is not found to be at fault")
 	}
 }
@@ -187,7 +187,7 @@
 // must not get healthy machines quarantined: each would be returned and another
 // rented for the work that it had. The job stays known, and waits longer before
 // each new try.
-func TestJobThatFailsEverywhereSpoilsNoMachine(t *testing.T) {
+func TestJobThatFailsEverywhereQuarantinesNoMachine(t *testing.T) {
 	s := newTestState(5)
 	names := []string{"h1", "h2", "h3"}
 	var workers []*worker
@@ -251,7 +251,7 @@
 
 // Nothing new is bound to a machine before a report shows that it hears us: one
 // that bears an older token may be an old copy.
-func TestNoWorkForAMachineThatDoesNotHear(t *testing.T) {
+func TestNoBindingsForMachineWithoutResponses(t *testing.T) {
 	s := newTestState(5)
 	job := s.AddJob(newJob("j-1", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	machine := s.AddMachine("h1", "box", "a", false, 0)
@@ -266,7 +266,7 @@
 	if len(job.Bindings) != 1 {
 		t.Fatal("no work for a machine that hears")
 	}
-	more := s.AddJob(newJob("j-2", 1, model.Array), model.TaskSet{}, "", 0, 0)
+	secondJob := s.AddJob(newJob("j-2", 1, model.Array), model.TaskSet{}, "", 0, 0)
 	heartbeat := w.heartbeat
 	for i := range model.Micros(8) { // its answers are lost: it comes back from the other controllers
 		w.sequence++
@@ -274,7 +274,7 @@
 		s.ApplyHeartbeat(&heartbeat, 10*sec+i*5*sec)
 		s.Place(10*sec+i*5*sec, true)
 	}
-	if len(more.Bindings) != 0 {
+	if len(secondJob.Bindings) != 0 {
 		t.Fatal("more work for a machine that has not heard the last answers")
 	}
 	if !s.Unreachable(machine, 10*sec+35*sec) || s.Unreachable(machine, 10*sec+20*sec) {
@@ -286,24 +286,24 @@
 // after a lost answer don't: that worker has waited four seconds for each of two
 // controllers and one more before the next. A time that is right for one report
 // period closes half of the machines for a round, or notices nothing, at another.
-func TestHearingAtBothReportPeriods(t *testing.T) {
-	for _, report := range []model.Micros{5 * sec / 2, 5 * sec} {
+func TestReceivesAnswersAtBothHeartbeatIntervals(t *testing.T) {
+	for _, interval := range []model.Micros{5 * sec / 2, 5 * sec} {
 		s := newTestState(5)
-		s.Params.HeartbeatInterval = report
+		s.Params.HeartbeatInterval = interval
 		machine := s.AddMachine("h1", "box", "a", false, 0)
 		w := newWorker(s, "h1", "box", "a")
 		heartbeat := w.heartbeat
 		at := sec
-		for i, gap := range []model.Micros{0, report, report * 3 / 2, 10 * sec} {
+		for i, gap := range []model.Micros{0, interval, interval * 3 / 2, 10 * sec} {
 			at += gap
 			heartbeat.Sequence, heartbeat.Token = uint64(i+1), 5
 			s.ApplyHeartbeat(&heartbeat, at)
 			if want := i == 1 || i == 2; machine.ReceivesAnswers != want {
-				t.Errorf("reports every %v: after %v it counts as heard: %v", report, gap, machine.ReceivesAnswers)
+				t.Errorf("reports every %v: after %v it counts as heard: %v", interval, gap, machine.ReceivesAnswers)
 			}
 		}
-		if stop := s.PlacementInput(at).StopTime; stop < report || stop > 2*report {
-			t.Errorf("reports every %v: %v until a stopped task's room is free", report, stop)
+		if stopTime := s.PlacementInput(at).StopTime; stopTime < interval || stopTime > 2*interval {
+			t.Errorf("reports every %v: %v until a stopped task's room is free", interval, stopTime)
 		}
 	}
 }
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -46,12 +46,12 @@
 	w.sequence++
 	heartbeat := w.heartbeat
 	heartbeat.Sequence, heartbeat.Token, heartbeat.Tasks = w.sequence, token, tasks
-	v := w.state.ApplyHeartbeat(&heartbeat, now)
-	if v != Accepted {
-		return v, nil
+	result := w.state.ApplyHeartbeat(&heartbeat, now)
+	if result != Accepted {
+		return result, nil
 	}
 	w.state.Place(now, true)
-	return v, w.state.Commands(&heartbeat, now)
+	return result, w.state.Commands(&heartbeat, now)
 }
 
 // startBoundTasks has the worker report with nothing on it, and again once what was bound
@@ -67,8 +67,8 @@
 	for s.PendingWrites() > 0 {
 		writes := s.Writes(16, 48<<10)
 		for _, write := range writes {
-			for e := range write.versions {
-				keys = append(keys, e)
+			for entry := range write.versions {
+				keys = append(keys, entry)
 			}
 		}
 		s.Committed(writes, now)
@@ -77,8 +77,8 @@
 }
 
 func countCommands(commands []Command, op CommandOp) (n int) {
-	for _, o := range commands {
-		if o.Op == op {
+	for _, command := range commands {
+		if command.Op == op {
 			n++
 		}
 	}
--- a/internal/core/shard/writes_test.go
+++ b/internal/core/shard/writes_test.go
@@ -14,26 +14,26 @@
 // A bundle whose write got no answer may yet be carried out. It is written again
 // before any other, so that its guard shuts the late copy out, and what it held
 // is written again, too.
-func TestLostBundleIsWrittenAgainFirst(t *testing.T) {
+func TestUnansweredBundleIsWrittenAgainFirst(t *testing.T) {
 	s := newTestState(5)
 	s.AddJob(newJob("j-1", 4, model.Array), model.TaskSet{}, "", 0, 0)
 	newWorker(s, "h1", "box", "a").sendHeartbeat(sec, 5)
 	commitAll(s, sec)
 	s.AddJob(newJob("j-2", 4, model.Array), model.TaskSet{}, "", 0, 0)
 	newWorker(s, "h2", "box", "a").sendHeartbeat(sec, 5)
-	lost := s.Writes(16, 48<<10)
+	unanswered := s.Writes(16, 48<<10)
 	s.Params.MaxValue = 400 // a slot that holds anything is full now
 	s.AddJob(newJob("j-3", 4, model.Array), model.TaskSet{}, "", 0, 0)
 	newWorker(s, "h3", "box", "a").sendHeartbeat(sec, 5)
-	s.Retry(lost, true)
-	again := s.Writes(16, 48<<10)
-	if again[0].Slot != lost[0].Slot {
-		t.Fatalf("slot %d is written first, want %d", again[0].Slot, lost[0].Slot)
+	s.Retry(unanswered, true)
+	retried := s.Writes(16, 48<<10)
+	if retried[0].Slot != unanswered[0].Slot {
+		t.Fatalf("slot %d is written first, want %d", retried[0].Slot, unanswered[0].Slot)
 	}
-	s.Committed(again, sec)
+	s.Committed(retried, sec)
 	commitAll(s, sec)
 	for _, machineID := range []string{"h1", "h2"} {
-		if m := s.Machines[machineID]; m.DurableVersion < m.Version {
+		if machine := s.Machines[machineID]; machine.DurableVersion < machine.Version {
 			t.Errorf("%s is not durable", machineID)
 		}
 	}
@@ -42,7 +42,7 @@
 // A slot that is written anew carries along what only it holds. A machine that
 // is gone is denied as long as an older record of it stands elsewhere, or a new
 // owner would take it for present.
-func TestBundlesCarryWhatOnlyTheyHold(t *testing.T) {
+func TestBundlesKeepLiveEntries(t *testing.T) {
 	s := newTestState(5)
 	stored := map[int]BundleRecord{}
 	store := func() {
@@ -73,14 +73,14 @@
 		}
 		store()
 		for _, machineID := range []string{"h1", "h2", "h3", "h4", "h5"} {
-			k, ok := s.latestSlot["host/"+machineID]
-			rec, there := stored[k].Machines[machineID]
-			if s.Machines[machineID] != nil && (!ok || !there || rec == nil) {
+			slot, ok := s.latestSlot["host/"+machineID]
+			record, present := stored[slot].Machines[machineID]
+			if s.Machines[machineID] != nil && (!ok || !present || record == nil) {
 				t.Fatalf("step %d: %s is not where it is thought to be", i, machineID)
 			}
-			for slot, b := range stored {
-				if rec := b.Machines[machineID]; s.Machines[machineID] == nil && rec != nil && (!ok || stored[k].Machines[machineID] != nil) {
-					t.Fatalf("step %d: %s is gone, but stands in slot %d", i, machineID, slot)
+			for staleSlot, bundle := range stored {
+				if record := bundle.Machines[machineID]; s.Machines[machineID] == nil && record != nil && (!ok || stored[slot].Machines[machineID] != nil) {
+					t.Fatalf("step %d: %s is gone, but stands in slot %d", i, machineID, staleSlot)
 				}
 			}
 		}
@@ -89,45 +89,45 @@
 
 // What has to be written along with a change stays little, and slots stay few,
 // however long machines come, change and go.
-func TestSlotsStayFew(t *testing.T) {
+func TestNumberOfSlotsIsBounded(t *testing.T) {
 	s := newTestState(5)
 	job := s.AddJob(newJob("j-1", 90_000, model.Array), model.TaskSet{}, "", 0, 0)
-	next := 0
+	lastIndex := 0
 	add := func() *model.Machine {
-		next++
-		m := s.AddMachine(fmt.Sprintf("host-%06d", next), "box", "a", false, 0)
+		lastIndex++
+		machine := s.AddMachine(fmt.Sprintf("host-%06d", lastIndex), "box", "a", false, 0)
 		for k := range 6 {
-			s.bind(job, next*8+k, m, s.NextAttempt(), 0)
+			s.bind(job, lastIndex*8+k, machine, s.NextAttempt(), 0)
 		}
-		return m
+		return machine
 	}
-	var ms []*model.Machine
+	var machines []*model.Machine
 	for range 300 {
-		ms = append(ms, add())
+		machines = append(machines, add())
 	}
 	commitAll(s, sec)
 	for i := range 3000 {
-		k := i * 7 % len(ms)
+		index := i * 7 % len(machines)
 		if i%5 == 0 {
-			s.MachineDeleted(ms[k].ID, "deleted", sec)
-			ms[k] = add()
+			s.MachineDeleted(machines[index].ID, "deleted", sec)
+			machines[index] = add()
 		} else {
-			s.markChanged(ms[k])
+			s.markChanged(machines[index])
 		}
 		commitAll(s, sec)
 	}
 	total := 0
-	for e, k := range s.latestSlot {
-		if s.isLive(e, k) {
-			total += s.entryBytes(e)
+	for entry, slotIndex := range s.latestSlot {
+		if s.isLive(entry, slotIndex) {
+			total += s.entryBytes(entry)
 		}
 	}
-	if most := 4*total/s.Params.MaxValue + 8; len(s.slots) > most {
-		t.Errorf("%d slots for %d bytes, want at most %d", len(s.slots), total, most)
+	if maxSlots := 4*total/s.Params.MaxValue + 8; len(s.slots) > maxSlots {
+		t.Errorf("%d slots for %d bytes, want at most %d", len(s.slots), total, maxSlots)
 	}
-	for k, slot := range s.slots {
-		if _, size := s.liveEntries(k); slot.liveBytes < size {
-			t.Errorf("slot %d: %d bytes are kept, %d counted", k, size, slot.liveBytes)
+	for slotIndex, slot := range s.slots {
+		if _, size := s.liveEntries(slotIndex); slot.liveBytes < size {
+			t.Errorf("slot %d: %d bytes are kept, %d counted", slotIndex, size, slot.liveBytes)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 // what an earlier owner stored as a whole is kept until all of it stands in parts: at
 // no moment does a reader miss a completion that it could see before. A owner with
 // larger values reads the parts, and so on to and fro.
-func TestPartsOfALargeJob(t *testing.T) {
+func TestFinishedTasksInParts(t *testing.T) {
 	const tasks = 20_000
 	spec := newJob("j-1", tasks, model.Array)
 	stored := map[int]BundleRecord{}
@@ -148,10 +148,10 @@
 		}
 	}
 	read := func() (done model.TaskSet) {
-		for _, b := range stored {
-			done.Merge(b.Done["j-1"], 0)
-			for k := range model.PartCount(tasks) {
-				done.Merge(b.Done[strings.TrimPrefix(PartEntry("j-1", k), DoneEntry)], k*model.TasksPerPart)
+		for _, bundle := range stored {
+			done.Merge(bundle.Done["j-1"], 0)
+			for part := range model.PartCount(tasks) {
+				done.Merge(bundle.Done[strings.TrimPrefix(PartEntry("j-1", part), DoneEntry)], part*model.TasksPerPart)
 			}
 		}
 		return done
@@ -161,9 +161,9 @@
 		s := newTestState(uint64(token + 5))
 		s.Params.MaxValue, s.Params.DenseBundles = limit, token == 3
 		job := s.AddJob(spec, read(), "", 0, 0)
-		for _, k := range order {
-			b := stored[k]
-			s.SetSlotEntries(k, b.Names())
+		for _, slot := range order {
+			bundle := stored[slot]
+			s.SetSlotEntries(slot, bundle.Names())
 		}
 		for round := range 60 {
 			before := read()
