--- a/internal/core/shard/bench_test.go
+++ b/internal/core/shard/bench_test.go
@@ -8,11 +8,11 @@
 	"woadweir/internal/core/model"
 )
 
-// fleetSizes are those of the largest deployments measured, and of more than twice that.
+// fleetSizes are the size of the largest measured deployments and more than twice that.
 var fleetSizes = []int{1900, 4000}
 
-// newLargeFleet returns a shard of so many machines, nearly full, with more than ten
-// waiting tasks for each.
+// newLargeFleet returns a nearly full shard with the given number of machines, and with
+// more than ten waiting tasks per machine.
 func newLargeFleet(machines int) (s *State, workers []*worker) {
 	s = newLargeShard()
 	for i := range machines {
@@ -59,7 +59,7 @@
 	return s
 }
 
-// addLargeFleetJobs adds gangs and arrays for so many machines.
+// addLargeFleetJobs adds gangs and arrays in proportion to the number of machines.
 func addLargeFleetJobs(s *State, machines int) {
 	jobCount := 0
 	add := func(tasks int, kind model.JobKind, request model.Resources, class, team string) {
@@ -79,7 +79,8 @@
 	}
 }
 
-// reportRunning has the worker say that all that is bound runs.
+// reportRunning applies a heartbeat that reports all tasks bound to the machine as
+// running.
 func (w *worker) reportRunning(now model.Micros) *Heartbeat {
 	w.sequence++
 	heartbeat := w.heartbeat
@@ -88,7 +89,7 @@
 	return &heartbeat
 }
 
-// forFleets runs a benchmark with fleets of several sizes.
+// forFleets runs a benchmark for each of the fleetSizes.
 func forFleets(b *testing.B, bench func(b *testing.B, machines int)) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) { bench(b, machines) })
--- a/internal/core/shard/dense_test.go
+++ b/internal/core/shard/dense_test.go
@@ -10,8 +10,8 @@
 	"woadweir/internal/core/model"
 )
 
-// What is written in the dense form is read as it was, takes no more than it was
-// thought to, and much less than in the plain form.
+// A bundle in the dense encoding decodes to the same bundle, is not larger than its
+// estimated size, and takes at most half the size of plain JSON.
 func TestDenseEncodingRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	plainBytes, denseBytes := 0, 0
@@ -40,41 +40,42 @@
 		for s.PendingWrites() > 0 {
 			writes := s.Writes(5, 48<<10)
 			if len(writes) == 0 {
-				t.Fatalf("round %d: nothing is written of %d", round, s.PendingWrites())
+				t.Fatalf("round %d: got no writes with %d records pending", round, s.PendingWrites())
 			}
 			for _, write := range writes {
 				record := write.Value.(BundleRecord)
 				raw, err := json.Marshal(record)
 				if err != nil || len(raw) > write.size || len(raw) > s.Params.MaxValue {
-					t.Fatalf("%d bytes, thought to be %d: %v", len(raw), write.size, err)
+					t.Fatalf("got %d bytes, want at most the estimated %d: %v", len(raw), write.size, err)
 				}
 				denseBytes += len(raw)
 				var decoded BundleRecord
 				if err := json.Unmarshal(raw, &decoded); err != nil || !decoded.Dense {
-					t.Fatalf("read back: %v", err)
+					t.Fatalf("decoding: got error %v, want a dense bundle", err)
 				}
-				// Both as plain JSON.
+				// Compare both as plain JSON.
 				record.Dense, decoded.Dense = false, false
 				want, _ := json.Marshal(record)
 				got, _ := json.Marshal(decoded)
 				plainBytes += len(want)
 				if !bytes.Equal(want, got) {
-					t.Fatalf("%s is read as %s", want, got)
+					t.Fatalf("encoded %s, decoded %s", want, got)
 				}
 				var plain BundleRecord
 				if err := json.Unmarshal(want, &plain); err != nil || plain.Dense {
-					t.Fatalf("the plain form: %v", err)
+					t.Fatalf("decoding plain JSON: got error %v, want a bundle that is not dense", err)
 				}
 			}
 			s.Committed(writes, 0)
 		}
 	}
 	if denseBytes*2 > plainBytes {
-		t.Errorf("%d bytes, %d in the plain form", denseBytes, plainBytes)
+		t.Errorf("got %d bytes in the dense encoding and %d in plain JSON, want at most half", denseBytes, plainBytes)
 	}
 }
 
-// What is no dense bundle is refused, whatever it is.
+// Input that is not a complete dense bundle is rejected, and decoding of arbitrary
+// changes of a bundle neither panics nor runs for ever.
 func TestDenseDecodingOfMalformedInput(t *testing.T) {
 	bundle := BundleRecord{Dense: true, Machines: map[string]*MachineRecord{"h1": {MachineType: "box", Zone: "a", Tasks: map[string][][2]uint64{"j-1": {{3, 70}}}}, "h2": nil},
 		Done: map[string][]byte{"j-1": {7}}}
@@ -83,7 +84,7 @@
 	for length := range encoded {
 		var decoded BundleRecord
 		if decoded.decodeDense(encoded[:length]) == nil {
-			t.Errorf("the first %d of %d bytes are taken", length, len(encoded))
+			t.Errorf("the first %d of %d bytes are accepted", length, len(encoded))
 		}
 	}
 	for range 20_000 {
@@ -92,12 +93,12 @@
 			malformed[rng.IntN(len(malformed))] = byte(rng.Uint32())
 		}
 		var decoded BundleRecord
-		_ = decoded.decodeDense(malformed) // whatever comes of it, it comes to an end
+		_ = decoded.decodeDense(malformed) // with or without an error, but without a panic
 	}
 	for _, input := range []string{`{"hosts":"!"}`, `{"hosts":"AA=="}`, `{"hosts":""}`, `{"hosts":[]}`, `{"hosts":7}`} {
 		var decoded BundleRecord
 		if json.Unmarshal([]byte(input), &decoded) == nil {
-			t.Errorf("%s is taken", input)
+			t.Errorf("%s is accepted", input)
 		}
 	}
 }
--- a/internal/core/shard/gangs_test.go
+++ b/internal/core/shard/gangs_test.go
@@ -6,12 +6,12 @@
 	"woadweir/internal/core/model"
 )
 
-// None of a gang starts before all its bindings are durable, and the next
-// attempt waits until the old one is wholly gone.
+// No task of a gang starts before all bindings of the gang are durable, and the next
+// attempt is not bound until all tasks of the previous one are gone.
 func TestGangAttempts(t *testing.T) {
 	s := newTestState(5)
 	spec := newJob("j-1", 2, model.Gang)
-	spec.Team, spec.Request.Cores = "blue", 3000 // one to a box
+	spec.Team, spec.Request.Cores = "blue", 3000 // one task per machine
 	job := s.AddJob(spec, model.TaskSet{}, "", 0, 0)
 	w1, w2 := newWorker(s, "h1", "box", "a"), newWorker(s, "h2", "box", "a")
 	if w1.sendHeartbeat(sec, 5); len(job.Bindings) != 0 {
@@ -19,42 +19,43 @@
 	}
 	w2.sendHeartbeat(sec, 5)
 	if len(job.Bindings) != 2 || job.Bindings[0][0].Attempt != job.Bindings[1][0].Attempt {
-		t.Fatal("the gang is not bound under one attempt")
+		t.Fatal("the gang is not bound with a single attempt number")
 	}
-	writes := s.Writes(1, 150) // room for the first record only
+	writes := s.Writes(1, 150) // enough for the first record only
 	if s.Committed(writes, sec); len(writes) != 1 || len(writes[0].versions) != 1 {
-		t.Fatalf("%+v written, want one of two records", writes)
+		t.Fatalf("got writes %+v, want one of two records", writes)
 	}
 	_, commands1 := w1.sendHeartbeat(2*sec, 5)
 	_, commands2 := w2.sendHeartbeat(2*sec, 5)
 	if countCommands(commands1, StartTask)+countCommands(commands2, StartTask) != 0 {
-		t.Fatal("a task of a gang starts before all bindings are durable")
+		t.Fatal("a task of the gang is started before all bindings are durable")
 	}
 	commitAll(s, 2*sec)
 	w1.sendHeartbeat(3*sec, 5)
 	w2.sendHeartbeat(3*sec, 5)
-	binding1, binding2 := firstBinding(s, "h1"), firstBinding(s, "h2")
+	binding1, binding2 := anyBinding(s, "h1"), anyBinding(s, "h2")
 	w1.sendHeartbeat(4*sec, 5, TaskStatus{ID: binding1.ID, Attempt: binding1.Attempt, Status: model.Running})
 	w2.sendHeartbeat(4*sec, 5, TaskStatus{ID: binding2.ID, Attempt: binding2.Attempt, Status: model.Running})
 	newWorker(s, "h3", "box", "a").sendHeartbeat(4*sec, 5)
 	newWorker(s, "h4", "box", "a").sendHeartbeat(4*sec, 5)
-	w1.sendHeartbeat(5*sec, 5) // gone without a trace
+	w1.sendHeartbeat(5*sec, 5) // the task is missing
 	_, commands2 = w2.sendHeartbeat(5*sec, 5, TaskStatus{ID: binding2.ID, Attempt: binding2.Attempt, Status: model.Running})
 	if len(job.Bindings) != 1 || countCommands(commands2, StopTask) != 1 {
-		t.Fatalf("%d bound, commands %v: want the rest of the attempt stopped, and no new one", len(job.Bindings), commands2)
+		t.Fatalf("got %d bound tasks and commands %v, want the rest of the attempt stopped and no new attempt", len(job.Bindings), commands2)
 	}
 	w2.sendHeartbeat(6*sec, 5, TaskStatus{ID: binding2.ID, Attempt: binding2.Attempt, Status: model.Exited, Cause: CauseStopped})
 	if len(job.Bindings) != 2 || job.Bindings[0][0].Attempt == binding1.Attempt {
-		t.Fatal("no new attempt after the old one is gone")
+		t.Fatal("no new attempt although the old one is gone")
 	}
 }
 
-// The tasks of a gang whose images take long start first, and no two wait for
-// each other, however long all take: gangs once waited for themselves.
+// The tasks of a gang with the longest image fetches start first, and no two tasks wait
+// for each other, however long their fetches take. Otherwise a gang with several long
+// fetches would wait for itself and never start.
 func TestGangStartsLongFetchesFirst(t *testing.T) {
 	s := newTestState(5)
 	spec := newJob("j-1", 3, model.Gang)
-	spec.Team, spec.Request.Cores = "blue", 3000 // one to a box
+	spec.Team, spec.Request.Cores = "blue", 3000 // one task per machine
 	job := s.AddJob(spec, model.TaskSet{}, "", 0, 0)
 	var workers []*worker
 	for _, machineID := range []string{"h1", "h2", "h3"} {
@@ -63,15 +64,15 @@
 		workers = append(workers, w)
 	}
 	if len(job.Bindings) != 3 {
-		t.Fatal("not bound")
+		t.Fatal("the gang is not bound")
 	}
 	for n, fetch := range []model.Micros{0, 90 * sec, 100 * sec} {
-		firstBinding(s, workers[n].heartbeat.Machine).ExpectedFetch = fetch
+		anyBinding(s, workers[n].heartbeat.Machine).ExpectedFetch = fetch
 	}
 	commitAll(s, sec)
 	startTasks := func(now model.Micros) (started []int) {
 		for i, w := range workers {
-			binding := firstBinding(s, w.heartbeat.Machine)
+			binding := anyBinding(s, w.heartbeat.Machine)
 			var tasks []TaskStatus
 			if binding.Reported {
 				tasks = append(tasks, TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: binding.Status})
@@ -84,37 +85,37 @@
 		return started
 	}
 	if started := startTasks(2 * sec); len(started) != 2 || started[0] != 1 {
-		t.Fatalf("started %v, want the two that fetch", started)
+		t.Fatalf("got tasks %v started, want the two that fetch their image", started)
 	}
 	for _, w := range workers[1:] {
-		firstBinding(s, w.heartbeat.Machine).Status = model.WaitingForGang
+		anyBinding(s, w.heartbeat.Machine).Status = model.WaitingForGang
 	}
 	if started := startTasks(100 * sec); len(started) != 1 || started[0] != 0 {
-		t.Fatalf("started %v, want the one that has its image", started)
+		t.Fatalf("got tasks %v started, want the one that has its image", started)
 	}
 }
 
-// A gang that does not come together, for whatever reason, gives its machines
-// back.
+// A gang attempt that does not start to run in time, for whatever reason, is failed, so
+// that it does not keep its machines.
 func TestGangAttemptThatNeverRunsFails(t *testing.T) {
 	s := newTestState(5)
 	job := s.AddJob(newJob("j-1", 1, model.Gang), model.TaskSet{}, "", 0, 0)
 	w := newWorker(s, "h1", "box", "a")
 	w.sendHeartbeat(sec, 5)
 	commitAll(s, sec)
-	binding := firstBinding(s, "h1")
+	binding := anyBinding(s, "h1")
 	now := 10 * sec
 	for ; now < 200*sec && !job.AttemptFailed; now += 10 * sec {
 		w.sendHeartbeat(now, 5, TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Fetching})
 		s.Tick(now)
 	}
 	if !job.AttemptFailed || now < 60*sec {
-		t.Fatalf("broken %v after %v s", job.AttemptFailed, now.Seconds())
+		t.Fatalf("attempt failed: %v after %v s, want true after at least 60 s", job.AttemptFailed, now.Seconds())
 	}
 }
 
-// A gang that its team's limit keeps waiting is not overtaken by single tasks of
-// the team for ever, and has them stopped once it is late.
+// A gang that waits because of its team's limit is not overtaken indefinitely by single
+// tasks of the team, and preempts them once it is late.
 func TestSingleTasksDoNotOvertakeGangAtTeamLimit(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"hot": {40 * sec}}
@@ -132,7 +133,7 @@
 	s.unbind(s.Jobs["j-1"].Bindings[0][0], "ended: done", 2*sec)
 	s.Place(2*sec, true)
 	if got := s.Used["red"].Cores; got != 7000 {
-		t.Fatalf("%d used: what came free went to a single task", got)
+		t.Fatalf("got %d cores used, want 7000: the freed core went to a single task", got)
 	}
 	for _, m := range s.Machines {
 		m.LastHeartbeat = 22 * sec
@@ -145,12 +146,12 @@
 		}
 	}
 	if stops != 3 || len(job.Bindings) != 0 {
-		t.Fatalf("%d stopped, want three more cores within the limit", stops)
+		t.Fatalf("got %d tasks stopped, want 3 to free three more cores within the limit", stops)
 	}
 }
 
-// Machines that come free are kept for a gang that needs several at once and
-// can't have others stopped: work of its own rank would take them one by one.
+// Machines that become free are reserved for a gang that needs several at once and can't
+// preempt. Otherwise jobs of the same priority would take them one by one.
 func TestFreedMachinesAreReservedForLargeGang(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"c": {40 * sec}}
@@ -165,7 +166,7 @@
 		addGang("j-s"+machineID, 1, 0)
 		w := newWorker(s, machineID, "box", "a")
 		w.startBoundTasks()
-		binding := firstBinding(s, machineID)
+		binding := anyBinding(s, machineID)
 		statuses[i] = TaskStatus{ID: binding.ID, Attempt: binding.Attempt, Status: model.Running}
 		workers = append(workers, w)
 	}
@@ -180,20 +181,20 @@
 	done.Status, done.Cause = model.Exited, CauseDone
 	workers[0].sendHeartbeat(61*sec, 5, done)
 	s.Place(61*sec, true)
-	if b := firstBinding(s, "h1"); b != nil {
-		t.Fatalf("%s took the machine that the large gang waits for", b.ID)
+	if b := anyBinding(s, "h1"); b != nil {
+		t.Fatalf("%s was bound to the machine that is reserved for the large gang", b.ID)
 	}
 	done = statuses[1]
 	done.Status, done.Cause = model.Exited, CauseDone
 	workers[1].sendHeartbeat(62*sec, 5, done)
 	s.Place(62*sec, true)
 	if len(big.Bindings) != 2 {
-		t.Fatal("the large gang is not bound though there is room")
+		t.Fatal("the large gang is not bound although two machines are free")
 	}
 }
 
-// A gang that would strand GPUs that are wanted waits for another machine, until
-// it gets short of time.
+// A gang without GPUs waits instead of taking cores without which wanted GPUs would stay
+// unused, until it gets short of time.
 func TestGangLeavesWantedGPUsToGPUTasks(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"hot": {100 * sec}}
@@ -215,15 +216,16 @@
 		w.sendHeartbeat(now, 5, tasks...)
 	}
 	if sendRunning(3 * sec); len(job.Bindings) != 0 {
-		t.Fatal("the gang takes what GPU tasks need, with time to spare")
+		t.Fatal("the gang takes cores that GPU tasks need, although it has time to wait")
 	}
 	if sendRunning(90 * sec); len(job.Bindings) != 1 {
-		t.Fatal("the gang does not take the room when it is short of time")
+		t.Fatal("the gang does not take the cores although it is short of time")
 	}
 }
 
-// Room that others were stopped for is not taken by a gang served earlier: that
-// one has its own made, and nobody is stopped twice for the same.
+// Resources for which tasks were preempted are reserved for the gang that preempted
+// them. A gang that is served earlier preempts tasks of its own, and no further tasks are
+// preempted for the same gang.
 func TestPreemptedResourcesAreReservedForGang(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"hot": {8 * sec}}
@@ -259,16 +261,16 @@
 	s.Place(9*sec, true)
 	firstStops := stops()
 	if firstStops[0]+firstStops[1] != 4 {
-		t.Fatalf("stopped for one gang: %v", firstStops)
+		t.Fatalf("got tasks stopped by machine %v for one gang, want 4 in total", firstStops)
 	}
-	secondGang := addGang("j-3", 9*sec, 8*sec) // older, and so served first but for what was made for the other
+	secondGang := addGang("j-3", 9*sec, 8*sec) // older, so it is served first except for the reservation of the other
 	secondGang.AcceptedRevision = 0
 	firstGang.AcceptedRevision = 1
 	for i := range model.Micros(4) {
 		s.Place(9500*model.Millisecond+i*sec/10, true)
 	}
 	if n := stops(); n != [2]int{4, 4} {
-		t.Fatalf("stopped for two gangs: %v", n)
+		t.Fatalf("got tasks stopped by machine %v for two gangs, want 4 on each", n)
 	}
 	freedMachine := "h1"
 	if firstStops[1] == 4 {
@@ -278,7 +280,7 @@
 		s.unbind(binding, "ended: stopped", 10*sec)
 	}
 	s.Place(10*sec, true)
-	if x := firstBinding(s, freedMachine); x == nil || x.ID.Job != "j-2" {
-		t.Errorf("the room made for one gang went to %v", x)
+	if x := anyBinding(s, freedMachine); x == nil || x.ID.Job != "j-2" {
+		t.Errorf("got %v on the machine that was freed for j-2", x)
 	}
 }
--- a/internal/core/shard/placement_test.go
+++ b/internal/core/shard/placement_test.go
@@ -15,7 +15,7 @@
 		newWorker(s, machineID, "box", "a").sendHeartbeat(sec, 5)
 	}
 	if n := job.BindingCount(); n != 8 {
-		t.Fatalf("%d tasks bound, the team's limit is 8", n)
+		t.Fatalf("got %d bound tasks, want 8, the team's limit", n)
 	}
 }
 
@@ -26,19 +26,20 @@
 	job := s.AddJob(spreadSpec, model.TaskSet{}, "", 0, 0)
 	newWorker(s, "h1", "gpu", "a").sendHeartbeat(sec, 5)
 	if n := job.BindingCount(); n != 3 {
-		t.Fatalf("%d of 5 in one yard, want 3", n)
+		t.Fatalf("got %d of 5 tasks in one zone, want 3", n)
 	}
 	sameZoneSpec := newJob("j-2", 3, model.Array)
 	sameZoneSpec.SameZone, sameZoneSpec.Team = true, "blue"
 	sameZoneJob := s.AddJob(sameZoneSpec, model.TaskSet{}, "", 0, 0)
-	s.Restore(sameZoneJob, 0, 3, s.AddMachine("h9", "box", "b", false, 0)) // an old attempt that is not surely gone
+	s.Restore(sameZoneJob, 0, 3, s.AddMachine("h9", "box", "b", false, 0)) // an old attempt that may still be on its machine
 	s.Place(2*sec, true)
 	if n := sameZoneJob.BindingCount(); n != 1 {
-		t.Fatal("placed in another yard than a task that may still be on its machine")
+		t.Fatal("placed in another zone than a task that may still be on its machine")
 	}
 }
 
-// A queue of urgent work stops work of lower rank, and never work of its own.
+// Waiting jobs of high priority preempt tasks of lower priority, and a job never preempts
+// tasks of its own priority.
 func TestPreemption(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"hot": {8 * sec}}
@@ -54,7 +55,7 @@
 	tasks := runningTasks(s, "h1")
 	_, commands := w.sendHeartbeat(4*sec, 5, tasks...)
 	if n := countCommands(commands, StopTask); n != 2 {
-		t.Fatalf("%d stopped to make room for two cores, commands %v", n, commands)
+		t.Fatalf("got %d tasks stopped to free two cores, want 2; commands %v", n, commands)
 	}
 	sameSpec := newJob("j-3", 1, model.Array)
 	sameSpec.Priority, sameSpec.Team = model.LowPriority, "blue"
@@ -67,12 +68,12 @@
 		}
 	}
 	if stops != 2 {
-		t.Fatalf("%d stopped: work of the same rank was displaced", stops)
+		t.Fatalf("got %d tasks stopped, want 2: tasks of the same priority were preempted", stops)
 	}
 }
 
-// What is urgent for its deadline alone, as a pipeline's jobs are, has others stopped
-// after a quarter of the time that it can spare, and not before.
+// A job whose only objective is its deadline, such as the jobs of a pipeline, preempts
+// others after a quarter of the time that it can wait, and not before.
 func TestPreemptionForDeadline(t *testing.T) {
 	for _, at := range []model.Micros{4 * sec, 12 * sec} {
 		s := newTestState(5)
@@ -86,12 +87,12 @@
 		s.AddJob(deadlineSpec, model.TaskSet{}, "", 0, 0)
 		_, commands := w.sendHeartbeat(at, 5, runningTasks(s, "h1")...)
 		if n := countCommands(commands, StopTask); n != map[model.Micros]int{4 * sec: 0, 12 * sec: 1}[at] {
-			t.Errorf("%d stopped at %.0f s for a job that can spare 40 s", n, at.Seconds())
+			t.Errorf("got %d tasks stopped after %.0f s for a job that can wait 40 s, want preemption after 10 s", n, at.Seconds())
 		}
 	}
 }
 
-// A machine on which tasks run far longer than expected gets work last.
+// A machine on which tasks run far longer than expected gets new tasks last.
 func TestSlowMachineIsDetected(t *testing.T) {
 	s := newTestState(5)
 	job := s.AddJob(newJob("j-1", 2, model.Array), model.TaskSet{}, "", 0, 0)
@@ -108,19 +109,19 @@
 	sendRunning(2 * sec)
 	sendRunning(30 * sec)
 	if s.Machines["h1"].SlowUntil != 0 {
-		t.Fatal("slow after less than three times the expected run")
+		t.Fatal("the machine counts as slow after less than three times the expected run time")
 	}
 	sendRunning(40 * sec)
 	newWorker(s, "h2", "box", "a").sendHeartbeat(40*sec, 5)
 	s.AddJob(newJob("j-2", 1, model.Array), model.TaskSet{}, "", 40*sec, 0)
 	s.Place(40*sec, true)
 	if len(s.Machines["h2"].Bindings) != 1 {
-		t.Fatal("new work goes to the slow machine")
+		t.Fatal("a new task is bound to the slow machine")
 	}
 }
 
-// A job that nothing of has begun for long gets the next room, whatever its rank,
-// with one task: the others go on.
+// A job of which no task has started for a long time gets the next free resources for one
+// task, whatever its priority. The rest goes to the other jobs as before.
 func TestLongWaitingJobStarts(t *testing.T) {
 	for _, wait := range []model.Micros{60 * sec, 200 * sec} {
 		s := newTestState(5)
@@ -136,21 +137,22 @@
 		tasks[1].Status, tasks[1].Cause = model.Exited, CauseDone
 		w.sendHeartbeat(wait+sec, 5, tasks...)
 		if n := job.BindingCount(); (n == 1) != (wait > 150*sec) || n > 1 || len(s.Machines["h1"].Bindings) != 4 {
-			t.Errorf("after %v s: %d tasks of the waiting job, %d bound in all", wait.Seconds(), n, len(s.Machines["h1"].Bindings))
+			t.Errorf("after %v s: got %d bound tasks of the waiting job and %d in total, want 1 after more than 150 s, else 0, and 4 in total", wait.Seconds(), n, len(s.Machines["h1"].Bindings))
 		}
 	}
 }
 
-// Of a class's waiting jobs, that with least left goes first while it can meet all
-// aims; what has missed one comes next, and at last what can meet none. Serving by
-// age alone makes every job late once more is asked than there is room for.
+// Of the waiting jobs of a class, those that can still meet all objectives go first, in
+// the order of their remaining work. Then come those that have missed an objective, and
+// finally those that can meet none. An order by age alone would make every job late as
+// soon as more is requested than there is capacity for.
 func TestOrderWithinAClass(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"c": {30 * sec, 150 * sec}}
 	now := 200 * sec
 	runningJob := s.AddJob(newJob("j-run", 20, model.Array), model.TaskSet{}, "", now, 0)
 	machine := s.AddMachine("h1", "box", "a", false, 0)
-	for n := range 20 { // two end in a second
+	for n := range 20 { // two end per second
 		s.addBinding(runningJob, n, machine, uint64(n+1), now)
 	}
 	add := func(jobID string, tasks int, age model.Micros) *model.JobState {
@@ -166,31 +168,31 @@
 	}
 	if got := order(); !slices.Equal(got, want) {
 		for i, job := range got {
-			t.Errorf("%s is served as number %d", job.ID, i)
+			t.Errorf("got %s at position %d", job.ID, i)
 		}
 	}
-	// As long as what waits can be had in time, what is about to miss the last time
-	// goes first; else this would only make all the others late.
+	// As long as all waiting tasks can start in time, a job that is about to miss its last
+	// objective goes first; otherwise this would only make all others late.
 	nearlyLate := add("j-near", 12, 118*sec)
 	if job := order()[0]; job != nearlyLate {
-		t.Errorf("%s goes before what is about to be late", job.ID)
+		t.Errorf("got %s first, want the job that is about to miss its last objective", job.ID)
 	}
 	add("j-crowd", 400, 0)
 	if job := order()[0]; job != want[0] {
-		t.Errorf("%s goes first though not all can begin in time", job.ID)
+		t.Errorf("got %s first, want the job with the least remaining work, as not all tasks can start in time", job.ID)
 	}
 }
 
-// Jobs begin by turns early enough that all do within four minutes, by the rate
-// at which tasks of their class begin. One of which tasks are done has begun, also
-// for a new owner that saw none of them run; but what has begun, and has had
-// nothing on a machine for as long, is not left out for ever either.
+// Jobs count as starved early enough that all of them start within four minutes at the
+// rate at which tasks of their class start. A job with finished tasks has started, even
+// for a new owner that has seen none of them run. But a started job of which no task has
+// been bound for as long also counts as starved, so that it does not wait for ever.
 func TestStarvationDependsOnStartRateOfClass(t *testing.T) {
 	s := newTestState(5)
 	now := 200 * sec
 	runningJob := s.AddJob(newJob("j-run", 5, model.Array), model.TaskSet{}, "", now, 190*sec)
 	machine := s.AddMachine("h1", "box", "a", false, 0)
-	for n := range 5 { // of ten seconds each: one begins every two seconds
+	for n := range 5 { // of ten seconds each: one starts every two seconds
 		s.addBinding(runningJob, n, machine, uint64(n+1), now)
 	}
 	runningJob.HasRun = true
@@ -212,7 +214,7 @@
 		return n
 	}
 	if n := starved(); n != 0 || startedJob.Starved {
-		t.Errorf("%d of 20 go before all others though they would begin in 140 s, one that has begun: %v", n, startedJob.Starved)
+		t.Errorf("got %d of 20 jobs starved, want 0, as they would start in 140 s; started job starved: %v, want false", n, startedJob.Starved)
 	}
 	for i := range 40 {
 		job := s.AddJob(newJob("j-more"+string(rune('a'+i)), 3, model.Array), model.TaskSet{}, "", now, 100*sec)
@@ -220,17 +222,17 @@
 		waiting = append(waiting, job)
 	}
 	if n := starved(); n != 60 {
-		t.Errorf("%d of 60 go before all others though the last would begin after 220 s", n)
+		t.Errorf("got %d starved jobs, want all 60, as the last would start after 220 s", n)
 	}
 	startedJob.IdleSince = now - 190*sec
 	if starved(); !startedJob.Starved {
-		t.Error("what lost its machines three minutes ago goes after all else")
+		t.Error("a job that lost its machines three minutes ago is not starved")
 	}
 }
 
-// Of what goes first because it has waited so long, the oldest is served first. By
-// the order of the others, what can still meet an aim would go before what can't,
-// and in a long overload the oldest would wait for ever.
+// Of the starved jobs, the oldest goes first. In the order of the other jobs, those that
+// can still meet an objective would go before those that can't, and in a long overload the
+// oldest job would wait for ever.
 func TestOldestStarvedJobGoesFirst(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"c": {30 * sec, 150 * sec}}
@@ -240,12 +242,12 @@
 	round := s.PlacementInput(now)
 	round.Sort()
 	if !round.Jobs[1].Starved || round.Jobs[0] != oldest {
-		t.Errorf("%s is served first; starved: %v, %v", round.Jobs[0].ID, round.Jobs[0].Starved, round.Jobs[1].Starved)
+		t.Errorf("got %s first, want j-old; starved: %v, %v, want both", round.Jobs[0].ID, round.Jobs[0].Starved, round.Jobs[1].Starved)
 	}
 }
 
-// Of tasks alike, those whose image is there get the room that comes free: each
-// machine would else spend as long on images as on work.
+// Of otherwise equal tasks, those whose image is on the machine get the freed resources.
+// Otherwise each machine would spend as much time on fetching images as on running tasks.
 func TestTasksWithCachedImageGoFirst(t *testing.T) {
 	s := newTestState(5)
 	s.AddJob(newJob("j-1", 4, model.Array), model.TaskSet{}, "", 0, 0)
@@ -261,12 +263,12 @@
 	tasks[0].Status, tasks[0].Cause = model.Exited, CauseDone
 	w.sendHeartbeat(4*sec, 5, tasks...)
 	if len(job.Bindings) != 1 {
-		t.Fatal("the room goes to a task that has to wait for its image")
+		t.Fatal("the freed resources go to a task that has to wait for its image")
 	}
 }
 
-// Work without GPUs has no GPU task stopped unless it is urgent, and of others the
-// ones that wait for their image are not always the first: they would never run.
+// A job without GPUs preempts a GPU task only if its priority is high. Among other tasks,
+// those that wait for their image are not always preempted first: they would never run.
 func TestChoiceOfPreemptedTasks(t *testing.T) {
 	for _, priority := range []model.Priority{model.NormalPriority, model.HighPriority} {
 		s := newTestState(5)
@@ -282,34 +284,34 @@
 		tasks := runningTasks(s, "h1")
 		_, commands := w.sendHeartbeat(20*sec, 5, tasks...)
 		if n := countCommands(commands, StopTask); n != int(priority-model.NormalPriority) {
-			t.Errorf("rank %v: %d GPU tasks stopped for one without", priority, n)
+			t.Errorf("priority %v: got %d GPU tasks stopped for a task without GPUs", priority, n)
 		}
 	}
 	round := &placement.Round{Now: 20 * sec}
 	fetching := &model.Binding{Job: newJob("j-1", 1, model.Array), BoundAt: 0, ExpectedFetch: 60 * sec}
 	running := &model.Binding{Job: newJob("j-2", 1, model.Array), BoundAt: 0, RunningSince: 15 * sec}
 	if round.PreemptionLoss(fetching) <= round.PreemptionLoss(running) || round.PreemptionLoss(fetching) != 4*round.PreemptionLoss(running) {
-		t.Errorf("20 s of fetching weigh %v, 5 s of work %v", round.PreemptionLoss(fetching), round.PreemptionLoss(running))
+		t.Errorf("got a loss of %v for 20 s of fetching, want four times that for 5 s of running, %v", round.PreemptionLoss(fetching), round.PreemptionLoss(running))
 	}
 }
 
-// A job that meets its deadline, but not if a task begins anew half through its run, is
-// better off on machines that are not taken away.
+// A job that meets its deadline, but would miss it if a task restarted halfway through its
+// run, should not use spot machines.
 func TestLateIfTaskLost(t *testing.T) {
 	s := newTestState(5)
 	s.Params.DeadlineObjectives = map[string][]float64{"c": {1, 2}}
-	spec := newJob("j-1", 1, model.Array) // thought to run for 10 s
+	spec := newJob("j-1", 1, model.Array) // expected to run for 10 s
 	spec.Deadline = 30 * sec
 	job := s.AddJob(spec, model.TaskSet{}, "", 0, 0)
 	for age, want := range map[model.Micros]bool{
-		0:        false, // 15 s, and two reports, fit into 30 s
-		15 * sec: true,  // 25 s do, but 30 s and two reports don't
-		25 * sec: false, // late, but in twice the time all is easy
+		0:        false, // 15 s and two heartbeat intervals fit into 30 s
+		15 * sec: true,  // 25 s fit, but 30 s and two heartbeat intervals don't
+		25 * sec: false, // the deadline is missed, but twice the deadline is met either way
 		42 * sec: true,
-		55 * sec: false, // nothing can be met any more
+		55 * sec: false, // no objective can be met any more
 	} {
 		if got := s.lateIfTaskLost(job, age); got != want {
-			t.Errorf("after %v s: %v", age.Seconds(), got)
+			t.Errorf("after %v s: got %v", age.Seconds(), got)
 		}
 	}
 }
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -23,7 +23,7 @@
 		Request: model.Resources{Cores: 1000, Mem: 1000}, Image: "i", ImageGB: 1, EstimatedRun: 10 * sec, AllowsSpot: true}
 }
 
-// worker is a scripted worker: it says what it is told to say.
+// worker simulates a worker. It reports the tasks that the test passes to sendHeartbeat.
 type worker struct {
 	state     *State
 	heartbeat Heartbeat
@@ -34,8 +34,10 @@
 	return &worker{state: s, heartbeat: Heartbeat{Machine: machineID, MachineType: machineType, Zone: zone, Incarnation: 1}}
 }
 
-// sendHeartbeat has the worker report these tasks, and returns the commands it gets.
-// One that has not reported for a while has first to show that it hears.
+// sendHeartbeat applies a heartbeat with the given tasks, runs a placement round, and
+// returns the commands for the response. If the last heartbeat is missing or more than 3 s
+// old, another heartbeat is applied first, so that the second one shows that responses
+// reach the worker.
 func (w *worker) sendHeartbeat(now model.Micros, token uint64, tasks ...TaskStatus) (HeartbeatResult, []Command) {
 	if m := w.state.Machines[w.heartbeat.Machine]; token == w.state.Token && (m == nil || now-m.LastHeartbeat > 3*sec) {
 		w.sequence++
@@ -54,26 +56,26 @@
 	return result, w.state.Commands(&heartbeat, now)
 }
 
-// startBoundTasks has the worker report with nothing on it, and again once what was bound
-// then is durable: it is told to start that.
+// startBoundTasks sends a heartbeat without tasks, makes the resulting bindings durable,
+// and sends another heartbeat, whose response starts the bound tasks.
 func (w *worker) startBoundTasks() {
 	w.sendHeartbeat(sec, w.state.Token)
 	commitAll(w.state, sec)
 	w.sendHeartbeat(2*sec, w.state.Token)
 }
 
-// commitAll makes everything that is queued durable.
-func commitAll(s *State, now model.Micros) (keys []string) {
+// commitAll makes all queued entries durable and returns their names.
+func commitAll(s *State, now model.Micros) (entries []string) {
 	for s.PendingWrites() > 0 {
 		writes := s.Writes(16, 48<<10)
 		for _, write := range writes {
 			for entry := range write.versions {
-				keys = append(keys, entry)
+				entries = append(entries, entry)
 			}
 		}
 		s.Committed(writes, now)
 	}
-	return keys
+	return entries
 }
 
 func countCommands(commands []Command, op CommandOp) (n int) {
@@ -85,15 +87,16 @@
 	return n
 }
 
-func firstBinding(s *State, machineID string) *model.Binding {
+// anyBinding returns a binding of a machine, or nil if the machine has none.
+func anyBinding(s *State, machineID string) *model.Binding {
 	for _, b := range s.Machines[machineID].Bindings {
 		return b
 	}
 	return nil
 }
 
-// runningTasks are the tasks of a report that says that all that is bound to a machine
-// runs.
+// runningTasks returns the statuses of a heartbeat that reports all tasks bound to a
+// machine as running.
 func runningTasks(s *State, machineID string) (tasks []TaskStatus) {
 	for _, b := range s.Machines[machineID].Bindings {
 		tasks = append(tasks, TaskStatus{ID: b.ID, Attempt: b.Attempt, Status: model.Running})
--- a/internal/core/shard/writes_test.go
+++ b/internal/core/shard/writes_test.go
@@ -11,9 +11,9 @@
 	"woadweir/internal/core/model"
 )
 
-// A bundle whose write got no answer may yet be carried out. It is written again
-// before any other, so that its guard shuts the late copy out, and what it held
-// is written again, too.
+// The write of a bundle that got no answer may still take effect. The bundle is written
+// again before any other, so that the condition on its revision makes the late copy fail,
+// and its entries become durable.
 func TestUnansweredBundleIsWrittenAgainFirst(t *testing.T) {
 	s := newTestState(5)
 	s.AddJob(newJob("j-1", 4, model.Array), model.TaskSet{}, "", 0, 0)
@@ -22,13 +22,13 @@
 	s.AddJob(newJob("j-2", 4, model.Array), model.TaskSet{}, "", 0, 0)
 	newWorker(s, "h2", "box", "a").sendHeartbeat(sec, 5)
 	unanswered := s.Writes(16, 48<<10)
-	s.Params.MaxValue = 400 // a slot that holds anything is full now
+	s.Params.MaxValue = 400 // every slot that is not empty is full now
 	s.AddJob(newJob("j-3", 4, model.Array), model.TaskSet{}, "", 0, 0)
 	newWorker(s, "h3", "box", "a").sendHeartbeat(sec, 5)
 	s.Retry(unanswered, true)
 	retried := s.Writes(16, 48<<10)
 	if retried[0].Slot != unanswered[0].Slot {
-		t.Fatalf("slot %d is written first, want %d", retried[0].Slot, unanswered[0].Slot)
+		t.Fatalf("got slot %d written first, want %d", retried[0].Slot, unanswered[0].Slot)
 	}
 	s.Committed(retried, sec)
 	commitAll(s, sec)
@@ -39,9 +39,9 @@
 	}
 }
 
-// A slot that is written anew carries along what only it holds. A machine that
-// is gone is denied as long as an older record of it stands elsewhere, or a new
-// owner would take it for present.
+// When a slot is rewritten, the entries of which it holds the latest version are kept. The
+// record that a machine is gone is kept as long as another slot holds an older record of
+// it. Otherwise a new owner would restore the machine.
 func TestBundlesKeepLiveEntries(t *testing.T) {
 	s := newTestState(5)
 	stored := map[int]BundleRecord{}
@@ -55,12 +55,12 @@
 		}
 	}
 	for _, machineID := range []string{"h1", "h2", "h3"} {
-		s.Params.MaxValue = 280 // one machine fills a quarter
+		s.Params.MaxValue = 280 // one machine takes a quarter of a bundle
 		s.markChanged(s.AddMachine(machineID, "box", "a", false, 0))
 		store()
 	}
 	if len(stored) < 2 {
-		t.Fatalf("all in %d slots", len(stored))
+		t.Fatalf("got %d slots, want at least 2", len(stored))
 	}
 	seed := uint64(1)
 	for i := range 200 {
@@ -76,19 +76,19 @@
 			slot, ok := s.latestSlot["host/"+machineID]
 			record, present := stored[slot].Machines[machineID]
 			if s.Machines[machineID] != nil && (!ok || !present || record == nil) {
-				t.Fatalf("step %d: %s is not where it is thought to be", i, machineID)
+				t.Fatalf("step %d: the record of %s is not in the slot that is recorded for it", i, machineID)
 			}
 			for staleSlot, bundle := range stored {
 				if record := bundle.Machines[machineID]; s.Machines[machineID] == nil && record != nil && (!ok || stored[slot].Machines[machineID] != nil) {
-					t.Fatalf("step %d: %s is gone, but stands in slot %d", i, machineID, staleSlot)
+					t.Fatalf("step %d: %s is gone, but has a record in slot %d and no later record that it is gone", i, machineID, staleSlot)
 				}
 			}
 		}
 	}
 }
 
-// What has to be written along with a change stays little, and slots stay few,
-// however long machines come, change and go.
+// The entries that have to be kept when a slot is rewritten remain small, and the number
+// of slots remains bounded, however long machines are added, changed and deleted.
 func TestNumberOfSlotsIsBounded(t *testing.T) {
 	s := newTestState(5)
 	job := s.AddJob(newJob("j-1", 90_000, model.Array), model.TaskSet{}, "", 0, 0)
@@ -123,24 +123,24 @@
 		}
 	}
 	if maxSlots := 4*total/s.Params.MaxValue + 8; len(s.slots) > maxSlots {
-		t.Errorf("%d slots for %d bytes, want at most %d", len(s.slots), total, maxSlots)
+		t.Errorf("got %d slots for %d live bytes, want at most %d", len(s.slots), total, maxSlots)
 	}
 	for slotIndex, slot := range s.slots {
 		if _, size := s.liveEntries(slotIndex); slot.liveBytes < size {
-			t.Errorf("slot %d: %d bytes are kept, %d counted", slotIndex, size, slot.liveBytes)
+			t.Errorf("slot %d: got %d bytes of live entries, but only %d counted", slotIndex, size, slot.liveBytes)
 		}
 	}
 }
 
-// The finished tasks of a job that is too large for a value are stored in parts, and
-// what an earlier owner stored as a whole is kept until all of it stands in parts: at
-// no moment does a reader miss a completion that it could see before. A owner with
-// larger values reads the parts, and so on to and fro.
+// The finished tasks of a job that is too large for one value are stored in parts. The
+// whole set that an earlier owner stored is kept until all of it is stored in parts, so
+// that a reader never misses a completion that it could see before. An owner with a higher
+// limit reads the parts. The test alternates between limits.
 func TestFinishedTasksInParts(t *testing.T) {
 	const tasks = 20_000
 	spec := newJob("j-1", tasks, model.Array)
 	stored := map[int]BundleRecord{}
-	var order []int // slots as they were last written
+	var order []int // slots in the order of their last writes
 	store := func(writes []Write) {
 		for _, write := range writes {
 			stored[write.Slot] = write.Value.(BundleRecord)
@@ -174,7 +174,7 @@
 			for _, write := range writes {
 				raw, err := json.Marshal(write.Value)
 				if err != nil || len(raw) > limit {
-					t.Fatalf("a value of %d bytes where %d are borne: %v", len(raw), limit, err)
+					t.Fatalf("got a value of %d bytes, want at most %d: %v", len(raw), limit, err)
 				}
 			}
 			store(writes)
@@ -182,7 +182,7 @@
 			after := read()
 			for n := range tasks {
 				if before.Has(n) && !after.Has(n) {
-					t.Fatalf("limit %d, round %d: the completion of %d was there and is gone", limit, round, n)
+					t.Fatalf("limit %d, round %d: the stored completion of task %d is lost", limit, round, n)
 				}
 			}
 		}
@@ -192,7 +192,7 @@
 			s.Committed(writes, sec)
 		}
 		if done := read(); done.Len() != job.Done.Len() || done.Len() < 1000 {
-			t.Fatalf("%d of %d completions are stored", done.Len(), job.Done.Len())
+			t.Fatalf("got %d of %d completions stored, want all, and at least 1000", done.Len(), job.Done.Len())
 		}
 	}
 }
