--- a/internal/core/shard/capacity.go
+++ b/internal/core/shard/capacity.go
@@ -15,7 +15,7 @@
 }
 
 // HasRoomFor reports whether the given number of further tasks of a job fits now on the
-// machines that are up, with the share headroom of their cores left free.
+// machines that are up, leaving the fraction headroom of their cores free.
 func (s *State) HasRoomFor(job *model.Job, tasks int, headroom float64) bool {
 	return s.hasRoom(job, tasks, headroom, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers })
 }
@@ -27,7 +27,7 @@
 }
 
 // hasRoom reports whether the given number of further tasks of a job fits on the usable
-// machines, with the share headroom of their cores left free.
+// machines, leaving the fraction headroom of their cores free.
 func (s *State) hasRoom(job *model.Job, tasks int, headroom float64, usable func(m *model.Machine) bool) bool {
 	var total, free model.Resources
 	byZone := map[string]int{}
--- a/internal/core/shard/heartbeats.go
+++ b/internal/core/shard/heartbeats.go
@@ -4,7 +4,7 @@
 	"woadweir/internal/core/model"
 )
 
-// TaskStatus is the state of one attempt of a task in a heartbeat.
+// TaskStatus is the reported status of one attempt of a task in a heartbeat.
 type TaskStatus struct {
 	ID         model.TaskID
 	Attempt    uint64
@@ -33,8 +33,8 @@
 	Machine, Addr, MachineType, Zone string
 	Spot                             bool
 	Incarnation, Sequence, Token     uint64
-	SpotNotice                       bool
-	ReclaimedIn                      model.Micros
+	SpotNotice                       bool         // the cloud is going to reclaim the machine
+	ReclaimedIn                      model.Micros // time until it does, if SpotNotice is set
 	Tasks                            []TaskStatus
 }
 
--- a/internal/core/shard/jobs.go
+++ b/internal/core/shard/jobs.go
@@ -67,7 +67,7 @@
 	if job.FinalStatus == "" && !job.EndPending {
 		job.EndPending = true
 		job.Waiting = nil
-		if job.HomeCell == "" { // the end of a guest job is written by its home cell
+		if job.HomeCell == "" { // the end of a borrowed job is written by its home cell
 			s.pendingEnds = append(s.pendingEnds, job.ID)
 		}
 	}
--- a/internal/core/shard/sizes.go
+++ b/internal/core/shard/sizes.go
@@ -83,6 +83,7 @@
 	bytesLeft := s.Params.MaxValue - s.Params.MaxValue/liveShareDivisor - s.bundleBytes()
 	if s.Params.DenseBundles {
 		bytesLeft -= s.denseEntryBytes(MachineEntry+machine.ID, nil) + base64Bytes(denseBytesPerJob+denseNameBytes(job.ID, nil))
+		// base64 takes 4 bytes for 3 bytes of the encoding.
 		return max(0, bytesLeft*3/4/s.denseTaskBytes(job.Tasks, (s.Token+1)<<attemptBits))
 	}
 	bytesLeft -= s.machineBytes(machine) + bytesPerJob + len(job.ID)
--- a/internal/core/shard/slots.go
+++ b/internal/core/shard/slots.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// recountSlot recomputes the live bytes of a slot from the present sizes of its entries.
+// recountSlot recomputes the live bytes of a slot from the current sizes of its entries.
 func (s *State) recountSlot(slotIndex int) {
 	slot := s.slots[slotIndex]
 	slot.liveBytes = 0
--- a/internal/core/shard/suspend.go
+++ b/internal/core/shard/suspend.go
@@ -40,8 +40,8 @@
 	s.NeedsPlacement = true
 }
 
-// AddGuest adds a job of another cell. It is suspended initially. Its home cell stores
-// its finished tasks and its end.
+// AddGuest adds a job that is borrowed from another cell. It is suspended initially. Its
+// home cell stores its finished tasks and its end.
 func (s *State) AddGuest(spec *model.Job, homeCell string, done model.TaskSet, now model.Micros) *model.JobState {
 	job := &model.JobState{Job: spec, Done: done, Bindings: map[int][]*model.Binding{}, DoneVersions: make([]model.Versions, 1),
 		ReadySince: now, IdleSince: now, HomeCell: homeCell, Suspended: true}
@@ -56,7 +56,7 @@
 	return job
 }
 
-// ConfirmCompletions records the finished tasks of a guest job that its home cell has
+// ConfirmCompletions records the finished tasks of a borrowed job that its home cell has
 // stored. Workers may then clear them.
 func (s *State) ConfirmCompletions(job *model.JobState, stored []byte) {
 	job.Confirmed.Merge(stored, 0)
