--- a/internal/core/shard/bench_test.go
+++ b/internal/core/shard/bench_test.go
@@ -8,11 +8,11 @@
 	"woadweir/internal/core/model"
 )
 
-// fleetSizes are those of the largest deployments measured, and of more than twice that.
+// fleetSizes are the size of the largest measured deployments and more than twice that.
 var fleetSizes = []int{1900, 4000}
 
-// newLargeFleet returns a shard of so many machines, nearly full, with more than ten
-// waiting tasks for each.
+// newLargeFleet returns a nearly full shard with the given number of machines, and with
+// more than ten waiting tasks per machine.
 func newLargeFleet(machines int) (s *State, workers []*worker) {
 	s = newLargeShard()
 	for i := range machines {
@@ -59,13 +59,13 @@
 	return s
 }
 
-// addLargeFleetJobs adds gangs and arrays for so many machines.
+// addLargeFleetJobs adds gangs and arrays in proportion to the number of machines.
 func addLargeFleetJobs(s *State, machines int) {
 	jobCount := 0
-	add := func(tasks int, kind model.JobKind, need model.Resources, class, team string) {
+	add := func(tasks int, kind model.JobKind, request model.Resources, class, team string) {
 		jobCount++
 		job := &model.Job{ID: fmt.Sprintf("j-%06d", jobCount), Class: class, Team: team, Kind: kind, Priority: model.LowPriority, Tasks: tasks,
-			Request: need, Image: fmt.Sprintf("img-%d", jobCount%6), ImageGB: 4, EstimatedRun: 60 * sec, AllowsSpot: kind == model.Array}
+			Request: request, Image: fmt.Sprintf("img-%d", jobCount%6), ImageGB: 4, EstimatedRun: 60 * sec, AllowsSpot: kind == model.Array}
 		if kind == model.Gang {
 			job.Priority, job.AllowsSpot, job.CheckpointInterval, job.SaveTime = model.HighPriority, false, 15*sec, 5*sec
 		}
@@ -79,7 +79,8 @@
 	}
 }
 
-// reportRunning has the worker say that all that is bound runs.
+// reportRunning applies a heartbeat that reports all tasks bound to the machine as
+// running.
 func (w *worker) reportRunning(now model.Micros) *Heartbeat {
 	w.sequence++
 	heartbeat := w.heartbeat
@@ -88,7 +89,7 @@
 	return &heartbeat
 }
 
-// forFleets runs a benchmark with fleets of several sizes.
+// forFleets runs a benchmark for each of the fleetSizes.
 func forFleets(b *testing.B, bench func(b *testing.B, machines int)) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) { bench(b, machines) })
@@ -117,9 +118,9 @@
 		// A few tasks end between two rounds.
 		for k := range 4 {
 			m := s.Machines[workers[(i*7+k*151)%len(workers)].heartbeat.Machine]
-			for _, x := range m.Bindings {
-				if x.Job.Kind == model.Array {
-					s.unbind(x, "ended", now)
+			for _, binding := range m.Bindings {
+				if binding.Job.Kind == model.Array {
+					s.unbind(binding, "ended", now)
 					break
 				}
 			}
--- a/internal/core/shard/dense_encode.go
+++ b/internal/core/shard/dense_encode.go
@@ -6,41 +6,47 @@
 	"slices"
 )
 
-// stringTable numbers strings in the order of their first use.
+// stringTable assigns indexes to strings in the order of their first use.
 type stringTable struct {
-	numbers map[string]uint64
+	indexes map[string]uint64
 	names   []string
 }
 
-func (t *stringTable) index(s string) uint64 {
-	n, ok := t.numbers[s]
+// index returns the index of a string, which is added if it is new.
+func (t *stringTable) index(name string) uint64 {
+	n, ok := t.indexes[name]
 	if !ok {
-		if t.numbers == nil {
-			t.numbers = map[string]uint64{}
+		if t.indexes == nil {
+			t.indexes = map[string]uint64{}
 		}
 		n = uint64(len(t.names))
-		t.numbers[s] = n
-		t.names = append(t.names, s)
+		t.indexes[name] = n
+		t.names = append(t.names, name)
 	}
 	return n
 }
 
-// denseWriter appends the basic values of the dense encoding.
+// denseWriter appends the primitive values of the dense encoding to a buffer.
 type denseWriter struct{ buffer []byte }
 
-func (p *denseWriter) writeUvarint(v uint64) { p.buffer = binary.AppendUvarint(p.buffer, v) }
-func (p *denseWriter) writeString(s string) {
-	p.writeUvarint(uint64(len(s)))
-	p.buffer = append(p.buffer, s...)
+func (w *denseWriter) writeUvarint(value uint64) { w.buffer = binary.AppendUvarint(w.buffer, value) }
+
+// writeString writes the length of a string and the string.
+func (w *denseWriter) writeString(text string) {
+	w.writeUvarint(uint64(len(text)))
+	w.buffer = append(w.buffer, text...)
 }
-func (p *denseWriter) writeTable(t *stringTable) {
-	p.writeUvarint(uint64(len(t.names)))
-	for _, s := range t.names {
-		p.writeString(s)
+
+// writeTable writes the number of strings in a table and the strings.
+func (w *denseWriter) writeTable(table *stringTable) {
+	w.writeUvarint(uint64(len(table.names)))
+	for _, name := range table.names {
+		w.writeString(name)
 	}
 }
 
-// bundleEncoder encodes the body of a bundle and collects the tables of its header.
+// bundleEncoder encodes the body of a bundle and collects the string tables for its
+// header.
 type bundleEncoder struct {
 	denseWriter
 	baseAttempt uint64      // attempts are relative to it
@@ -48,6 +54,7 @@
 	jobs        stringTable
 }
 
+// encodeDense returns the dense encoding of the bundle.
 func (b *BundleRecord) encodeDense() []byte {
 	body := bundleEncoder{baseAttempt: b.smallestAttempt()}
 	body.writeMachines(b.Machines)
@@ -76,21 +83,22 @@
 	return smallest
 }
 
-func (p *bundleEncoder) writeMachines(writeMachines map[string]*MachineRecord) {
-	ids := slices.Sorted(maps.Keys(writeMachines))
-	p.writeUvarint(uint64(len(ids)))
+// writeMachines encodes the records of machines, sorted by name.
+func (e *bundleEncoder) writeMachines(machines map[string]*MachineRecord) {
+	ids := slices.Sorted(maps.Keys(machines))
+	e.writeUvarint(uint64(len(ids)))
 	previous := ""
 	for _, id := range ids {
-		shared := sharedPrefix(previous, id)
-		p.writeUvarint(uint64(shared))
-		p.writeString(id[shared:])
-		p.writeMachine(writeMachines[id])
+		prefixLength := sharedPrefixLength(previous, id)
+		e.writeUvarint(uint64(prefixLength))
+		e.writeString(id[prefixLength:])
+		e.writeMachine(machines[id])
 		previous = id
 	}
 }
 
-// sharedPrefix returns the length of the common prefix of two strings.
-func sharedPrefix(a, b string) int {
+// sharedPrefixLength returns the length of the common prefix of two strings.
+func sharedPrefixLength(a, b string) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
 		n++
@@ -98,46 +106,48 @@
 	return n
 }
 
-// Kinds of machines in the dense encoding.
+// The kinds of machines in the dense encoding.
 const (
 	denseMachineGone     = 0
 	denseMachineOnDemand = 1
 	denseMachineSpot     = 2
 )
 
-func (p *bundleEncoder) writeMachine(writeMachine *MachineRecord) {
-	if writeMachine == nil {
-		p.writeUvarint(denseMachineGone)
+// writeMachine encodes the record of a machine, which is nil if the machine is gone.
+func (e *bundleEncoder) writeMachine(machine *MachineRecord) {
+	if machine == nil {
+		e.writeUvarint(denseMachineGone)
 		return
 	}
-	if writeMachine.Spot {
-		p.writeUvarint(denseMachineSpot)
+	if machine.Spot {
+		e.writeUvarint(denseMachineSpot)
 	} else {
-		p.writeUvarint(denseMachineOnDemand)
+		e.writeUvarint(denseMachineOnDemand)
 	}
-	p.writeUvarint(p.labels.index(writeMachine.MachineType))
-	p.writeUvarint(p.labels.index(writeMachine.Zone))
-	p.writeUvarint(uint64(len(writeMachine.Tasks)))
-	for _, job := range slices.Sorted(maps.Keys(writeMachine.Tasks)) {
-		p.writeUvarint(p.jobs.index(job))
-		p.writeTasks(writeMachine.Tasks[job])
+	e.writeUvarint(e.labels.index(machine.MachineType))
+	e.writeUvarint(e.labels.index(machine.Zone))
+	e.writeUvarint(uint64(len(machine.Tasks)))
+	for _, job := range slices.Sorted(maps.Keys(machine.Tasks)) {
+		e.writeUvarint(e.jobs.index(job))
+		e.writeTasks(machine.Tasks[job])
 	}
 }
 
-// writeTasks encodes pairs of a task's index and its attempt.
-func (p *bundleEncoder) writeTasks(writeTasks [][2]uint64) {
-	p.writeUvarint(uint64(len(writeTasks)))
-	for _, task := range writeTasks {
-		p.writeUvarint(task[0])
-		p.writeUvarint(task[1] - p.baseAttempt)
+// writeTasks encodes pairs of task index and attempt.
+func (e *bundleEncoder) writeTasks(tasks [][2]uint64) {
+	e.writeUvarint(uint64(len(tasks)))
+	for _, task := range tasks {
+		e.writeUvarint(task[0])
+		e.writeUvarint(task[1] - e.baseAttempt)
 	}
 }
 
-func (p *bundleEncoder) writeFinished(done map[string][]byte) {
+// writeFinished encodes the finished tasks by job or part of a job, sorted by name.
+func (e *bundleEncoder) writeFinished(done map[string][]byte) {
 	names := slices.Sorted(maps.Keys(done))
-	p.writeUvarint(uint64(len(names)))
+	e.writeUvarint(uint64(len(names)))
 	for _, name := range names {
-		p.writeString(name)
-		p.writeString(string(done[name]))
+		e.writeString(name)
+		e.writeString(string(done[name]))
 	}
 }
