--- a/internal/core/model/failures.go
+++ b/internal/core/model/failures.go
@@ -2,38 +2,39 @@
 
 import "slices"
 
-// A job that was submitted with a mistake fails on every machine until its owner
-// cancels it. These types keep what is known of failures on both sides, so that
-// such a job is told from a faulty machine.
+// A job that was submitted with a mistake fails on every machine until its owner cancels
+// it. These types record failures both by job and by machine, so that such a job can be
+// distinguished from a faulty machine.
 
-// How the failures of a job without any task done are judged.
+// Retry policy for jobs of which no task is done.
 const (
-	// backoffMachineThreshold is on how many machines a job has to fail until it is retried
-	// with backoff.
+	// backoffMachineThreshold is the number of machines on which a job has to fail before
+	// it is retried with backoff.
 	backoffMachineThreshold = 3
-	// minRetryBackoff is what the waits of a job that has never run begin with. They
-	// double with each failed retry, and are at least failsEverywhereBackoff once it has
-	// failed on so many machines.
+	// minRetryBackoff is the base of the backoff of a job that has never run. The backoff
+	// doubles with each failed retry, and is at least minMultiMachineBackoff once the job
+	// has failed on backoffMachineThreshold machines.
 	minRetryBackoff        = Second
 	minMultiMachineBackoff = 8 * Second
-	// maxRetryBackoff bounds that wait.
+	// maxRetryBackoff is the upper bound of the backoff.
 	maxRetryBackoff = 64 * Second
 )
 
-// Failures is what a job's failed tasks tell of it.
+// Failures records what the failed tasks of a job show about it.
 type Failures struct {
-	FailedMachines map[string]bool // machines on which tasks of it failed
-	failedRetries  int             // retries that failed, with nothing of it known to run
-	// FaultSuspected tells that it failed where other work runs, or on another machine after one
-	// had been set aside for it, before anything of it had run.
+	FailedMachines map[string]bool // machines on which tasks of the job failed
+	failedRetries  int             // retries that failed while no task of the job was known to run
+	// FaultSuspected is set if the job failed before any of its tasks had run, either on a
+	// machine where other work runs, or on another machine after one had been quarantined
+	// because of it.
 	FaultSuspected bool
 }
 
-// NoteFailure records that a task of the job failed on a machine, and tells whether the
-// job has to wait anew. The first retry is made at once, elsewhere. A job of which nothing
-// is known to run waits before each further one, exponentially longer, and so does one
-// that fails on several machines without any task done. Tasks that fail during the wait
-// were started before it and are no retry.
+// NoteFailure records that a task of the job failed on a machine, and reports whether a new
+// backoff of the job begins. The first retry is made at once, on another machine. Before
+// each further retry, a job that is not known to run waits exponentially longer, and so
+// does one that fails on several machines without any task done. Tasks that fail during
+// the wait were started before it and do not count as retries.
 func (j *JobState) NoteFailure(machine string, now Micros) (waits bool) {
 	if j.FailedMachines == nil {
 		j.FailedMachines = map[string]bool{}
@@ -54,22 +55,22 @@
 	return true
 }
 
-// IsKnownToRun tells whether a task of the job has run, or is done.
+// IsKnownToRun reports whether a task of the job has run or is done.
 func (j *JobState) IsKnownToRun() bool { return j.HasRun || j.Done.Len() > 0 }
 
-// IsAtFault tells whether the job itself is thought to be at fault, not the machines
+// IsAtFault reports whether the job itself is considered to be at fault, not the machines
 // that it fails on.
 func (j *JobState) IsAtFault() bool { return j.FaultSuspected && !j.IsKnownToRun() }
 
-// NeedsBackoff tells whether the job has failed on so many machines, with nothing
-// done, that it is retried with backoff until a task completes.
+// NeedsBackoff reports whether the job has failed on so many machines, with no task done,
+// that it is retried with backoff until a task completes.
 func (j *JobState) NeedsBackoff() bool {
 	return j.Done.Len() == 0 && len(j.FailedMachines) >= backoffMachineThreshold
 }
 
-// BindableTasks is how many of n waiting tasks of an array or a service may be bound
-// now: of a job that fails everywhere it is tried one at a time, so that it takes up
-// one machine's room and not the fleet's.
+// BindableTasks returns how many of n waiting tasks of an array or a service may be bound
+// now. A job that has failed on every machine it was tried on is retried with one task at
+// a time, so that it occupies one machine and not the whole fleet.
 func (j *JobState) BindableTasks(n int) int {
 	if !j.NeedsBackoff() || j.HasRun || j.Kind == Gang {
 		return n
@@ -77,18 +78,18 @@
 	return min(n, max(0, 1-j.BindingCount()))
 }
 
-// TaskFailure is a failure of a job's tasks on a machine, by the time of the report
-// that told of it.
+// TaskFailure is a failure of a job's tasks on a machine, with the time of the heartbeat
+// that reported it.
 type TaskFailure struct {
 	Job string
 	At  Micros
 }
 
-// maxConsecutiveFailures is how many failures in a row a machine keeps.
+// maxConsecutiveFailures is the number of consecutive failures that are kept of a machine.
 const maxConsecutiveFailures = 8
 
 // NoteFailure records a failure of a job's tasks on the machine. Several tasks of one
-// job that fail in the same report are one failure.
+// job that fail in the same heartbeat count as one failure.
 func (m *Machine) NoteFailure(job string, at Micros) {
 	failure := TaskFailure{Job: job, At: at}
 	if slices.Contains(m.ConsecutiveFailures, failure) {
--- a/internal/core/model/job.go
+++ b/internal/core/model/job.go
@@ -1,10 +1,10 @@
 package model
 
-// JobKind is how a job's tasks relate to each other.
+// JobKind defines how the tasks of a job relate to each other.
 type JobKind uint8
 
 // The kinds of jobs: independent tasks, tasks that all run at the same time, and replicas
-// that run until the job is cancelled.
+// that run until the job is cancelled, respectively.
 const (
 	Array JobKind = iota
 	Gang
@@ -14,7 +14,7 @@
 // Priority orders jobs for preemption; a higher value goes first.
 type Priority uint8
 
-// The priorities, from the lowest.
+// The priorities, from lowest to highest.
 const (
 	LowPriority Priority = iota
 	NormalPriority
@@ -22,10 +22,10 @@
 	ProductionPriority
 )
 
-// MaxTasks is the most tasks that a job may have.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// Job is a submission in the form that decisions are made on.
+// Job is a submission converted to the units and types that the scheduler works with.
 type Job struct {
 	ID, Class, Team                            string
 	Kind                                       JobKind
@@ -39,12 +39,13 @@
 	SameZone, Spread                           bool
 	AllowsSpot                                 bool
 	EstimatedRun, CheckpointInterval, SaveTime Micros
-	Deadline                                   Micros // from submission; 0: none
-	AcceptedMs                                 int64
-	AcceptedRevision                           uint64 // revision of its acceptance: the smaller, the older
+	Deadline                                   Micros // relative to the submission; 0: none
+	AcceptedMs                                 int64  // time of day of the acceptance
+	AcceptedRevision                           uint64 // revision of the acceptance; older jobs have smaller ones
 }
 
-// Job converts a checked submission that was accepted at a revision of the state service.
+// Job converts a valid submission. acceptedRevision is the revision of the state service at
+// which it was accepted.
 func (s *Submission) Job(acceptedRevision uint64) *Job {
 	job := &Job{
 		ID:                 s.ID,
@@ -75,7 +76,8 @@
 	return job
 }
 
-// Allows tells whether the job may use machines of this type, zone and kind.
+// Allows reports whether the job may use spot or ordinary machines of this type in this
+// zone.
 func (j *Job) Allows(machineType, zone string, spot bool) bool {
 	if spot && !j.AllowsSpot || j.Zone != "" && j.Zone != zone {
 		return false
@@ -83,15 +85,15 @@
 	if j.MachineTypes == nil {
 		return true
 	}
-	for _, b := range j.MachineTypes {
-		if b == machineType {
+	for _, allowed := range j.MachineTypes {
+		if allowed == machineType {
 			return true
 		}
 	}
 	return false
 }
 
-// MaxPerZone is the most tasks of the job that may be in one zone.
+// MaxPerZone returns the maximum number of tasks of the job in one zone.
 func (j *Job) MaxPerZone() int {
 	if j.Spread {
 		return (j.Tasks + 1) / 2
@@ -99,26 +101,26 @@
 	return j.Tasks
 }
 
-// InfeasibleReason tells why a job can never run, or "".
+// InfeasibleReason returns why the job can never run, or "" if it can.
 func (j *Job) InfeasibleReason(teams map[string]*Team, machineTypes []MachineType) string {
-	t := teams[j.Team]
-	if t == nil {
+	team := teams[j.Team]
+	if team == nil {
 		return "unknown team"
 	}
-	n := j.Tasks
+	minTasks := j.Tasks // that run at the same time
 	if j.Kind == Array {
-		n = 1
+		minTasks = 1
 	}
-	if !t.WithinLimit(j.Request.Times(n)) {
+	if !team.WithinLimit(j.Request.Times(minTasks)) {
 		return "needs more than the team's limit"
 	}
 	for i := range machineTypes {
-		f := &machineTypes[i]
-		if !j.Request.Fits(f.Size()) {
+		machineType := &machineTypes[i]
+		if !j.Request.Fits(machineType.Size()) {
 			continue
 		}
-		for _, y := range f.Zones {
-			if j.Allows(f.Name, y, false) {
+		for _, zone := range machineType.Zones {
+			if j.Allows(machineType.Name, zone, false) {
 				return ""
 			}
 		}
--- a/internal/core/model/job_status.go
+++ b/internal/core/model/job_status.go
@@ -1,6 +1,6 @@
 package model
 
-// The status of a job as users are told, and as the end of a job is stored.
+// The status of a job, as reported to users. The final ones are stored when the job ends.
 const (
 	JobPending   = "pending"   // no task runs
 	JobRunning   = "running"   // a task is bound
--- a/internal/core/model/machine.go
+++ b/internal/core/model/machine.go
@@ -10,85 +10,86 @@
 	RentedAt    Micros
 	Size        Resources
 
-	// What is bound to it.
+	// Bound tasks.
 	Bindings   map[TaskID]*Binding
-	TaskCounts map[string]int // bound tasks by job
-	Used       Resources
-	EmptySince Micros // since when nothing is bound to it
+	TaskCounts map[string]int // number of bound tasks by job
+	Used       Resources      // what the bound tasks take
+	EmptySince Micros         // since when no task has been bound to the machine
 
-	// Its record in the state service.
+	// The machine's record in the state service.
 	Version        uint64 // counts the changes of the record
-	DurableVersion uint64 // the version that is known to be stored
-	RecordBytes    int    // what the bound tasks take in the record
-	Stored         bool   // a record of it is in the state service
+	DurableVersion uint64 // latest version that is known to be stored
+	RecordBytes    int    // size of the bound tasks in the record
+	Stored         bool   // the state service has a record of the machine
 
-	// What its worker's heartbeats tell.
-	Up             bool   // a heartbeat has shown that it knows the leader's token
+	// State derived from the worker's heartbeats.
+	Up             bool   // a heartbeat has shown that the worker knows the leader's fencing token
 	Incarnation    uint64 // of the worker; counts the expiries of its lease
 	Sequence       uint64 // of the newest heartbeat of that incarnation
-	Token          uint64 // highest fencing token that it has told
+	Token          uint64 // highest fencing token that the worker has reported
 	LastHeartbeat  Micros // when the newest heartbeat was applied
-	LastAnswer     Micros // latest time at which a leader may have renewed its lease
-	HasNewCapacity bool   // its newest heartbeat freed resources, or showed it up
-	// ReceivesAnswers tells that its newest heartbeat showed that the answer to the one
-	// before had arrived.
+	LastAnswer     Micros // latest time at which a leader may have renewed the worker's lease
+	HasNewCapacity bool   // the newest heartbeat freed resources or showed that the machine is up
+	// ReceivesAnswers is set if the newest heartbeat showed that the response to the one
+	// before it had arrived.
 	ReceivesAnswers bool
-	UnansweredSince Micros // since when it sends heartbeats without receiving answers, 0: it receives them
-	Lost            bool   // its lease has expired for certain, and nothing was heard since
-	SpotNotice      bool   // the cloud will reclaim it
-	ReclaimedAt     Micros // when the cloud reclaims it
+	UnansweredSince Micros // since when the worker has sent heartbeats without receiving responses, 0 if it receives them
+	Lost            bool   // the worker's lease has certainly expired, and no heartbeat has arrived since
+	SpotNotice      bool   // the cloud has announced that it will reclaim the machine
+	ReclaimedAt     Micros // when the cloud will reclaim the machine
 
-	// What the cloud tells.
-	Listed bool // it has been in a list of machines
-	Failed bool // the cloud says that it stopped by itself
+	// State derived from the cloud's answers.
+	Listed bool // the machine has been in a machine list
+	Failed bool // the cloud reports that the machine stopped by itself
 
-	// What the leader has decided.
-	// Surplus tells that no work needs it which has to be on an ordinary machine: it is
-	// to come empty, so work that may use spot machines does not go there.
+	// Decisions of the leader.
+	// Surplus is set if no work that requires an ordinary machine needs this one. It is to
+	// become empty, so work that may use spot machines is not placed there.
 	Surplus     bool
-	Draining    bool   // released once it is empty: no new work
-	Quarantined bool   // tasks fail on it: no new work, released once it is empty
+	Draining    bool   // no new work; released once empty
+	Quarantined bool   // tasks fail on the machine: no new work; released once empty
 	Deleting    bool   // a deletion is in progress
-	SlowUntil   Micros // it seemed slow: other machines are preferred until then
-	// ConsecutiveFailures are the failures of tasks on it since a task last ran or completed
-	// there: at most one a job and heartbeat, the latest few.
+	SlowUntil   Micros // the machine seemed slow: other machines are preferred until then
+	// ConsecutiveFailures are the latest failures on the machine since a task last ran or
+	// completed there, at most one per job and heartbeat.
 	ConsecutiveFailures []TaskFailure
 
-	// Its image cache.
-	Cache   []string // images, most recently used last
-	CacheGB map[string]float64
-	// ReadyAt is when an image that is being fetched is expected to be there. An image
+	// Image cache.
+	Cache   []string           // images, most recently used last
+	CacheGB map[string]float64 // sizes of the cached images
+	// ReadyAt is when an image that is being fetched is expected to be complete. An image
 	// without an entry has been seen in use.
 	ReadyAt map[string]Micros
 }
 
-// Free returns the resources that are not in use.
+// Free returns the resources that no bound task takes.
 func (m *Machine) Free() Resources { return m.Size.Minus(m.Used) }
 
-// HasImage tells whether the image is cached or being fetched by a task that is
-// bound here.
+// HasImage reports whether the image is cached, or being fetched by a task that is bound
+// to the machine.
 func (m *Machine) HasImage(image string) bool {
-	for _, c := range m.Cache {
-		if c == image {
+	for _, cached := range m.Cache {
+		if cached == image {
 			return true
 		}
 	}
 	return false
 }
 
-// FetchTimeLeft is how long the images that are being fetched are thought to take yet:
-// they share the machine's rate.
+// FetchTimeLeft returns the estimated time until all images that are being fetched are
+// complete; they share the machine's fetch rate.
 func (m *Machine) FetchTimeLeft(now Micros) (left Micros) {
-	for _, at := range m.ReadyAt {
-		left = max(left, at-now)
+	for _, readyAt := range m.ReadyAt {
+		left = max(left, readyAt-now)
 	}
 	return left
 }
 
-// TouchImage notes a use of an image and forgets those that no longer fit.
+// TouchImage records a use of an image, and evicts the least recently used images that no
+// longer fit into the cache.
 func (m *Machine) TouchImage(image string, gb, cacheGB float64) {
-	for i, c := range m.Cache {
-		if c == image {
+	for i, cached := range m.Cache {
+		if cached == image {
 			m.Cache = append(append(m.Cache[:i:i], m.Cache[i+1:]...), image)
 			return
 		}
@@ -99,8 +100,8 @@
 	m.Cache = append(m.Cache, image)
 	m.CacheGB[image] = gb
 	total := 0.0
-	for _, c := range m.Cache {
-		total += m.CacheGB[c]
+	for _, cached := range m.Cache {
+		total += m.CacheGB[cached]
 	}
 	for total > cacheGB && len(m.Cache) > 1 {
 		total -= m.CacheGB[m.Cache[0]]
--- a/internal/core/model/model.go
+++ b/internal/core/model/model.go
@@ -1,6 +1,5 @@
-// Package model holds the vocabulary of the scheduler: amounts, times, jobs,
-// machine types, teams, machines and the tasks bound to them. Nothing in it does
-// any input or output.
+// Package model defines the types that the scheduler works with: amounts, times, jobs,
+// machine types, teams, machines and the tasks bound to them. It does no input or output.
 package model
 
 import (
@@ -8,8 +7,8 @@
 	"time"
 )
 
-// Micros is a time or a duration in whole microseconds. Points in time are on
-// the steady clock of this process.
+// Micros is a point in time or a duration in whole microseconds. Points in time refer to
+// the monotonic clock of this process.
 type Micros int64
 
 // Common durations.
@@ -18,60 +17,61 @@
 	Second      Micros = 1_000_000
 )
 
-// Seconds converts decimal seconds.
-func Seconds(s float64) Micros { return Micros(math.Round(s * 1e6)) }
+// Seconds converts a number of seconds.
+func Seconds(seconds float64) Micros { return Micros(math.Round(seconds * 1e6)) }
 
-// Duration converts to the standard library's type.
+// Duration converts a duration to the standard library's type.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Seconds converts to decimal seconds.
+// Seconds returns a duration in seconds.
 func (m Micros) Seconds() float64 { return float64(m) / 1e6 }
 
 // Milli is an amount (cores, GPUs, gigabytes) in thousandths.
 type Milli int64
 
-// ToMilli converts a decimal amount, rounding half away from zero.
-func ToMilli(f float64) Milli { return Milli(math.Round(f * 1000)) }
+// ToMilli converts an amount, rounding half away from zero.
+func ToMilli(amount float64) Milli { return Milli(math.Round(amount * 1000)) }
 
-// CeilMilli converts a decimal demand, rounding up, so that what is booked is
-// never less than what is taken.
-func CeilMilli(f float64) Milli { return Milli(math.Ceil(f*1000 - 1e-6)) }
+// CeilMilli converts a requested amount, rounding up, so that what is booked is never less
+// than what is taken.
+func CeilMilli(amount float64) Milli { return Milli(math.Ceil(amount*1000 - 1e-6)) }
 
-// Resources is what one task takes of its machine, or what a machine has.
+// Resources are the resources that a task requests or that a machine has.
 type Resources struct{ Cores, GPUs, Mem Milli }
 
-// Plus adds two amounts.
-func (n Resources) Plus(o Resources) Resources {
-	return Resources{n.Cores + o.Cores, n.GPUs + o.GPUs, n.Mem + o.Mem}
+// Plus returns the sum of r and other.
+func (r Resources) Plus(other Resources) Resources {
+	return Resources{r.Cores + other.Cores, r.GPUs + other.GPUs, r.Mem + other.Mem}
 }
 
-// Minus subtracts o.
-func (n Resources) Minus(o Resources) Resources {
-	return Resources{n.Cores - o.Cores, n.GPUs - o.GPUs, n.Mem - o.Mem}
+// Minus returns r minus other.
+func (r Resources) Minus(other Resources) Resources {
+	return Resources{r.Cores - other.Cores, r.GPUs - other.GPUs, r.Mem - other.Mem}
 }
 
-// Times multiplies by a count.
-func (n Resources) Times(k int) Resources {
-	return Resources{n.Cores * Milli(k), n.GPUs * Milli(k), n.Mem * Milli(k)}
+// Times returns r multiplied by count.
+func (r Resources) Times(count int) Resources {
+	return Resources{r.Cores * Milli(count), r.GPUs * Milli(count), r.Mem * Milli(count)}
 }
 
-// Fits tells whether n fits into room.
-func (n Resources) Fits(room Resources) bool {
-	return n.Cores <= room.Cores && n.GPUs <= room.GPUs && n.Mem <= room.Mem
+// Fits reports whether r fits into room.
+func (r Resources) Fits(room Resources) bool {
+	return r.Cores <= room.Cores && r.GPUs <= room.GPUs && r.Mem <= room.Mem
 }
 
-// IsZero tells whether nothing is asked.
-func (n Resources) IsZero() bool { return n == Resources{} }
+// IsZero reports whether all amounts are zero.
+func (r Resources) IsZero() bool { return r == Resources{} }
 
-// FitCount tells how many times n fits into room, at most limit.
-func (n Resources) FitCount(room Resources, limit int) int {
-	k := Milli(limit)
-	for _, p := range [...][2]Milli{{n.Cores, room.Cores}, {n.GPUs, room.GPUs}, {n.Mem, room.Mem}} {
-		if p[0] > 0 {
-			k = min(k, max(0, p[1])/p[0])
+// FitCount returns how many times r fits into room, at most limit. Only what r requests is
+// considered.
+func (r Resources) FitCount(room Resources, limit int) int {
+	count := Milli(limit)
+	for _, pair := range [...][2]Milli{{r.Cores, room.Cores}, {r.GPUs, room.GPUs}, {r.Mem, room.Mem}} {
+		if pair[0] > 0 {
+			count = min(count, max(0, pair[1])/pair[0])
 		}
 	}
-	return int(k)
+	return int(count)
 }
 
 // MachineType is a machine type of the cloud.
@@ -88,47 +88,47 @@
 	Zones     []string `json:"yards"`
 }
 
-// Size is what a machine of this type has.
-func (f *MachineType) Size() Resources {
-	return Resources{ToMilli(f.Cores), ToMilli(f.GPUs), ToMilli(f.MemoryGB)}
+// Size returns the resources of a machine of this type.
+func (t *MachineType) Size() Resources {
+	return Resources{ToMilli(t.Cores), ToMilli(t.GPUs), ToMilli(t.MemoryGB)}
 }
 
-// OfferedIn tells whether the type is offered in the zone.
-func (f *MachineType) OfferedIn(zone string) bool {
-	for _, y := range f.Zones {
-		if y == zone {
+// OfferedIn reports whether the type is offered in the zone.
+func (t *MachineType) OfferedIn(zone string) bool {
+	for _, offered := range t.Zones {
+		if offered == zone {
 			return true
 		}
 	}
 	return false
 }
 
-// HourlyPrice is the current price per hour.
-func (f *MachineType) HourlyPrice(spot bool) float64 {
+// HourlyPrice returns the current price per hour of a spot or an ordinary machine.
+func (t *MachineType) HourlyPrice(spot bool) float64 {
 	if spot {
-		return f.SpotPrice
+		return t.SpotPrice
 	}
-	return f.Price
+	return t.Price
 }
 
-// NoLimit stands for a limit that there is not. It is far beyond all that can be had,
-// and far from overflow.
+// NoLimit represents the absence of a limit. It is far larger than any available amount,
+// and small enough for sums not to overflow.
 const NoLimit Milli = 1 << 50
 
-// Team is what a team is guaranteed and limited to.
+// Team is a team with its guarantee and limit.
 type Team struct {
 	Name       string
 	Guaranteed Resources
 	Limit      Resources
 }
 
-// WithinLimit tells whether use stays inside the team's limit (memory is not
-// limited).
+// WithinLimit reports whether use is within the team's limit. Memory is not limited.
 func (t *Team) WithinLimit(use Resources) bool {
 	return use.Cores <= t.Limit.Cores && use.GPUs <= t.Limit.GPUs
 }
 
-// WithinGuarantee tells whether use stays inside the team's guarantee.
+// WithinGuarantee reports whether use is within the team's guarantee. Memory is not
+// considered.
 func (t *Team) WithinGuarantee(use Resources) bool {
 	return use.Cores <= t.Guaranteed.Cores && use.GPUs <= t.Guaranteed.GPUs
 }
--- a/internal/core/model/submission.go
+++ b/internal/core/model/submission.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// Words of the wire for kinds of jobs and priorities.
+// Names of the kinds of jobs and of the priorities in the protocol.
 var (
 	jobKinds   = map[string]JobKind{"sweep": Array, "gang": Gang, "service": Service}
 	priorities = map[string]Priority{"idle": LowPriority, "standard": NormalPriority, "urgent": HighPriority, "critical": ProductionPriority}
 )
 
 // Submission is a job in its wire form, as users post it and as it is stored. The json
-// tags are the protocol's words.
+// tags are the names in the protocol.
 type Submission struct {
 	ID           string   `json:"ref"`
 	Class        string   `json:"jobclass"`
@@ -38,9 +38,10 @@
 	SaveS        float64  `json:"stowS"`
 	DeadlineS    *float64 `json:"dueS,omitempty"`
 	// Awaits lists the jobs that have to be done before any task of this one starts,
-	// each once.
+	// without duplicates.
 	Awaits []string `json:"awaits,omitempty"`
-	// AcceptedMs is the time of day of acceptance; it is ours, not the user's.
+	// AcceptedMs is the time of day of the acceptance. It is set by the controller; a value
+	// given by the user is ignored.
 	AcceptedMs int64 `json:"atMs,omitempty"`
 }
 
@@ -48,25 +49,25 @@
 var requiredFields = []string{"ref", "jobclass", "owner", "shape", "rank", "pieces", "cores", "gpus", "memoryGb",
 	"bundle", "imageGb", "samePlace", "apart", "loaners", "guessS", "keepsakeS", "stowS"}
 
-// ParseSubmission reads a user's POST body. Any error means 400. The ref is
-// returned as soon as it could be read, so that a known job can be recognised
-// whatever else its repeated submission says.
+// ParseSubmission parses and checks the body of a user's POST request. Any error is to be
+// answered with status 400. The ref is returned also with an error if it could be read, so
+// that a repeated submission of a known job is recognised whatever its other fields are.
 func ParseSubmission(body []byte) (sub *Submission, ref string, err error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, "", err
 	}
 	if fields == nil {
-		return nil, "", errors.New("not an object")
+		return nil, "", errors.New("submission is not a JSON object")
 	}
 	if raw, ok := fields["ref"]; ok {
 		if json.Unmarshal(raw, &ref) != nil || !ValidJobID(ref) {
 			ref = ""
 		}
 	}
-	for _, f := range requiredFields {
-		if raw, ok := fields[f]; !ok || string(raw) == "null" {
-			return nil, ref, &FieldError{f, "is missing"}
+	for _, field := range requiredFields {
+		if raw, ok := fields[field]; !ok || string(raw) == "null" {
+			return nil, ref, &FieldError{field, "is missing"}
 		}
 	}
 	sub = new(Submission)
@@ -77,8 +78,8 @@
 	return sub, ref, sub.check()
 }
 
-// DecodeSubmission reads and checks a submission as it is stored, and as one cell sends
-// it to another.
+// DecodeSubmission decodes and checks a submission that was stored, or sent by another
+// cell.
 func DecodeSubmission(raw []byte) (*Submission, error) {
 	sub := new(Submission)
 	if err := json.Unmarshal(raw, sub); err != nil {
@@ -87,7 +88,7 @@
 	return sub, sub.check()
 }
 
-// ValidJobID tells whether s has the form of a job id and can be part of a key.
+// ValidJobID reports whether s has the form of a job id and can be part of a key.
 func ValidJobID(s string) bool {
 	rest, ok := strings.CutPrefix(s, "j-")
 	if !ok || rest == "" || len(rest) > 64 {
@@ -101,21 +102,21 @@
 	return true
 }
 
-// FieldError says what is wrong with a field of a submission.
+// FieldError reports an invalid field of a submission.
 type FieldError struct {
-	Field   string // its name on the wire
+	Field   string // name of the field on the wire
 	Problem string
 }
 
 func (e *FieldError) Error() string { return e.Field + " " + e.Problem }
 
-// maxAmount bounds every amount and duration of a submission.
+// maxAmount is the upper bound of every amount and duration in a submission.
 const maxAmount = 1e9
 
 const outOfRange = "is out of range"
 
-// check returns the first thing that is wrong with a submission, and removes what Awaits
-// names more than once.
+// check returns the first error found in the submission, and removes duplicates from
+// Awaits.
 func (s *Submission) check() error {
 	if !ValidJobID(s.ID) {
 		return &FieldError{"ref", "is not a job id"}
--- a/internal/core/model/task_set.go
+++ b/internal/core/model/task_set.go
@@ -1,53 +1,55 @@
 package model
 
-// TaskSet is a set of task numbers, kept compactly: 100,000 of them still fit into
-// one value of the state service.
+// TaskSet is a set of task indexes, stored as a bitmap: 100,000 of them still fit into one
+// value of the state service.
 type TaskSet struct {
-	bits []byte
-	n    int
+	bits  []byte // bit index%8 of byte index/8 is set if index is a member
+	count int
 }
 
-// TaskSetFromBytes reads the stored form.
+// TaskSetFromBytes decodes the stored form.
 func TaskSetFromBytes(bits []byte) TaskSet {
 	s := TaskSet{bits: append([]byte(nil), bits...)}
 	for _, b := range bits {
 		for ; b != 0; b &= b - 1 {
-			s.n++
+			s.count++
 		}
 	}
 	return s
 }
 
-// Merge adds the members of a stored form whose first bit is number from, a
-// multiple of eight.
+// Merge adds the members of a stored form whose first bit represents the index from, which
+// is a multiple of eight.
 func (s *TaskSet) Merge(bits []byte, from int) {
 	for i, b := range bits {
-		for k := 0; b != 0; b, k = b>>1, k+1 {
+		for bit := 0; b != 0; b, bit = b>>1, bit+1 {
 			if b&1 != 0 {
-				s.Add(from + i*8 + k)
+				s.Add(from + i*8 + bit)
 			}
 		}
 	}
 }
 
-// Part is the stored form of the members from k*TasksPerPart on, as many.
-func (s *TaskSet) Part(k int) []byte {
+// Part returns the stored form of a part of the set: TasksPerPart indexes, beginning with
+// part*TasksPerPart.
+func (s *TaskSet) Part(part int) []byte {
 	const size = TasksPerPart / 8
-	return s.bits[min(k*size, len(s.bits)):min((k+1)*size, len(s.bits))]
+	return s.bits[min(part*size, len(s.bits)):min((part+1)*size, len(s.bits))]
 }
 
-// TasksPerPart is how many tasks of a large job one entry of finished tasks covers,
-// where the whole would be too large for a value of the state service.
+// TasksPerPart is the number of tasks that one entry of finished tasks covers if a job is
+// so large that a single entry would exceed the value size of the state service.
 const TasksPerPart = 4096
 
-// PartCount is the number of such entries.
+// PartCount returns the number of such entries of a job.
 func PartCount(tasks int) int { return (tasks + TasksPerPart - 1) / TasksPerPart }
 
-// ValidTaskSet tells whether the stored form of a set has no member beyond so many tasks.
+// ValidTaskSet reports whether all members of a stored set are indexes of a job with the
+// given number of tasks.
 func ValidTaskSet(bits []byte, tasks int) bool {
 	for i, b := range bits {
-		for k := range 8 {
-			if b&(1<<k) != 0 && i*8+k >= tasks {
+		for bit := range 8 {
+			if b&(1<<bit) != 0 && i*8+bit >= tasks {
 				return false
 			}
 		}
@@ -55,24 +57,26 @@
 	return true
 }
 
-// Bytes is the stored form.
+// Bytes returns the stored form.
 func (s *TaskSet) Bytes() []byte { return s.bits }
 
-// Len is the number of members.
-func (s *TaskSet) Len() int { return s.n }
+// Len returns the number of members.
+func (s *TaskSet) Len() int { return s.count }
 
-// Has tells whether i is a member.
-func (s *TaskSet) Has(i int) bool { return i/8 < len(s.bits) && s.bits[i/8]&(1<<(i%8)) != 0 }
+// Has reports whether index is a member.
+func (s *TaskSet) Has(index int) bool {
+	return index/8 < len(s.bits) && s.bits[index/8]&(1<<(index%8)) != 0
+}
 
-// Add makes i a member and tells whether it was none before.
-func (s *TaskSet) Add(i int) bool {
-	if s.Has(i) {
+// Add adds index to the set, and reports whether it was not a member before.
+func (s *TaskSet) Add(index int) bool {
+	if s.Has(index) {
 		return false
 	}
-	for i/8 >= len(s.bits) {
+	for index/8 >= len(s.bits) {
 		s.bits = append(s.bits, 0)
 	}
-	s.bits[i/8] |= 1 << (i % 8)
-	s.n++
+	s.bits[index/8] |= 1 << (index % 8)
+	s.count++
 	return true
 }
