--- a/internal/core/placement/candidates.go
+++ b/internal/core/placement/candidates.go
@@ -36,48 +36,48 @@
 // minTasks fit. With cachedOnly, only machines that have the image, or will have it soon,
 // count. Requests that fit nowhere are remembered: during a round, free resources only
 // shrink, so that nothing larger needs to be tried again.
-func (w *Round) candidates(job *model.JobState, minTasks int, cachedOnly bool) []candidate {
-	limits := w.constraintsOf(job)
+func (r *Round) candidates(job *model.JobState, minTasks int, cachedOnly bool) []candidate {
+	constraints := r.constraintsOf(job)
 	if cachedOnly {
-		limits.image = job.Image
+		constraints.image = job.Image
 	}
-	if w.isTooLarge(job.Request, limits) {
+	if r.isTooLarge(job.Request, constraints) {
 		return nil
 	}
-	fitting := w.findFitting(job, limits, minTasks, cachedOnly)
+	fitting := r.findFitting(job, constraints, minTasks, cachedOnly)
 	if cachedOnly && fitting.anyPreferred {
 		// A cached image is no reason to go to the other kind of machine.
-		fitting.machines = slices.DeleteFunc(fitting.machines, func(open *target) bool { return !isPreferredKind(job, open.machine) })
+		fitting.machines = slices.DeleteFunc(fitting.machines, func(target *target) bool { return !isPreferredKind(job, target.machine) })
 	}
 	if len(fitting.machines) == 0 {
-		w.tooLarge[limits] = append(w.tooLarge[limits], job.Request)
+		r.tooLarge[constraints] = append(r.tooLarge[constraints], job.Request)
 	}
 	if fitting.tasks < minTasks {
 		return nil
 	}
-	return w.rank(job, limits, fitting.machines)
+	return r.rank(job, constraints, fitting.machines)
 }
 
 // isTooLarge tells that a request is known to fit on no machine.
-func (w *Round) isTooLarge(request model.Resources, limits machineConstraints) bool {
-	return slices.ContainsFunc(w.tooLarge[limits], func(tooLarge model.Resources) bool { return tooLarge.Fits(request) })
+func (r *Round) isTooLarge(request model.Resources, constraints machineConstraints) bool {
+	return slices.ContainsFunc(r.tooLarge[constraints], func(tooLarge model.Resources) bool { return tooLarge.Fits(request) })
 }
 
 // findFitting finds the machines on which a task fits, and counts up to maxTasks tasks on
 // each.
-func (w *Round) findFitting(job *model.JobState, limits machineConstraints, maxTasks int, cachedOnly bool) (fitting fittingMachines) {
+func (r *Round) findFitting(job *model.JobState, constraints machineConstraints, maxTasks int, cachedOnly bool) (fitting fittingMachines) {
 	maxFetch := max(imageReadyWithin, job.EstimatedRun/imageReadyRunDivisor)
-	for i := range w.targets {
-		open := &w.targets[i]
-		usable := open.usable(limits)
-		if !job.Request.Fits(usable) || !w.mayUse(job, open.machine) || w.fragmentsGPUs(job, open.machine) {
+	for i := range r.targets {
+		target := &r.targets[i]
+		usable := target.usable(constraints)
+		if !job.Request.Fits(usable) || !r.mayUse(job, target.machine) || r.fragmentsGPUs(job, target.machine) {
 			continue
 		}
-		fitting.anyPreferred = fitting.anyPreferred || isPreferredKind(job, open.machine)
-		if cachedOnly && w.fetchTime(job, open.machine) > maxFetch {
+		fitting.anyPreferred = fitting.anyPreferred || isPreferredKind(job, target.machine)
+		if cachedOnly && r.fetchTime(job, target.machine) > maxFetch {
 			continue
 		}
-		fitting.machines = append(fitting.machines, open)
+		fitting.machines = append(fitting.machines, target)
 		fitting.tasks += job.Request.FitCount(usable, maxTasks)
 	}
 	return fitting
@@ -85,15 +85,15 @@
 
 // rank sorts machines by cost, then by what is free: the fullest first, so that others
 // become empty and can be returned.
-func (w *Round) rank(job *model.JobState, limits machineConstraints, machines []*target) []candidate {
+func (r *Round) rank(job *model.JobState, constraints machineConstraints, machines []*target) []candidate {
 	ranked := make([]candidate, len(machines))
-	for i, open := range machines {
-		tasks := job.Request.FitCount(open.usable(limits), len(job.Waiting))
-		free := open.free().Cores
+	for i, target := range machines {
+		tasks := job.Request.FitCount(target.usable(constraints), len(job.Waiting))
+		free := target.free().Cores
 		if job.Request.GPUs > 0 {
-			free = open.free().GPUs
+			free = target.free().GPUs
 		}
-		ranked[i] = candidate{target: open, cost: w.cost(job, open, tasks), free: free}
+		ranked[i] = candidate{target: target, cost: r.cost(job, target, tasks), free: free}
 	}
 	slices.SortFunc(ranked, func(a, b candidate) int {
 		return cmp.Or(
--- a/internal/core/placement/cost.go
+++ b/internal/core/placement/cost.go
@@ -17,61 +17,61 @@
 )
 
 // fetchTime is how long it takes until a machine has the job's image.
-func (w *Round) fetchTime(job *model.JobState, machine *model.Machine) model.Micros {
-	machineType := w.MachineTypes[machine.MachineType]
+func (r *Round) fetchTime(job *model.JobState, machine *model.Machine) model.Micros {
+	machineType := r.MachineTypes[machine.MachineType]
 	if machineType == nil || machineType.FetchGBps <= 0 {
 		return 0
 	}
 	if machine.HasImage(job.Image) {
 		// It may still be being fetched.
-		return max(0, machine.ReadyAt[job.Image]-w.Now)
+		return max(0, machine.ReadyAt[job.Image]-r.Now)
 	}
-	return machine.FetchTimeLeft(w.Now) + model.Seconds(job.ImageGB/machineType.FetchGBps)
+	return machine.FetchTimeLeft(r.Now) + model.Seconds(job.ImageGB/machineType.FetchGBps)
 }
 
 // cost ranks a machine for a job of which so many tasks fit there: by the time until it
 // has the image, and by what the choice makes worse for other jobs.
-func (w *Round) cost(job *model.JobState, open *target, tasks int) model.Micros {
-	machine := open.machine
-	cost := w.fetchTime(job, machine)
+func (r *Round) cost(job *model.JobState, target *target, tasks int) model.Micros {
+	machine := target.machine
+	cost := r.fetchTime(job, machine)
 	cost += cost / model.Micros(max(1, tasks)) // the fewer tasks share a fetch, the more each costs
-	cost += w.gpuCost(job, open)
-	cost += w.spotCost(job, machine)
-	cost += w.riskCost(job, machine)
+	cost += r.gpuCost(job, target)
+	cost += r.spotCost(job, machine)
+	cost += r.riskCost(job, machine)
 	return cost
 }
 
 // gpuCost is the cost of taking resources that GPU tasks could use.
-func (w *Round) gpuCost(job *model.JobState, open *target) model.Micros {
-	if open.machine.Size.GPUs == 0 || job.Request.GPUs > 0 {
+func (r *Round) gpuCost(job *model.JobState, target *target) model.Micros {
+	if target.machine.Size.GPUs == 0 || job.Request.GPUs > 0 {
 		return 0
 	}
-	if job.Request.Fits(open.free().Minus(open.gpuReserve)) {
+	if job.Request.Fits(target.free().Minus(target.gpuReserve)) {
 		return costGPUMachine
 	}
 	return costGPUMachine + costGPUFragment
 }
 
 // spotCost is the cost of the wrong choice between spot and ordinary machines.
-func (w *Round) spotCost(job *model.JobState, machine *model.Machine) model.Micros {
+func (r *Round) spotCost(job *model.JobState, machine *model.Machine) model.Micros {
 	switch {
 	case machine.Spot && job.LateIfTaskLost:
 		return costLoss
 	case !machine.Spot && job.AllowsSpot && !job.LateIfTaskLost:
-		return w.spotPremium(job, machine)
+		return r.spotPremium(job, machine)
 	}
 	return 0
 }
 
 // riskCost is the cost of a machine on which the job may fail or be slow.
-func (w *Round) riskCost(job *model.JobState, machine *model.Machine) (cost model.Micros) {
+func (r *Round) riskCost(job *model.JobState, machine *model.Machine) (cost model.Micros) {
 	if job.FailedMachines[machine.ID] {
 		cost += costFailedBefore
 	}
 	if len(machine.ConsecutiveFailures) > 0 {
 		cost += costSuspect
 	}
-	if w.Now < machine.SlowUntil {
+	if r.Now < machine.SlowUntil {
 		cost += costSlow
 	}
 	return cost
@@ -86,8 +86,8 @@
 // spotPremium is what running on an ordinary machine costs a task that could use a spot
 // machine, as the time that its run would last longer on a spot machine for the same
 // money. A fetch that takes less than that is worth it.
-func (w *Round) spotPremium(job *model.JobState, machine *model.Machine) model.Micros {
-	machineType := w.MachineTypes[machine.MachineType]
+func (r *Round) spotPremium(job *model.JobState, machine *model.Machine) model.Micros {
+	machineType := r.MachineTypes[machine.MachineType]
 	if machineType == nil || machineType.SpotPrice <= 0 || machineType.Price <= machineType.SpotPrice {
 		return minSpotPremium
 	}
@@ -102,8 +102,8 @@
 // fragmentsGPUs tells that a gang without GPUs would leave GPUs unusable on a machine
 // that are wanted and worth more than what the gang takes. It goes there only when it
 // can't wait any longer.
-func (w *Round) fragmentsGPUs(job *model.JobState, machine *model.Machine) bool {
-	if machine.Size.GPUs == 0 || job.Request.GPUs > 0 || w.WantedGPUs == 0 || machine.Size.Cores == 0 || !w.gangCanWait(job) {
+func (r *Round) fragmentsGPUs(job *model.JobState, machine *model.Machine) bool {
+	if machine.Size.GPUs == 0 || job.Request.GPUs > 0 || r.WantedGPUs == 0 || machine.Size.Cores == 0 || !r.gangCanWait(job) {
 		return false
 	}
 	unusable := model.Resources{GPUs: machine.Size.GPUs * job.Request.Cores / machine.Size.Cores}
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -15,32 +15,32 @@
 // placeGang binds all tasks or none. As long as tasks of an earlier attempt may still be
 // on a machine, the next attempt has to wait. It tells whether the gang waits for
 // resources that were reserved for it.
-func (w *Round) placeGang(job *model.JobState) (reserved bool) {
-	if len(job.Bindings) > 0 || len(job.Waiting) != job.Tasks || w.tasksWithinLimit(job, job.Tasks) < job.Tasks {
+func (r *Round) placeGang(job *model.JobState) (reserved bool) {
+	if len(job.Bindings) > 0 || len(job.Waiting) != job.Tasks || r.tasksWithinLimit(job, job.Tasks) < job.Tasks {
 		return false
 	}
-	best := w.assign(job, w.candidates(job, job.Tasks, false))
+	best := r.assign(job, r.candidates(job, job.Tasks, false))
 	if len(best.machines) == 0 {
 		return false
 	}
-	if w.Preempting && w.fetchMissesStartObjective(job, best.machines) && w.preempt(job, w.hasImageOf(job)) {
+	if r.Preempting && r.fetchMissesStartObjective(job, best.machines) && r.preempt(job, r.hasImageOf(job)) {
 		return true
 	}
-	attempt := w.Executor.NextAttempt()
+	attempt := r.Executor.NextAttempt()
 	for _, machine := range best.machines {
-		w.Executor.Bind(job, job.Waiting[0], machine, attempt)
+		r.Executor.Bind(job, job.Waiting[0], machine, attempt)
 	}
 	return false
 }
 
 // assign chooses a machine for every task of the gang.
-func (w *Round) assign(job *model.JobState, candidates []candidate) assignment {
+func (r *Round) assign(job *model.JobState, candidates []candidate) assignment {
 	if !job.SameZone {
-		return w.chooseMachines(job, candidates)
+		return r.chooseMachines(job, candidates)
 	}
 	var best assignment
 	for _, zone := range groupByZone(candidates) {
-		chosen := w.chooseMachines(job, zone)
+		chosen := r.chooseMachines(job, zone)
 		if len(chosen.machines) == 0 {
 			continue
 		}
@@ -69,15 +69,15 @@
 }
 
 // chooseMachines assigns the tasks of a gang to the first of the candidates.
-func (w *Round) chooseMachines(job *model.JobState, candidates []candidate) assignment {
-	limits := w.constraintsOf(job)
+func (r *Round) chooseMachines(job *model.JobState, candidates []candidate) assignment {
+	constraints := r.constraintsOf(job)
 	var chosen assignment
 	inZone := map[string]int{}
 	for _, candidate := range candidates {
 		machine := candidate.target.machine
 		tasks := min(
-			job.Request.FitCount(candidate.target.usable(limits), job.Tasks-len(chosen.machines)),
-			w.Executor.TaskSlots(job.Job, machine),
+			job.Request.FitCount(candidate.target.usable(constraints), job.Tasks-len(chosen.machines)),
+			r.Executor.TaskSlots(job.Job, machine),
 			job.MaxPerZone()-inZone[machine.Zone])
 		for range tasks {
 			chosen.machines = append(chosen.machines, machine)
@@ -94,18 +94,18 @@
 // fetchMissesStartObjective tells that fetching the image would make a late job of high priority
 // miss its class's start aim, so that preempting others on machines that have the image
 // is quicker.
-func (w *Round) fetchMissesStartObjective(job *model.JobState, machines []*model.Machine) bool {
-	if !w.mustStartNow(job) {
+func (r *Round) fetchMissesStartObjective(job *model.JobState, machines []*model.Machine) bool {
+	if !r.mustStartNow(job) {
 		return false
 	}
-	aim := w.Estimates.MaxWait(job) * startObjectiveWaits
-	age := w.Now - job.ReadySince
-	if age > 2*aim {
+	objective := r.Estimates.MaxWait(job) * startObjectiveWaits
+	age := r.Now - job.ReadySince
+	if age > 2*objective {
 		return false // too late for it to matter
 	}
-	maxFetch := max(aim-age, w.StopTime)
+	maxFetch := max(objective-age, r.StopTime)
 	for _, machine := range machines {
-		if w.fetchTime(job, machine) > maxFetch {
+		if r.fetchTime(job, machine) > maxFetch {
 			return true
 		}
 	}
--- a/internal/core/placement/loss.go
+++ b/internal/core/placement/loss.go
@@ -16,10 +16,10 @@
 }
 
 // sortByLoss sorts tasks by the work that is lost when they are stopped, least first.
-func (w *Round) sortByLoss(bindings []*model.Binding) {
+func (r *Round) sortByLoss(bindings []*model.Binding) {
 	slices.SortFunc(bindings, func(a, b *model.Binding) int {
 		return cmp.Or(
-			cmp.Compare(w.PreemptionLoss(a), w.PreemptionLoss(b)),
+			cmp.Compare(r.PreemptionLoss(a), r.PreemptionLoss(b)),
 			cmp.Compare(a.Attempt, b.Attempt))
 	})
 }
@@ -27,13 +27,13 @@
 // PreemptionLoss is the work that is lost when a task is stopped, as core time. For a
 // task that waits for its image it is the fetch: if that counted nothing, tasks with
 // long fetches would be preempted again and again and never run.
-func (w *Round) PreemptionLoss(binding *model.Binding) model.Micros {
+func (r *Round) PreemptionLoss(binding *model.Binding) model.Micros {
 	value := coreEquivalents(binding.Job.Request)
 	switch {
 	case binding.RunningSince == 0:
-		return min(w.Now-binding.BoundAt, binding.ExpectedFetch) * value
+		return min(r.Now-binding.BoundAt, binding.ExpectedFetch) * value
 	case binding.Job.CheckpointInterval > 0:
 		return binding.Job.SaveTime * value
 	}
-	return (w.Now - binding.RunningSince) * value
+	return (r.Now - binding.RunningSince) * value
 }
--- a/internal/core/placement/machines.go
+++ b/internal/core/placement/machines.go
@@ -23,16 +23,16 @@
 }
 
 // free is what neither tasks nor reservations take.
-func (o *target) free() model.Resources { return o.machine.Free().Minus(o.reserved) }
+func (t *target) free() model.Resources { return t.machine.Free().Minus(t.reserved) }
 
 // usable is what a job may use of a machine: a task without GPUs leaves what GPU
 // tasks need beside the GPUs that are wanted, unless it can't wait for others to
 // be preempted.
-func (o *target) usable(limits machineConstraints) model.Resources {
-	if limits.needsGPUs || limits.mustStartNow {
-		return o.free()
+func (t *target) usable(constraints machineConstraints) model.Resources {
+	if constraints.needsGPUs || constraints.mustStartNow {
+		return t.free()
 	}
-	return o.free().Minus(o.gpuReserve)
+	return t.free().Minus(t.gpuReserve)
 }
 
 // machineConstraints is what decides, beside its request, which machines a job may use.
@@ -49,24 +49,24 @@
 }
 
 // constraintsOf are the constraints of a job that may use machines without its image.
-func (w *Round) constraintsOf(job *model.JobState) machineConstraints {
+func (r *Round) constraintsOf(job *model.JobState) machineConstraints {
 	return machineConstraints{
 		machineTypes:   strings.Join(job.MachineTypes, " "),
 		zone:           job.Zone,
 		allowsSpot:     job.AllowsSpot,
-		mustStartNow:   w.mustStartNow(job),
+		mustStartNow:   r.mustStartNow(job),
 		needsGPUs:      job.Request.GPUs > 0,
-		canWait:        w.gangCanWait(job),
+		canWait:        r.gangCanWait(job),
 		lateIfTaskLost: job.LateIfTaskLost,
-		mayUseSurplus:  job.AllowsSpot && w.mayUseSurplus(job),
+		mayUseSurplus:  job.AllowsSpot && r.mayUseSurplus(job),
 	}
 }
 
 // AcceptsTasks tells whether the machine takes new work now. A machine that does not receive
 // answers gets none: the work would never be started there, and its heartbeats may be
 // old copies that don't show its present state.
-func (w *Round) AcceptsTasks(machine *model.Machine) bool {
-	reachable := machine.Up && machine.ReceivesAnswers && !machine.Lost && w.Now-machine.LastHeartbeat < w.HeartbeatTimeout
+func (r *Round) AcceptsTasks(machine *model.Machine) bool {
+	reachable := machine.Up && machine.ReceivesAnswers && !machine.Lost && r.Now-machine.LastHeartbeat < r.HeartbeatTimeout
 	leaving := machine.Draining || machine.Deleting || machine.SpotNotice
 	return reachable && !leaving && !machine.Quarantined && !machine.Failed
 }
@@ -92,42 +92,42 @@
 
 // tasksWithinLimit is how many more tasks of the job its team's limit allows, at most
 // maxTasks.
-func (w *Round) tasksWithinLimit(job *model.JobState, maxTasks int) int {
-	if w.Teams[job.Team] == nil {
+func (r *Round) tasksWithinLimit(job *model.JobState, maxTasks int) int {
+	if r.Teams[job.Team] == nil {
 		return 0
 	}
 	request := job.Request
 	request.Mem = 0 // memory is not limited
-	return request.FitCount(w.limitLeft(job.Team), maxTasks)
+	return request.FitCount(r.remainingLimit(job.Team), maxTasks)
 }
 
-// limitLeft is what bound tasks and reservations leave of a known team's limit.
-func (w *Round) limitLeft(team string) model.Resources {
-	return w.Teams[team].Limit.Minus(w.Used[team]).Minus(w.reservedLimit[team])
+// remainingLimit is what bound tasks and reservations leave of a known team's limit.
+func (r *Round) remainingLimit(team string) model.Resources {
+	return r.Teams[team].Limit.Minus(r.Used[team]).Minus(r.reservedLimit[team])
 }
 
 // reserveForGPUTasks reserves free GPUs that are wanted, on the machines that suit GPU
 // tasks best, with what such a task takes beside each GPU.
-func (w *Round) reserveForGPUTasks() {
-	left := w.WantedGPUs
-	for _, open := range w.machinesWithFreeGPUs() {
+func (r *Round) reserveForGPUTasks() {
+	left := r.WantedGPUs
+	for _, target := range r.machinesWithFreeGPUs() {
 		if left <= 0 {
 			return
 		}
-		gpus := min(left, open.machine.Free().GPUs)
+		gpus := min(left, target.machine.Free().GPUs)
 		left -= gpus
-		open.gpuReserve = w.requestForGPUs(open.machine, gpus)
+		target.gpuReserve = r.requestForGPUs(target.machine, gpus)
 	}
 }
 
 // machinesWithFreeGPUs are the machines with free GPUs, spot machines first, then those
 // with the fewest free GPUs.
-func (w *Round) machinesWithFreeGPUs() []*target {
+func (r *Round) machinesWithFreeGPUs() []*target {
 	var machines []*target
-	for i := range w.targets {
-		open := &w.targets[i]
-		if open.machine.Size.GPUs > 0 && open.machine.Free().GPUs > 0 {
-			machines = append(machines, open)
+	for i := range r.targets {
+		target := &r.targets[i]
+		if target.machine.Size.GPUs > 0 && target.machine.Free().GPUs > 0 {
+			machines = append(machines, target)
 		}
 	}
 	slices.SortFunc(machines, func(a, b *target) int {
@@ -141,10 +141,10 @@
 
 // requestForGPUs is what tasks with so many GPUs take of a machine, but no more than the
 // machine's share for these GPUs.
-func (w *Round) requestForGPUs(machine *model.Machine, gpus model.Milli) model.Resources {
+func (r *Round) requestForGPUs(machine *model.Machine, gpus model.Milli) model.Resources {
 	size := machine.Size
-	coresPerGPU := min(w.RequestPerGPU.Cores, size.Cores*milliPerUnit/size.GPUs)
-	memPerGPU := min(w.RequestPerGPU.Mem, size.Mem*milliPerUnit/size.GPUs)
+	coresPerGPU := min(r.RequestPerGPU.Cores, size.Cores*milliPerUnit/size.GPUs)
+	memPerGPU := min(r.RequestPerGPU.Mem, size.Mem*milliPerUnit/size.GPUs)
 	return model.Resources{
 		Cores: coresPerGPU * gpus / milliPerUnit,
 		GPUs:  gpus,
@@ -158,15 +158,15 @@
 const surplusAllowedAfter = 45 * model.Second
 
 // mayUseSurplus tells whether a job has waited long enough to use surplus machines.
-func (w *Round) mayUseSurplus(job *model.JobState) bool {
-	return w.Now-idleSince(job) >= surplusAllowedAfter
+func (r *Round) mayUseSurplus(job *model.JobState) bool {
+	return r.Now-idleSince(job) >= surplusAllowedAfter
 }
 
 // mayUse tells whether a job's tasks may go to a machine. A surplus machine takes no
 // work that may use spot machines, unless that has waited for long.
-func (w *Round) mayUse(job *model.JobState, machine *model.Machine) bool {
+func (r *Round) mayUse(job *model.JobState, machine *model.Machine) bool {
 	if !job.Allows(machine.MachineType, machine.Zone, machine.Spot) {
 		return false
 	}
-	return !machine.Surplus || !job.AllowsSpot || w.mayUseSurplus(job)
+	return !machine.Surplus || !job.AllowsSpot || r.mayUseSurplus(job)
 }
--- a/internal/core/placement/next_free.go
+++ b/internal/core/placement/next_free.go
@@ -18,65 +18,65 @@
 // preempt others: otherwise work of its own priority would take each of them as soon as
 // it is free, and the gang might never start. It chooses the machines that are expected
 // to be free first, and serves one gang in a zone, so that other work goes on there.
-func (w *Round) reserveNextFree(gang *model.JobState) {
-	if len(gang.Bindings) > 0 || !gang.Starved && !w.waitedLongEnough(gang) {
+func (r *Round) reserveNextFree(gang *model.JobState) {
+	if len(gang.Bindings) > 0 || !gang.Starved && !r.waitedLongEnough(gang) {
 		return
 	}
-	chosen := chooseFutureSlots(gang, w.futureSlotsByZone(gang))
+	chosen := chooseFutureSlots(gang, r.futureSlotsByZone(gang))
 	if len(chosen) < gang.Tasks {
 		return
 	}
 	for _, slot := range chosen {
-		w.reservedZones[slot.target.machine.Zone] = true
-		w.reserve(gang, slot.target, false)
+		r.reservedZones[slot.target.machine.Zone] = true
+		r.reserve(gang, slot.target, false)
 	}
 }
 
 // futureSlotsByZone finds where and when tasks of a gang will fit.
-func (w *Round) futureSlotsByZone(gang *model.JobState) map[string][]futureSlot {
+func (r *Round) futureSlotsByZone(gang *model.JobState) map[string][]futureSlot {
 	byZone := map[string][]futureSlot{}
-	for i := range w.targets {
-		open := &w.targets[i]
-		machine := open.machine
-		if w.reservedZones[machine.Zone] || !gang.Request.Fits(machine.Size.Minus(open.reserved)) {
+	for i := range r.targets {
+		target := &r.targets[i]
+		machine := target.machine
+		if r.reservedZones[machine.Zone] || !gang.Request.Fits(machine.Size.Minus(target.reserved)) {
 			continue
 		}
-		if !w.mayUse(gang, machine) || w.fragmentsGPUs(gang, machine) {
+		if !r.mayUse(gang, machine) || r.fragmentsGPUs(gang, machine) {
 			continue
 		}
-		byZone[machine.Zone] = append(byZone[machine.Zone], w.futureSlots(gang, open)...)
+		byZone[machine.Zone] = append(byZone[machine.Zone], r.futureSlots(gang, target)...)
 	}
 	return byZone
 }
 
 // futureSlots finds when one task of a gang after another will fit on a machine, as the
 // tasks that run there now end.
-func (w *Round) futureSlots(gang *model.JobState, open *target) (slots []futureSlot) {
-	running := w.bindingsByEnd(open.machine)
-	free := open.free()
-	freeFrom := model.Micros(0)
-	for range min(gang.Tasks, w.Executor.TaskSlots(gang.Job, open.machine)) {
+func (r *Round) futureSlots(gang *model.JobState, target *target) (slots []futureSlot) {
+	running := r.bindingsByEnd(target.machine)
+	free := target.free()
+	timeUntilFree := model.Micros(0)
+	for range min(gang.Tasks, r.Executor.TaskSlots(gang.Job, target.machine)) {
 		for len(running) > 0 && !gang.Request.Fits(free) {
 			free = free.Plus(running[0].Job.Request)
-			freeFrom = w.Estimates.Remaining(running[0])
+			timeUntilFree = r.Estimates.Remaining(running[0])
 			running = running[1:]
 		}
 		if !gang.Request.Fits(free) {
 			break
 		}
 		free = free.Minus(gang.Request)
-		slots = append(slots, futureSlot{target: open, timeUntilFree: freeFrom})
+		slots = append(slots, futureSlot{target: target, timeUntilFree: timeUntilFree})
 	}
 	return slots
 }
 
 // bindingsByEnd are the tasks bound to a machine, in the order in which they are expected
 // to end.
-func (w *Round) bindingsByEnd(machine *model.Machine) []*model.Binding {
+func (r *Round) bindingsByEnd(machine *model.Machine) []*model.Binding {
 	bindings := slices.Collect(maps.Values(machine.Bindings))
 	slices.SortFunc(bindings, func(a, b *model.Binding) int {
 		return cmp.Or(
-			cmp.Compare(w.Estimates.Remaining(a), w.Estimates.Remaining(b)),
+			cmp.Compare(r.Estimates.Remaining(a), r.Estimates.Remaining(b)),
 			cmp.Compare(a.Attempt, b.Attempt))
 	})
 	return bindings
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -15,15 +15,15 @@
 
 // Sort puts jobs into the order in which they are served, as compareJobs has it, after
 // finding out what that depends on.
-func (w *Round) Sort() {
-	slices.SortFunc(w.Jobs, func(a, b *model.JobState) int { return cmp.Compare(a.AcceptedRevision, b.AcceptedRevision) })
-	w.markGuaranteed()
-	w.markStarved()
-	for _, job := range w.Jobs {
-		job.DueAt = w.Estimates.DueAt(job)
-		job.HasPreempted = slices.ContainsFunc(w.Reservations[job], func(r Reservation) bool { return r.Preempted })
+func (r *Round) Sort() {
+	slices.SortFunc(r.Jobs, func(a, b *model.JobState) int { return cmp.Compare(a.AcceptedRevision, b.AcceptedRevision) })
+	r.markGuaranteed()
+	r.markStarved()
+	for _, job := range r.Jobs {
+		job.DueAt = r.Estimates.DueAt(job)
+		job.HasPreempted = slices.ContainsFunc(r.Reservations[job], func(reservation Reservation) bool { return reservation.Preempted })
 	}
-	slices.SortStableFunc(w.Jobs, compareJobs)
+	slices.SortStableFunc(r.Jobs, compareJobs)
 }
 
 // compareJobs orders jobs by these criteria, each deciding where those before it don't:
@@ -77,25 +77,25 @@
 // machines, and jobs that can't be in time any more, might never start. If it found jobs
 // sooner, all jobs of a busy class would be late, one after the other. The jobs must be
 // in order of age.
-func (w *Round) markStarved() {
-	starvedUntil := w.starvedUntil()
-	for _, job := range w.Jobs {
+func (r *Round) markStarved() {
+	starvedUntil := r.starvedUntil()
+	for _, job := range r.Jobs {
 		until, found := starvedUntil[job.Class]
-		job.Starved = found && isIdle(job) && idleSince(job) <= until && w.Now-idleSince(job) > minStarvationAge
+		job.Starved = found && isIdle(job) && idleSince(job) <= until && r.Now-idleSince(job) > minStarvationAge
 	}
 }
 
 // starvedUntil is, by class, since when the youngest starved job is idle. All that are
 // idle for longer are starved, too.
-func (w *Round) starvedUntil() map[string]model.Micros {
+func (r *Round) starvedUntil() map[string]model.Micros {
 	tasksAhead := map[string]float64{} // by class, tasks that have to start first, the job's own included
 	until := map[string]model.Micros{}
-	for _, job := range w.Jobs {
+	for _, job := range r.Jobs {
 		if !isIdle(job) {
 			continue
 		}
 		tasksAhead[job.Class] += tasksToStart(job)
-		if w.startsTooLate(job, tasksAhead[job.Class]) {
+		if r.startsTooLate(job, tasksAhead[job.Class]) {
 			until[job.Class] = max(until[job.Class], idleSince(job))
 		}
 	}
@@ -104,12 +104,12 @@
 
 // startsTooLate tells that a job has not started in time, or would not with so many tasks
 // ahead of it.
-func (w *Round) startsTooLate(job *model.JobState, tasksAhead float64) bool {
-	age := w.Now - idleSince(job)
+func (r *Round) startsTooLate(job *model.JobState, tasksAhead float64) bool {
+	age := r.Now - idleSince(job)
 	if age <= minStarvationAge {
 		return false
 	}
-	expected := age.Seconds() + tasksAhead/max(w.Estimates.StartRate(job.Class), minStartRate)
+	expected := age.Seconds() + tasksAhead/max(r.Estimates.StartRate(job.Class), minStartRate)
 	return age > startWithin || expected > startWithin.Seconds()
 }
 
@@ -129,26 +129,26 @@
 // markGuaranteed finds the jobs that are within their team's guarantee. If guaranteed
 // work is to start within some time, jobs are counted one by one. Otherwise all jobs of a
 // team are alike: those of a team that uses less than its guarantee are within it.
-func (w *Round) markGuaranteed() {
-	if w.GuaranteeObjective != 0 {
-		w.markGuaranteedByJob()
+func (r *Round) markGuaranteed() {
+	if r.GuaranteeObjective != 0 {
+		r.markGuaranteedByJob()
 		return
 	}
-	for _, job := range w.Jobs {
-		team := w.Teams[job.Team]
-		job.WithinGuarantee = team != nil && team.WithinGuarantee(w.Used[job.Team])
+	for _, job := range r.Jobs {
+		team := r.Teams[job.Team]
+		job.WithinGuarantee = team != nil && team.WithinGuarantee(r.Used[job.Team])
 		job.CanMeetGuarantee = false
 	}
 }
 
 // markGuaranteedByJob finds the jobs that fit into their team's guarantee together with
 // the team's earlier unfinished jobs. The jobs must be in order of age.
-func (w *Round) markGuaranteedByJob() {
-	requested := make(map[string]model.Resources, len(w.Teams))
-	for _, job := range w.Jobs {
+func (r *Round) markGuaranteedByJob() {
+	requested := make(map[string]model.Resources, len(r.Teams))
+	for _, job := range r.Jobs {
 		requested[job.Team] = requested[job.Team].Plus(job.Request.Times(job.Tasks))
-		team := w.Teams[job.Team]
+		team := r.Teams[job.Team]
 		job.WithinGuarantee = team != nil && team.WithinGuarantee(requested[job.Team])
-		job.CanMeetGuarantee = job.WithinGuarantee && w.Now-job.ReadySince < w.GuaranteeObjective
+		job.CanMeetGuarantee = job.WithinGuarantee && r.Now-job.ReadySince < r.GuaranteeObjective
 	}
 }
--- a/internal/core/placement/order_test.go
+++ b/internal/core/placement/order_test.go
@@ -19,7 +19,7 @@
 	beyond := job("red", 1, now)
 	other := job("blue", 4, now)
 	unknown := job("none", 1, now)
-	w := &Round{
+	round := &Round{
 		Now:                now,
 		GuaranteeObjective: guarantee,
 		Jobs:               []*model.JobState{old, fresh, beyond, other, unknown},
@@ -28,7 +28,7 @@
 			"blue": {Guaranteed: model.Resources{Cores: 4000}},
 		},
 	}
-	w.markGuaranteed()
+	round.markGuaranteed()
 	for _, c := range []struct {
 		name           string
 		job            *model.JobState
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -105,16 +105,16 @@
 const maxPreemptingJobs = 24
 
 // Run places what can be placed and passes each decision to the Executor.
-func (w *Round) Run() {
-	w.Sort()
-	w.prepare()
-	for start, end := 0, 0; start < len(w.Jobs); start = end {
-		first := w.Jobs[start]
+func (r *Round) Run() {
+	r.Sort()
+	r.prepare()
+	for start, end := 0, 0; start < len(r.Jobs); start = end {
+		first := r.Jobs[start]
 		end = start + 1
-		for end < len(w.Jobs) && samePrecedence(first, w.Jobs[end]) {
+		for end < len(r.Jobs) && samePrecedence(first, r.Jobs[end]) {
 			end++
 		}
-		w.placeSamePrecedence(w.Jobs[start:end])
+		r.placeSamePrecedence(r.Jobs[start:end])
 	}
 }
 
@@ -126,29 +126,29 @@
 // placeSamePrecedence serves jobs of equal standing. Tasks whose image is on a machine go
 // first: when GPUs come free one at a time, each would otherwise go to the next task in
 // order, and spend as long on fetching its image as on running it.
-func (w *Round) placeSamePrecedence(jobs []*model.JobState) {
-	if w.mayReorder(jobs) {
+func (r *Round) placeSamePrecedence(jobs []*model.JobState) {
+	if r.mayReorder(jobs) {
 		for _, job := range jobs {
-			if w.isWaiting(job) {
-				w.placeTasks(job, true)
+			if r.isWaiting(job) {
+				r.placeTasks(job, true)
 			}
 		}
 	}
 	for _, job := range jobs {
-		if w.isWaiting(job) {
-			w.placeJob(job)
+		if r.isWaiting(job) {
+			r.placeJob(job)
 		}
 	}
 }
 
 // mayReorder tells whether jobs of equal standing may be served out of order: none of
 // them is starved or a waiting gang.
-func (w *Round) mayReorder(jobs []*model.JobState) bool {
+func (r *Round) mayReorder(jobs []*model.JobState) bool {
 	if jobs[0].Starved {
 		return false
 	}
 	for _, job := range jobs {
-		if job.Kind == model.Gang && w.isWaiting(job) {
+		if job.Kind == model.Gang && r.isWaiting(job) {
 			return false
 		}
 	}
@@ -156,50 +156,50 @@
 }
 
 // isWaiting tells whether a job has tasks that may be placed now.
-func (w *Round) isWaiting(job *model.JobState) bool {
-	return job.FinalStatus == "" && !job.EndPending && len(job.Waiting) > 0 && w.Now >= job.NotBefore
+func (r *Round) isWaiting(job *model.JobState) bool {
+	return job.FinalStatus == "" && !job.EndPending && len(job.Waiting) > 0 && r.Now >= job.NotBefore
 }
 
 // placeJob places what it can of one job, on resources reserved for it and others. What
 // it does not use stays reserved, except in a preempting round, which decides anew.
-func (w *Round) placeJob(job *model.JobState) {
-	if len(w.Reservations[job]) == 0 {
-		w.placeOrReserve(job)
+func (r *Round) placeJob(job *model.JobState) {
+	if len(r.Reservations[job]) == 0 {
+		r.placeOrReserve(job)
 		return
 	}
-	w.unbookReservationsOf(job)
-	clear(w.tooLarge)
-	if w.Preempting {
-		delete(w.Reservations, job)
-		w.placeOrReserve(job)
+	r.unbookReservationsOf(job)
+	clear(r.tooLarge)
+	if r.Preempting {
+		delete(r.Reservations, job)
+		r.placeOrReserve(job)
 		return
 	}
-	w.placeOrReserve(job)
+	r.placeOrReserve(job)
 	if len(job.Waiting) == 0 {
-		delete(w.Reservations, job)
+		delete(r.Reservations, job)
 	}
-	w.bookReservationsOf(job)
+	r.bookReservationsOf(job)
 }
 
 // placeOrReserve places what it can of one job, and reserves or frees resources for the
 // rest.
-func (w *Round) placeOrReserve(job *model.JobState) {
-	if job.Kind == model.Gang && w.tasksWithinLimit(job, job.Tasks) < job.Tasks {
-		w.preemptWithinTeam(job)
+func (r *Round) placeOrReserve(job *model.JobState) {
+	if job.Kind == model.Gang && r.tasksWithinLimit(job, job.Tasks) < job.Tasks {
+		r.preemptWithinTeam(job)
 		return
 	}
 	reserved := false
 	if job.Kind == model.Gang {
-		reserved = w.placeGang(job)
-		w.reserveFirstGangLimit(job)
+		reserved = r.placeGang(job)
+		r.reserveFirstGangLimit(job)
 	} else {
-		w.placeTasks(job, false)
+		r.placeTasks(job, false)
 	}
 	switch {
-	case w.Preempting && len(job.Waiting) > 0 && !reserved:
-		w.freeResources(job)
-	case !w.Preempting && job.Kind == model.Gang && len(job.Waiting) == job.Tasks:
-		w.holdFreeResources(job)
+	case r.Preempting && len(job.Waiting) > 0 && !reserved:
+		r.freeResources(job)
+	case !r.Preempting && job.Kind == model.Gang && len(job.Waiting) == job.Tasks:
+		r.holdFreeResources(job)
 	}
 }
 
@@ -207,52 +207,52 @@
 // machines, if no other gang of the team has such a reservation. With none at all, the
 // team's other work would use up the limit meanwhile, and be preempted for the gang
 // again; with one for every gang, nothing would be left of the limit.
-func (w *Round) reserveFirstGangLimit(gang *model.JobState) {
-	_, exists := w.reservedLimit[gang.Team]
+func (r *Round) reserveFirstGangLimit(gang *model.JobState) {
+	_, exists := r.reservedLimit[gang.Team]
 	if !exists && len(gang.Waiting) > 0 && len(gang.Bindings) == 0 {
-		w.reserveLimit(gang)
+		r.reserveLimit(gang)
 	}
 }
 
 // freeResources has others preempted for a job that found no machines. For a gang that
 // can't preempt, it reserves the machines that come free next.
-func (w *Round) freeResources(job *model.JobState) {
+func (r *Round) freeResources(job *model.JobState) {
 	reserved := false
-	if w.mayPreempt(job) {
-		w.preemptingJobs++
-		reserved = w.preempt(job, anyMachine)
+	if r.mayPreempt(job) {
+		r.preemptingJobs++
+		reserved = r.preempt(job, anyMachine)
 	}
 	if !reserved && job.Kind == model.Gang {
-		w.reserveNextFree(job)
+		r.reserveNextFree(job)
 	}
 }
 
 // mayPreempt tells whether there may be tasks that a job can preempt, and the round has
 // not looked for such tasks too often yet.
-func (w *Round) mayPreempt(job *model.JobState) bool {
-	if w.preemptingJobs >= maxPreemptingJobs {
+func (r *Round) mayPreempt(job *model.JobState) bool {
+	if r.preemptingJobs >= maxPreemptingJobs {
 		return false
 	}
-	return job.Priority > w.lowestPriority || job.Priority >= model.HighPriority
+	return job.Priority > r.lowestPriority || job.Priority >= model.HighPriority
 }
 
 // placeTasks places single tasks. With cachedOnly, it uses only machines that have the
 // job's image, or will have it soon.
-func (w *Round) placeTasks(job *model.JobState, cachedOnly bool) {
-	left := job.BindableTasks(w.tasksWithinLimit(job, len(job.Waiting)))
+func (r *Round) placeTasks(job *model.JobState, cachedOnly bool) {
+	left := job.BindableTasks(r.tasksWithinLimit(job, len(job.Waiting)))
 	if job.Starved {
 		left = min(left, 1)
 	}
 	if left == 0 {
 		return
 	}
-	limits := w.constraintsOf(job)
-	for _, candidate := range w.candidates(job, 1, cachedOnly) {
+	constraints := r.constraintsOf(job)
+	for _, candidate := range r.candidates(job, 1, cachedOnly) {
 		machine := candidate.target.machine
-		fitting := job.Request.FitCount(candidate.target.usable(limits), left)
-		tasks := min(left, fitting, ZoneRoom(job, machine.Zone), w.Executor.TaskSlots(job.Job, machine))
+		fitting := job.Request.FitCount(candidate.target.usable(constraints), left)
+		tasks := min(left, fitting, ZoneRoom(job, machine.Zone), r.Executor.TaskSlots(job.Job, machine))
 		for range tasks {
-			w.Executor.Bind(job, job.Waiting[0], machine, w.Executor.NextAttempt())
+			r.Executor.Bind(job, job.Waiting[0], machine, r.Executor.NextAttempt())
 			left--
 		}
 		if left == 0 {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -41,19 +41,19 @@
 	older := job("j-1", 1, model.HighPriority)
 	preempting := job("j-2", 2, model.HighPriority)
 	higher := job("j-3", 3, model.ProductionPriority)
-	w := &Round{
+	round := &Round{
 		Now:          model.Second,
 		Jobs:         []*model.JobState{preempting, older, higher},
 		Estimates:    testEstimator{dueAt: map[string]model.Micros{preempting.ID: LateDueAt}},
 		Reservations: map[*model.JobState][]Reservation{preempting: {{Preempted: true}}, older: {{}}},
 	}
 	for _, want := range []string{"j-3 j-2 j-1", "j-3 j-1 j-2"} {
-		w.Sort()
-		got := w.Jobs[0].ID + " " + w.Jobs[1].ID + " " + w.Jobs[2].ID
+		round.Sort()
+		got := round.Jobs[0].ID + " " + round.Jobs[1].ID + " " + round.Jobs[2].ID
 		if got != want {
 			t.Errorf("served in the order %s, want %s", got, want)
 		}
-		w.Reservations[preempting] = []Reservation{{}} // reserved, but nobody was preempted for it
+		round.Reservations[preempting] = []Reservation{{}} // reserved, but nobody was preempted for it
 	}
 }
 
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -14,30 +14,30 @@
 func anyMachine(*model.Machine) bool { return true }
 
 // hasImageOf lets machines be considered that have a job's image, or will have it at once.
-func (w *Round) hasImageOf(job *model.JobState) machineFilter {
-	return func(machine *model.Machine) bool { return w.fetchTime(job, machine) < model.Second }
+func (r *Round) hasImageOf(job *model.JobState) machineFilter {
+	return func(machine *model.Machine) bool { return r.fetchTime(job, machine) < model.Second }
 }
 
 // preempt finds machines for a job that found none: it stops tasks of lower priority
 // where that loses least, and reserves what they free for this job. What earlier stops
 // are about to free counts first. It tells whether all that the job needs was found and
 // reserved.
-func (w *Round) preempt(job *model.JobState, suits machineFilter) (reserved bool) {
-	wanted := w.tasksWithinLimit(job, len(job.Waiting))
+func (r *Round) preempt(job *model.JobState, suits machineFilter) (reserved bool) {
+	wanted := r.tasksWithinLimit(job, len(job.Waiting))
 	if wanted == 0 || job.Kind == model.Gang && (len(job.Bindings) > 0 || wanted < job.Tasks) {
 		return false
 	}
-	chosen := chooseSlots(job, w.preemptionSlots(job, wanted, suits), wanted)
+	chosen := chooseSlots(job, r.preemptionSlots(job, wanted, suits), wanted)
 	if len(chosen) == 0 || job.Kind == model.Gang && len(chosen) < job.Tasks {
 		return false
 	}
-	late := w.waitedLongEnough(job)
+	late := r.waitedLongEnough(job)
 	if late && allFree(chosen) {
-		w.bindToSlots(job, chosen)
+		r.bindToSlots(job, chosen)
 		return true
 	}
 	for _, slot := range chosen {
-		w.reserveSlot(job, slot, late)
+		r.reserveSlot(job, slot, late)
 	}
 	return len(chosen) == wanted
 }
@@ -49,12 +49,12 @@
 }
 
 // bindToSlots binds tasks of a job to slots that are free.
-func (w *Round) bindToSlots(job *model.JobState, slots []preemptionSlot) {
-	attempt := w.Executor.NextAttempt()
+func (r *Round) bindToSlots(job *model.JobState, slots []preemptionSlot) {
+	attempt := r.Executor.NextAttempt()
 	for _, slot := range slots {
-		w.Executor.Bind(job, job.Waiting[0], slot.target.machine, attempt)
+		r.Executor.Bind(job, job.Waiting[0], slot.target.machine, attempt)
 		if job.Kind != model.Gang {
-			attempt = w.Executor.NextAttempt()
+			attempt = r.Executor.NextAttempt()
 		}
 	}
 }
@@ -62,13 +62,13 @@
 // reserveSlot reserves a slot for a job. Its victims are stopped only when the job is
 // late: until then the resources become free by themselves, as no job that is served
 // later gets them.
-func (w *Round) reserveSlot(job *model.JobState, slot preemptionSlot, late bool) {
+func (r *Round) reserveSlot(job *model.JobState, slot preemptionSlot, late bool) {
 	if late {
 		for _, victim := range slot.victims {
-			w.Executor.Stop(victim, "room for "+job.ID)
+			r.Executor.Stop(victim, "room for "+job.ID)
 		}
 	}
-	w.reserve(job, slot.target, slot.preempted || late && len(slot.victims) > 0)
+	r.reserve(job, slot.target, slot.preempted || late && len(slot.victims) > 0)
 }
 
 // selection is a choice of slots, at most one for each task of a job.
--- a/internal/core/placement/prepare.go
+++ b/internal/core/placement/prepare.go
@@ -11,55 +11,55 @@
 const protectFirstTaskAfter = 150 * model.Second
 
 // prepare sets up the round's own state.
-func (w *Round) prepare() {
-	w.reservedLimit = map[string]model.Resources{}
-	w.tooLarge = map[machineConstraints][]model.Resources{}
-	w.reservedZones = map[string]bool{}
-	w.collectTargets()
-	w.reserveForGPUTasks()
-	if w.Preempting {
-		w.findLowestPriority()
-		w.countPreempted()
-		w.dropReservations()
-		w.findProtectedJobs()
+func (r *Round) prepare() {
+	r.reservedLimit = map[string]model.Resources{}
+	r.tooLarge = map[machineConstraints][]model.Resources{}
+	r.reservedZones = map[string]bool{}
+	r.collectTargets()
+	r.reserveForGPUTasks()
+	if r.Preempting {
+		r.findLowestPriority()
+		r.countPreempted()
+		r.dropReservations()
+		r.findProtectedJobs()
 	}
-	w.bookReservations()
+	r.bookReservations()
 }
 
 // collectTargets collects the machines that take new work.
-func (w *Round) collectTargets() {
-	w.targets = make([]target, 0, len(w.Machines))
-	for _, machine := range w.Machines {
-		if w.AcceptsTasks(machine) {
-			w.targets = append(w.targets, target{machine: machine})
+func (r *Round) collectTargets() {
+	r.targets = make([]target, 0, len(r.Machines))
+	for _, machine := range r.Machines {
+		if r.AcceptsTasks(machine) {
+			r.targets = append(r.targets, target{machine: machine})
 		}
 	}
 }
 
 // findLowestPriority finds the lowest priority of the tasks that may be preempted.
-func (w *Round) findLowestPriority() {
-	w.lowestPriority = model.ProductionPriority
-	for i := range w.targets {
-		for _, binding := range w.targets[i].machine.Bindings {
+func (r *Round) findLowestPriority() {
+	r.lowestPriority = model.ProductionPriority
+	for i := range r.targets {
+		for _, binding := range r.targets[i].machine.Bindings {
 			if binding.Job.Kind != model.Gang {
-				w.lowestPriority = min(w.lowestPriority, binding.Job.Priority)
+				r.lowestPriority = min(r.lowestPriority, binding.Job.Priority)
 			}
 		}
 	}
 }
 
 // countPreempted counts the reservations for which others were preempted.
-func (w *Round) countPreempted() {
-	w.preemptedFor = map[*model.JobState]map[*model.Machine]int{}
-	for job, reservations := range w.Reservations {
+func (r *Round) countPreempted() {
+	r.preemptedFor = map[*model.JobState]map[*model.Machine]int{}
+	for job, reservations := range r.Reservations {
 		for _, reservation := range reservations {
 			if !reservation.Preempted {
 				continue
 			}
-			if w.preemptedFor[job] == nil {
-				w.preemptedFor[job] = map[*model.Machine]int{}
+			if r.preemptedFor[job] == nil {
+				r.preemptedFor[job] = map[*model.Machine]int{}
 			}
-			w.preemptedFor[job][reservation.Machine]++
+			r.preemptedFor[job][reservation.Machine]++
 		}
 	}
 }
@@ -68,23 +68,23 @@
 // for which others were preempted. If these were dropped, too, a job served earlier could
 // take the machines without having enough of them to start; the job that loses them
 // would preempt tasks elsewhere, and so on for the jobs behind it.
-func (w *Round) dropReservations() {
-	for job, reservations := range w.Reservations {
-		reservations = slices.DeleteFunc(reservations, func(r Reservation) bool { return !r.Preempted })
+func (r *Round) dropReservations() {
+	for job, reservations := range r.Reservations {
+		reservations = slices.DeleteFunc(reservations, func(reservation Reservation) bool { return !reservation.Preempted })
 		if len(reservations) == 0 || len(job.Waiting) == 0 || job.FinalStatus != "" {
-			delete(w.Reservations, job)
+			delete(r.Reservations, job)
 		} else {
-			w.Reservations[job] = reservations
+			r.Reservations[job] = reservations
 		}
 	}
 }
 
 // findProtectedJobs finds the jobs whose first task may not be preempted.
-func (w *Round) findProtectedJobs() {
-	w.protectedJobs = map[string]bool{}
-	for _, job := range w.Jobs {
-		if !job.IsKnownToRun() && w.Now-job.ReadySince > protectFirstTaskAfter {
-			w.protectedJobs[job.ID] = true
+func (r *Round) findProtectedJobs() {
+	r.protectedJobs = map[string]bool{}
+	for _, job := range r.Jobs {
+		if !job.IsKnownToRun() && r.Now-job.ReadySince > protectFirstTaskAfter {
+			r.protectedJobs[job.ID] = true
 		}
 	}
 }
--- a/internal/core/placement/reservations.go
+++ b/internal/core/placement/reservations.go
@@ -11,48 +11,48 @@
 }
 
 // bookReservations books the reservations of all jobs on their machines.
-func (w *Round) bookReservations() {
-	for job := range w.Reservations {
-		w.bookReservationsOf(job)
+func (r *Round) bookReservations() {
+	for job := range r.Reservations {
+		r.bookReservationsOf(job)
 	}
 }
 
 // bookReservationsOf books a job's reservations on their machines.
-func (w *Round) bookReservationsOf(job *model.JobState) {
-	for _, reservation := range w.Reservations[job] {
-		if open := w.findTarget(reservation.Machine); open != nil {
-			open.reserved = open.reserved.Plus(reservation.Request)
+func (r *Round) bookReservationsOf(job *model.JobState) {
+	for _, reservation := range r.Reservations[job] {
+		if target := r.findTarget(reservation.Machine); target != nil {
+			target.reserved = target.reserved.Plus(reservation.Request)
 		}
 	}
 }
 
 // unbookReservationsOf makes a job's reservations available.
-func (w *Round) unbookReservationsOf(job *model.JobState) {
-	for _, reservation := range w.Reservations[job] {
-		if open := w.findTarget(reservation.Machine); open != nil {
-			open.reserved = open.reserved.Minus(reservation.Request)
+func (r *Round) unbookReservationsOf(job *model.JobState) {
+	for _, reservation := range r.Reservations[job] {
+		if target := r.findTarget(reservation.Machine); target != nil {
+			target.reserved = target.reserved.Minus(reservation.Request)
 		}
 	}
 }
 
 // findTarget returns what the round knows of a machine, nil if it takes no new work.
-func (w *Round) findTarget(machine *model.Machine) *target {
-	if w.targetOf == nil {
-		w.targetOf = make(map[*model.Machine]*target, len(w.targets))
-		for i := range w.targets {
-			open := &w.targets[i]
-			w.targetOf[open.machine] = open
+func (r *Round) findTarget(machine *model.Machine) *target {
+	if r.targetOf == nil {
+		r.targetOf = make(map[*model.Machine]*target, len(r.targets))
+		for i := range r.targets {
+			target := &r.targets[i]
+			r.targetOf[target.machine] = target
 		}
 	}
-	return w.targetOf[machine]
+	return r.targetOf[machine]
 }
 
 // reserve keeps what one task needs on a machine for a job that waits.
-func (w *Round) reserve(job *model.JobState, open *target, preempted bool) {
-	open.reserved = open.reserved.Plus(job.Request)
-	if w.Reservations != nil {
-		reservation := Reservation{Machine: open.machine, Request: job.Request, Preempted: preempted}
-		w.Reservations[job] = append(w.Reservations[job], reservation)
+func (r *Round) reserve(job *model.JobState, target *target, preempted bool) {
+	target.reserved = target.reserved.Plus(job.Request)
+	if r.Reservations != nil {
+		reservation := Reservation{Machine: target.machine, Request: job.Request, Preempted: preempted}
+		r.Reservations[job] = append(r.Reservations[job], reservation)
 	}
 }
 
@@ -60,19 +60,19 @@
 // gang that found too few. Which of them the gang gets is left to the next preempting
 // round: until then single tasks would take each machine at once, and be preempted soon
 // after.
-func (w *Round) holdFreeResources(gang *model.JobState) {
-	w.holdingGangs++
-	if w.holdingGangs > maxPreemptingJobs {
+func (r *Round) holdFreeResources(gang *model.JobState) {
+	r.holdingGangs++
+	if r.holdingGangs > maxPreemptingJobs {
 		return
 	}
 	left := gang.Tasks
-	for i := range w.targets {
-		open := &w.targets[i]
-		tasks := gang.Request.FitCount(open.free(), left)
-		if tasks == 0 || !w.mayUse(gang, open.machine) {
+	for i := range r.targets {
+		target := &r.targets[i]
+		tasks := gang.Request.FitCount(target.free(), left)
+		if tasks == 0 || !r.mayUse(gang, target.machine) {
 			continue
 		}
-		open.reserved = open.reserved.Plus(gang.Request.Times(tasks))
+		target.reserved = target.reserved.Plus(gang.Request.Times(tasks))
 		left -= tasks
 		if left == 0 {
 			return
@@ -84,8 +84,8 @@
 // served later: otherwise single tasks would take whatever becomes free, and the gang
 // might never start. It tells whether the gang is the first of its team with such a
 // reservation.
-func (w *Round) reserveLimit(gang *model.JobState) (first bool) {
-	reserved, exists := w.reservedLimit[gang.Team]
-	w.reservedLimit[gang.Team] = reserved.Plus(gang.Request.Times(gang.Tasks))
+func (r *Round) reserveLimit(gang *model.JobState) (first bool) {
+	reserved, exists := r.reservedLimit[gang.Team]
+	r.reservedLimit[gang.Team] = reserved.Plus(gang.Request.Times(gang.Tasks))
 	return !exists
 }
--- a/internal/core/placement/team_limit.go
+++ b/internal/core/placement/team_limit.go
@@ -15,42 +15,42 @@
 // tasks of its own team and of lower priority are stopped for it. It does so only for the
 // first gang: the next may not find machines for a long time, and the team's other work
 // would use up the limit again meanwhile.
-func (w *Round) preemptWithinTeam(gang *model.JobState) {
-	if w.Teams[gang.Team] == nil || len(gang.Bindings) > 0 || len(gang.Waiting) != gang.Tasks {
+func (r *Round) preemptWithinTeam(gang *model.JobState) {
+	if r.Teams[gang.Team] == nil || len(gang.Bindings) > 0 || len(gang.Waiting) != gang.Tasks {
 		return
 	}
-	first := w.reserveLimit(gang)
-	if !first || !w.Preempting || !w.waitedLongEnough(gang) {
+	first := r.reserveLimit(gang)
+	if !first || !r.Preempting || !r.waitedLongEnough(gang) {
 		return
 	}
-	for _, victim := range w.limitPreemption(gang).chooseVictims() {
-		w.Executor.Stop(victim, "limit of "+gang.Team+" for "+gang.ID)
+	for _, victim := range r.findLimitPreemption(gang).chooseVictims() {
+		r.Executor.Stop(victim, "limit of "+gang.Team+" for "+gang.ID)
 	}
 }
 
-// limitPreemption finds what of its team's limit a preemption can free for a gang, for which it
+// findLimitPreemption finds what of its team's limit a preemption can free for a gang, for which it
 // is reserved already.
-func (w *Round) limitPreemption(gang *model.JobState) limitPreemption {
-	usage := limitPreemption{left: w.limitLeft(gang.Team)}
-	for _, machine := range w.Machines {
+func (r *Round) findLimitPreemption(gang *model.JobState) limitPreemption {
+	preemption := limitPreemption{left: r.remainingLimit(gang.Team)}
+	for _, machine := range r.Machines {
 		for _, binding := range machine.Bindings {
 			switch {
 			case binding.Job.Team != gang.Team:
 			case binding.Stopping:
-				usage.left = usage.left.Plus(binding.Job.Request)
+				preemption.left = preemption.left.Plus(binding.Job.Request)
 			case binding.Job.Priority < gang.Priority && binding.Job.Kind != model.Gang:
-				usage.victims = append(usage.victims, binding)
+				preemption.victims = append(preemption.victims, binding)
 			}
 		}
 	}
-	w.sortByLoss(usage.victims)
-	return usage
+	r.sortByLoss(preemption.victims)
+	return preemption
 }
 
 // chooseVictims chooses victims until the limit is kept; none if it can't be.
-func (u limitPreemption) chooseVictims() (chosen []*model.Binding) {
-	left := u.left
-	for _, victim := range u.victims {
+func (p limitPreemption) chooseVictims() (chosen []*model.Binding) {
+	left := p.left
+	for _, victim := range p.victims {
 		if withinLimit(left) {
 			break
 		}
--- a/internal/core/placement/victims.go
+++ b/internal/core/placement/victims.go
@@ -26,17 +26,17 @@
 
 // preemptionSlots finds the slots that preemption can give to a job, on the machines that
 // suit.
-func (w *Round) preemptionSlots(job *model.JobState, wanted int, suits machineFilter) (slots []preemptionSlot) {
-	limits := w.constraintsOf(job)
-	for i := range w.targets {
-		open := &w.targets[i]
-		machine := open.machine
-		if !job.Request.Fits(machine.Size) || !w.mayUse(job, machine) || w.fragmentsGPUs(job, machine) || !suits(machine) {
+func (r *Round) preemptionSlots(job *model.JobState, wanted int, suits machineFilter) (slots []preemptionSlot) {
+	constraints := r.constraintsOf(job)
+	for i := range r.targets {
+		target := &r.targets[i]
+		machine := target.machine
+		if !job.Request.Fits(machine.Size) || !r.mayUse(job, machine) || r.fragmentsGPUs(job, machine) || !suits(machine) {
 			continue
 		}
-		w.findVictims(open)
-		search := w.newSlotSearch(job, open, limits, wanted)
-		for range min(wanted, w.Executor.TaskSlots(job.Job, machine)) {
+		r.findVictims(target)
+		search := r.newSlotSearch(job, target, constraints, wanted)
+		for range min(wanted, r.Executor.TaskSlots(job.Job, machine)) {
 			slot, found := search.next()
 			if !found {
 				break
@@ -48,35 +48,35 @@
 }
 
 // findVictims finds out which tasks of a machine may be preempted.
-func (w *Round) findVictims(open *target) {
-	if open.victimsKnown {
+func (r *Round) findVictims(target *target) {
+	if target.victimsKnown {
 		return
 	}
-	open.victimsKnown = true
-	for _, binding := range open.machine.Bindings {
+	target.victimsKnown = true
+	for _, binding := range target.machine.Bindings {
 		if binding.Stopping {
-			open.freedByStops = open.freedByStops.Plus(binding.Job.Request)
-		} else if w.isPreemptible(binding.Job) {
-			open.victims = append(open.victims, binding)
+			target.freedByStops = target.freedByStops.Plus(binding.Job.Request)
+		} else if r.isPreemptible(binding.Job) {
+			target.victims = append(target.victims, binding)
 		}
 	}
-	w.sortByLoss(open.victims)
+	r.sortByLoss(target.victims)
 }
 
 // isPreemptible tells whether tasks of a job may be preempted at all.
-func (w *Round) isPreemptible(job *model.Job) bool {
-	return job.Kind != model.Gang && job.Priority < model.ProductionPriority && !w.protectedJobs[job.ID]
+func (r *Round) isPreemptible(job *model.Job) bool {
+	return job.Kind != model.Gang && job.Priority < model.ProductionPriority && !r.protectedJobs[job.ID]
 }
 
 // slotSearch finds the slots of one machine for a job, one after the other, as long as
 // there are victims.
 type slotSearch struct {
-	world  *Round
+	round  *Round
 	job    *model.JobState
 	target *target
 	wanted int
-	// found is how many slots have been found.
-	found int
+	// foundSlots is how many slots have been found.
+	foundSlots int
 	// freeNow is what is left, beside these slots, without any stop.
 	freeNow model.Resources
 	// freeAfterStops is what is left beside them once their victims are gone.
@@ -92,20 +92,20 @@
 }
 
 // newSlotSearch starts a search on a machine whose victims are known.
-func (w *Round) newSlotSearch(job *model.JobState, open *target, limits machineConstraints, wanted int) *slotSearch {
-	usable := open.free()
+func (r *Round) newSlotSearch(job *model.JobState, target *target, constraints machineConstraints, wanted int) *slotSearch {
+	usable := target.free()
 	if job.Priority < model.HighPriority {
-		usable = open.usable(limits)
+		usable = target.usable(constraints)
 	}
 	return &slotSearch{
-		world:          w,
+		round:          r,
 		job:            job,
-		target:         open,
+		target:         target,
 		wanted:         wanted,
-		freeNow:        open.free(),
-		freeAfterStops: usable.Plus(open.freedByStops),
-		victims:        open.victims,
-		preemptedSlots: w.preemptedFor[job][open.machine],
+		freeNow:        target.free(),
+		freeAfterStops: usable.Plus(target.freedByStops),
+		victims:        target.victims,
+		preemptedSlots: r.preemptedFor[job][target.machine],
 		placementCost:  costUnknown,
 	}
 }
@@ -113,7 +113,7 @@
 // next finds the next slot, if there is another.
 func (s *slotSearch) next() (slot preemptionSlot, found bool) {
 	request := s.job.Request
-	slot = preemptionSlot{target: s.target, index: s.found, free: request.Fits(s.freeNow)}
+	slot = preemptionSlot{target: s.target, index: s.foundSlots, free: request.Fits(s.freeNow)}
 	s.freeNow = s.freeNow.Minus(request)
 	s.addVictims(&slot)
 	if !request.Fits(s.freeAfterStops) {
@@ -126,7 +126,7 @@
 		// more tasks elsewhere, and leave this slot to whichever job comes next.
 		slot.cost, slot.preempted = 0, true
 	}
-	s.found++
+	s.foundSlots++
 	return slot, true
 }
 
@@ -139,7 +139,7 @@
 			continue
 		}
 		s.freeAfterStops = s.freeAfterStops.Plus(victim.Job.Request)
-		slot.cost += s.world.PreemptionLoss(victim)
+		slot.cost += s.round.PreemptionLoss(victim)
 		slot.victims = append(slot.victims, victim)
 	}
 }
@@ -156,7 +156,7 @@
 // machineCost is what the machine itself costs, as core time.
 func (s *slotSearch) machineCost() model.Micros {
 	if s.placementCost == costUnknown {
-		cost := s.world.cost(s.job, s.target, s.wanted)
+		cost := s.round.cost(s.job, s.target, s.wanted)
 		s.placementCost = cost * coreEquivalents(s.job.Request) / placementCostDivisor
 	}
 	return s.placementCost
@@ -165,14 +165,14 @@
 // idleGPUCost is the cost, as core time, of the wanted GPUs that would be idle beside one
 // more slot for all its run, as too few cores are left for them.
 func (s *slotSearch) idleGPUCost() model.Micros {
-	coresPerGPU := s.world.RequestPerGPU.Cores
-	if s.job.Request.GPUs > 0 || s.world.WantedGPUs <= 0 || coresPerGPU <= 0 {
+	coresPerGPU := s.round.RequestPerGPU.Cores
+	if s.job.Request.GPUs > 0 || s.round.WantedGPUs <= 0 || coresPerGPU <= 0 {
 		return 0
 	}
 	s.coresTaken += s.job.Request.Cores
 	size := s.target.machine.Size
 	usableGPUs := (size.Cores - s.coresTaken) * milliPerUnit / coresPerGPU
-	idle := min(s.world.WantedGPUs, size.GPUs-usableGPUs)
+	idle := min(s.round.WantedGPUs, size.GPUs-usableGPUs)
 	more := idle - s.gpusIdled
 	if more <= 0 {
 		return 0
--- a/internal/core/placement/waiting.go
+++ b/internal/core/placement/waiting.go
@@ -18,23 +18,23 @@
 // waitedLongEnough tells that a job has waited as long as it may before others are
 // preempted for it. For work within its team's guarantee, the wait is bounded by the
 // time in which such work is to start.
-func (w *Round) waitedLongEnough(job *model.JobState) bool {
-	maxWait := w.Estimates.MaxWait(job)
+func (r *Round) waitedLongEnough(job *model.JobState) bool {
+	maxWait := r.Estimates.MaxWait(job)
 	if job.CanMeetGuarantee {
-		maxWait = min(maxWait, w.GuaranteeObjective/guaranteeWaitDivisor)
+		maxWait = min(maxWait, r.GuaranteeObjective/guaranteeWaitDivisor)
 	}
-	return w.Now-job.ReadySince+w.StopTime >= maxWait
+	return r.Now-job.ReadySince+r.StopTime >= maxWait
 }
 
 // mustStartNow tells that a job of high priority is late, and its class is to start
 // within a few heartbeats.
-func (w *Round) mustStartNow(job *model.JobState) bool {
-	return job.Priority >= model.HighPriority && w.waitedLongEnough(job) && w.Estimates.MaxWait(job) < promptStartStopTimes*w.StopTime
+func (r *Round) mustStartNow(job *model.JobState) bool {
+	return job.Priority >= model.HighPriority && r.waitedLongEnough(job) && r.Estimates.MaxWait(job) < promptStartStopTimes*r.StopTime
 }
 
 // gangCanWait tells that a gang can still wait for machines that suit it better.
-func (w *Round) gangCanWait(job *model.JobState) bool {
-	return job.Kind == model.Gang && w.Now-job.ReadySince < w.Estimates.MaxWait(job)*gangWaitPercent/100
+func (r *Round) gangCanWait(job *model.JobState) bool {
+	return job.Kind == model.Gang && r.Now-job.ReadySince < r.Estimates.MaxWait(job)*gangWaitPercent/100
 }
 
 // idleSince is since when a job waits with none of its tasks bound: from the start if no
