--- a/internal/core/placement/candidates.go
+++ b/internal/core/placement/candidates.go
@@ -7,35 +7,36 @@
 	"woadweir/internal/core/model"
 )
 
-// An image counts as being on a machine if it is there within this time, or within a
-// small part of the task's run.
+// An image counts as cached on a machine if it is there within imageReadyWithin, or within
+// the estimated run time of the task divided by imageReadyRunDivisor.
 const (
 	imageReadyWithin     = 2 * model.Second
 	imageReadyRunDivisor = 8
 )
 
-// candidate is a machine that a task may go to.
+// candidate is a machine on which a task may be placed.
 type candidate struct {
 	target *target
 	cost   model.Micros
-	// free is what is free there of the resource that matters most to the job.
+	// free is the free amount of the resource that matters most to the job: GPUs if it
+	// requests any, cores otherwise.
 	free model.Milli
 }
 
-// fittingMachines are the machines on which a task fits.
+// fittingMachines are the machines on which a task of a job fits.
 type fittingMachines struct {
 	machines []*target
-	// tasks is how many tasks fit there.
+	// tasks is the number of tasks that fit on these machines.
 	tasks int
-	// anyPreferred tells that a task fits, with or without its image, on a machine of the
-	// kind that suits the job best.
+	// anyPreferred is set if a task fits on a machine of the job's preferred kind, whether
+	// the image is there or not.
 	anyPreferred bool
 }
 
-// candidates are the machines on which a task fits, best first; none if fewer than
+// candidates returns the machines on which a task fits, best first; none if fewer than
 // minTasks fit. With cachedOnly, only machines that have the image, or will have it soon,
-// count. Requests that fit nowhere are remembered: during a round, free resources only
-// shrink, so that nothing larger needs to be tried again.
+// are considered. Requests that fit nowhere are recorded: during a round, free resources
+// only shrink, so that no larger request has to be tried again.
 func (r *Round) candidates(job *model.JobState, minTasks int, cachedOnly bool) []candidate {
 	constraints := r.constraintsOf(job)
 	if cachedOnly {
@@ -46,7 +47,7 @@
 	}
 	fitting := r.findFitting(job, constraints, minTasks, cachedOnly)
 	if cachedOnly && fitting.anyPreferred {
-		// A cached image is no reason to go to the other kind of machine.
+		// A cached image is not worth using a machine of the other kind.
 		fitting.machines = slices.DeleteFunc(fitting.machines, func(target *target) bool { return !isPreferredKind(job, target.machine) })
 	}
 	if len(fitting.machines) == 0 {
@@ -58,13 +59,13 @@
 	return r.rank(job, constraints, fitting.machines)
 }
 
-// isTooLarge tells that a request is known to fit on no machine.
+// isTooLarge reports whether a request is known to fit on no machine.
 func (r *Round) isTooLarge(request model.Resources, constraints machineConstraints) bool {
 	return slices.ContainsFunc(r.tooLarge[constraints], func(tooLarge model.Resources) bool { return tooLarge.Fits(request) })
 }
 
-// findFitting finds the machines on which a task fits, and counts up to maxTasks tasks on
-// each.
+// findFitting finds the machines on which a task fits, and counts the tasks that fit, at
+// most maxTasks on each.
 func (r *Round) findFitting(job *model.JobState, constraints machineConstraints, maxTasks int, cachedOnly bool) (fitting fittingMachines) {
 	maxFetch := max(imageReadyWithin, job.EstimatedRun/imageReadyRunDivisor)
 	for i := range r.targets {
@@ -83,7 +84,7 @@
 	return fitting
 }
 
-// rank sorts machines by cost, then by what is free: the fullest first, so that others
+// rank sorts machines by cost, then by free resources: the fullest first, so that others
 // become empty and can be returned.
 func (r *Round) rank(job *model.JobState, constraints machineConstraints, machines []*target) []candidate {
 	ranked := make([]candidate, len(machines))
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -2,19 +2,19 @@
 
 import "woadweir/internal/core/model"
 
-// startObjectiveWaits is the time in which a job that must start now is to start, in
-// multiples of its longest wait.
+// startObjectiveWaits is the start objective of a job that must start now, in multiples of
+// its maximum wait before preemption.
 const startObjectiveWaits = 4
 
 // assignment is a choice of one machine for each task of a gang.
 type assignment struct {
-	machines []*model.Machine // empty: there is no choice
-	cost     model.Micros     // of the worst machine
+	machines []*model.Machine // empty if there is no complete choice
+	cost     model.Micros     // cost of the most expensive machine
 }
 
-// placeGang binds all tasks or none. As long as tasks of an earlier attempt may still be
-// on a machine, the next attempt has to wait. It tells whether the gang waits for
-// resources that were reserved for it.
+// placeGang binds all tasks of a gang or none. As long as tasks of an earlier attempt may
+// still be on a machine, the next attempt has to wait. It reports whether the gang waits
+// for resources that were reserved for it.
 func (r *Round) placeGang(job *model.JobState) (reserved bool) {
 	if len(job.Bindings) > 0 || len(job.Waiting) != job.Tasks || r.tasksWithinLimit(job, job.Tasks) < job.Tasks {
 		return false
@@ -33,7 +33,7 @@
 	return false
 }
 
-// assign chooses a machine for every task of the gang.
+// assign chooses a machine for each task of a gang.
 func (r *Round) assign(job *model.JobState, candidates []candidate) assignment {
 	if !job.SameZone {
 		return r.chooseMachines(job, candidates)
@@ -51,8 +51,8 @@
 	return best
 }
 
-// groupByZone splits candidates by zone. Zones and candidates stay in order: the zone of
-// the best candidate is first.
+// groupByZone groups candidates by zone. Zones and candidates keep their order: the zone of
+// the best candidate comes first.
 func groupByZone(candidates []candidate) (zones [][]candidate) {
 	indexes := map[string]int{}
 	for _, candidate := range candidates {
@@ -68,7 +68,7 @@
 	return zones
 }
 
-// chooseMachines assigns the tasks of a gang to the first of the candidates.
+// chooseMachines assigns the tasks of a gang to the first candidates that have room.
 func (r *Round) chooseMachines(job *model.JobState, candidates []candidate) assignment {
 	constraints := r.constraintsOf(job)
 	var chosen assignment
@@ -91,9 +91,9 @@
 	return assignment{}
 }
 
-// fetchMissesStartObjective tells that fetching the image would make a late job of high priority
-// miss its class's start aim, so that preempting others on machines that have the image
-// is quicker.
+// fetchMissesStartObjective reports whether fetching the image would make a late job of
+// high priority miss the start objective of its class, so that preempting other jobs on
+// machines that have the image is faster.
 func (r *Round) fetchMissesStartObjective(job *model.JobState, machines []*model.Machine) bool {
 	if !r.mustStartNow(job) {
 		return false
--- a/internal/core/placement/loss.go
+++ b/internal/core/placement/loss.go
@@ -7,15 +7,15 @@
 	"woadweir/internal/core/model"
 )
 
-// coresPerGPU is how many cores a GPU is worth when work is compared.
+// coresPerGPU is the worth of a GPU in cores when work is compared.
 const coresPerGPU = 10
 
-// coreEquivalents is what resources are worth, in cores.
+// coreEquivalents returns the worth of resources in cores.
 func coreEquivalents(resources model.Resources) model.Micros {
 	return model.Micros(resources.Cores+coresPerGPU*resources.GPUs) / milliPerUnit
 }
 
-// sortByLoss sorts tasks by the work that is lost when they are stopped, least first.
+// sortByLoss sorts tasks by the work that is lost if they are stopped, least first.
 func (r *Round) sortByLoss(bindings []*model.Binding) {
 	slices.SortFunc(bindings, func(a, b *model.Binding) int {
 		return cmp.Or(
@@ -24,9 +24,9 @@
 	})
 }
 
-// PreemptionLoss is the work that is lost when a task is stopped, as core time. For a
-// task that waits for its image it is the fetch: if that counted nothing, tasks with
-// long fetches would be preempted again and again and never run.
+// PreemptionLoss returns the work that is lost if a task is stopped, as core time. For a
+// task that waits for its image, it is the time spent on the fetch: if that did not count,
+// tasks with long fetches would be preempted repeatedly and never run.
 func (r *Round) PreemptionLoss(binding *model.Binding) model.Micros {
 	value := coreEquivalents(binding.Job.Request)
 	switch {
--- a/internal/core/placement/machines.go
+++ b/internal/core/placement/machines.go
@@ -8,26 +8,26 @@
 	"woadweir/internal/core/model"
 )
 
-// milliPerUnit is how many thousandths make a whole: model.Milli counts thousandths.
+// milliPerUnit converts whole units to model.Milli, which counts thousandths.
 const milliPerUnit = 1000
 
-// target is a machine that takes new work, with what a round knows of it.
+// target is a machine that accepts new tasks, with the state that a round keeps of it.
 type target struct {
 	machine    *model.Machine
-	reserved   model.Resources // for jobs served earlier
-	gpuReserve model.Resources // for GPU tasks: free GPUs and what a task takes beside them
+	reserved   model.Resources // reserved for jobs served earlier
+	gpuReserve model.Resources // reserved for GPU tasks: free GPUs and what such tasks take beside them
 
 	victimsKnown bool             // the fields below are set
 	victims      []*model.Binding // tasks that may be preempted, least loss first
-	freedByStops model.Resources  // what tasks that are being stopped will free
+	freedByStops model.Resources  // resources of the tasks that are being stopped
 }
 
-// free is what neither tasks nor reservations take.
+// free returns the resources that neither bound tasks nor reservations take.
 func (t *target) free() model.Resources { return t.machine.Free().Minus(t.reserved) }
 
-// usable is what a job may use of a machine: a task without GPUs leaves what GPU
-// tasks need beside the GPUs that are wanted, unless it can't wait for others to
-// be preempted.
+// usable returns the resources that a job with these constraints may use. Tasks without
+// GPUs leave what GPU tasks need beside the GPUs that are wanted, unless they can't wait
+// until others have been preempted.
 func (t *target) usable(constraints machineConstraints) model.Resources {
 	if constraints.needsGPUs || constraints.mustStartNow {
 		return t.free()
@@ -35,7 +35,8 @@
 	return t.free().Minus(t.gpuReserve)
 }
 
-// machineConstraints is what decides, beside its request, which machines a job may use.
+// machineConstraints are the properties of a job, beside its request, that determine which
+// machines it may use.
 type machineConstraints struct {
 	machineTypes   string
 	zone           string
@@ -45,10 +46,10 @@
 	canWait        bool
 	lateIfTaskLost bool
 	mayUseSurplus  bool
-	image          string // if only machines that have it will do
+	image          string // set if only machines that have this image may be used
 }
 
-// constraintsOf are the constraints of a job that may use machines without its image.
+// constraintsOf returns the constraints of a job that may use machines without its image.
 func (r *Round) constraintsOf(job *model.JobState) machineConstraints {
 	return machineConstraints{
 		machineTypes:   strings.Join(job.MachineTypes, " "),
@@ -62,17 +63,17 @@
 	}
 }
 
-// AcceptsTasks tells whether the machine takes new work now. A machine that does not receive
-// answers gets none: the work would never be started there, and its heartbeats may be
-// old copies that don't show its present state.
+// AcceptsTasks reports whether tasks may be placed on the machine now. A machine that does
+// not receive responses accepts none: the tasks would never be started there, and its
+// heartbeats may be old copies that don't show its current state.
 func (r *Round) AcceptsTasks(machine *model.Machine) bool {
 	reachable := machine.Up && machine.ReceivesAnswers && !machine.Lost && r.Now-machine.LastHeartbeat < r.HeartbeatTimeout
 	leaving := machine.Draining || machine.Deleting || machine.SpotNotice
 	return reachable && !leaving && !machine.Quarantined && !machine.Failed
 }
 
-// ZoneRoom tells how many more tasks of the job the rules on zones let into the
-// zone, given every task of it that is still bound anywhere.
+// ZoneRoom returns how many more tasks of the job its SameZone and Spread rules allow in
+// the zone, given all of its tasks that are still bound anywhere.
 func ZoneRoom(job *model.JobState, zone string) int {
 	if !job.SameZone && !job.Spread {
 		return job.Tasks
@@ -90,7 +91,7 @@
 	return max(0, job.MaxPerZone()-inZone)
 }
 
-// tasksWithinLimit is how many more tasks of the job its team's limit allows, at most
+// tasksWithinLimit returns how many more tasks of the job its team's limit allows, at most
 // maxTasks.
 func (r *Round) tasksWithinLimit(job *model.JobState, maxTasks int) int {
 	if r.Teams[job.Team] == nil {
@@ -101,13 +102,14 @@
 	return request.FitCount(r.remainingLimit(job.Team), maxTasks)
 }
 
-// remainingLimit is what bound tasks and reservations leave of a known team's limit.
+// remainingLimit returns what bound tasks and reservations leave of the limit of a team.
+// The team has to be known.
 func (r *Round) remainingLimit(team string) model.Resources {
 	return r.Teams[team].Limit.Minus(r.Used[team]).Minus(r.reservedLimit[team])
 }
 
-// reserveForGPUTasks reserves free GPUs that are wanted, on the machines that suit GPU
-// tasks best, with what such a task takes beside each GPU.
+// reserveForGPUTasks reserves the free GPUs that are wanted, on the machines that are best
+// for GPU tasks, together with what such tasks take beside each GPU.
 func (r *Round) reserveForGPUTasks() {
 	left := r.WantedGPUs
 	for _, target := range r.machinesWithFreeGPUs() {
@@ -120,8 +122,8 @@
 	}
 }
 
-// machinesWithFreeGPUs are the machines with free GPUs, spot machines first, then those
-// with the fewest free GPUs.
+// machinesWithFreeGPUs returns the machines with free GPUs: spot machines first, and of
+// each kind those with the fewest free GPUs first.
 func (r *Round) machinesWithFreeGPUs() []*target {
 	var machines []*target
 	for i := range r.targets {
@@ -139,8 +141,8 @@
 	return machines
 }
 
-// requestForGPUs is what tasks with so many GPUs take of a machine, but no more than the
-// machine's share for these GPUs.
+// requestForGPUs returns the resources that tasks with the given GPUs take on average, but
+// no more than the machine has per GPU.
 func (r *Round) requestForGPUs(machine *model.Machine, gpus model.Milli) model.Resources {
 	size := machine.Size
 	coresPerGPU := min(r.RequestPerGPU.Cores, size.Cores*milliPerUnit/size.GPUs)
@@ -152,18 +154,19 @@
 	}
 }
 
-// surplusAllowedAfter is how long a job waits until surplus machines take it all the same:
-// machines that were rented for it may be slow to boot, and no job may wait for 90 s
-// beside a machine that has room.
+// surplusAllowedAfter is the wait after which a job may use surplus machines after all:
+// machines that were rented for it may be slow to boot, and no job may wait for 90 s while
+// a machine has room for it.
 const surplusAllowedAfter = 45 * model.Second
 
-// mayUseSurplus tells whether a job has waited long enough to use surplus machines.
+// mayUseSurplus reports whether a job has waited long enough to use surplus machines.
 func (r *Round) mayUseSurplus(job *model.JobState) bool {
 	return r.Now-idleSince(job) >= surplusAllowedAfter
 }
 
-// mayUse tells whether a job's tasks may go to a machine. A surplus machine takes no
-// work that may use spot machines, unless that has waited for long.
+// mayUse reports whether a job's tasks may be placed on a machine. Jobs that may use spot
+// machines are not placed on a surplus machine unless they have waited for
+// surplusAllowedAfter.
 func (r *Round) mayUse(job *model.JobState, machine *model.Machine) bool {
 	if !job.Allows(machine.MachineType, machine.Zone, machine.Spot) {
 		return false
--- a/internal/core/placement/next_free.go
+++ b/internal/core/placement/next_free.go
@@ -8,16 +8,17 @@
 	"woadweir/internal/core/model"
 )
 
-// futureSlot is where a task will fit, once tasks that run there now have ended.
+// futureSlot is room for a task on a machine, available once tasks that run there now have
+// ended.
 type futureSlot struct {
 	target        *target
-	timeUntilFree model.Micros // expected time until then
+	timeUntilFree model.Micros // expected
 }
 
-// reserveNextFree reserves machines that come free by themselves, for a gang that can't
-// preempt others: otherwise work of its own priority would take each of them as soon as
-// it is free, and the gang might never start. It chooses the machines that are expected
-// to be free first, and serves one gang in a zone, so that other work goes on there.
+// reserveNextFree reserves the machines that are expected to be free first, for a gang that
+// can't preempt others. Otherwise, work of the same priority would take each machine as
+// soon as it is free, and the gang might never start. It serves one gang per zone, so that
+// other work can still start there.
 func (r *Round) reserveNextFree(gang *model.JobState) {
 	if len(gang.Bindings) > 0 || !gang.Starved && !r.waitedLongEnough(gang) {
 		return
@@ -32,7 +33,7 @@
 	}
 }
 
-// futureSlotsByZone finds where and when tasks of a gang will fit.
+// futureSlotsByZone finds out on which machines and when tasks of a gang will fit.
 func (r *Round) futureSlotsByZone(gang *model.JobState) map[string][]futureSlot {
 	byZone := map[string][]futureSlot{}
 	for i := range r.targets {
@@ -49,8 +50,8 @@
 	return byZone
 }
 
-// futureSlots finds when one task of a gang after another will fit on a machine, as the
-// tasks that run there now end.
+// futureSlots finds out when a first, second and further task of a gang will fit on a
+// machine, as the tasks that run there now end.
 func (r *Round) futureSlots(gang *model.JobState, target *target) (slots []futureSlot) {
 	running := r.bindingsByEnd(target.machine)
 	free := target.free()
@@ -70,8 +71,8 @@
 	return slots
 }
 
-// bindingsByEnd are the tasks bound to a machine, in the order in which they are expected
-// to end.
+// bindingsByEnd returns the tasks bound to a machine, in the order in which they are
+// expected to end.
 func (r *Round) bindingsByEnd(machine *model.Machine) []*model.Binding {
 	bindings := slices.Collect(maps.Values(machine.Bindings))
 	slices.SortFunc(bindings, func(a, b *model.Binding) int {
@@ -82,8 +83,8 @@
 	return bindings
 }
 
-// chooseFutureSlots chooses a slot for each task of a gang, the first to be free, as the
-// gang's rules on zones allow. It returns fewer if there are not enough.
+// chooseFutureSlots chooses the slots that are free first, one for each task of a gang, as
+// its SameZone and Spread rules allow. It returns fewer if there are not enough.
 func chooseFutureSlots(gang *model.JobState, byZone map[string][]futureSlot) []futureSlot {
 	switch {
 	case gang.SameZone && gang.MaxPerZone() == gang.Tasks:
@@ -94,7 +95,7 @@
 	return firstFree(byZone, gang.Tasks)
 }
 
-// firstFreeZone chooses the slots of the zone that has enough of them first.
+// firstFreeZone chooses the slots of the zone that is the first to have enough of them.
 func firstFreeZone(byZone map[string][]futureSlot, tasks int) (chosen []futureSlot) {
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		slots := byZone[zone]
@@ -109,7 +110,7 @@
 	return chosen
 }
 
-// firstFreeSpread chooses at most maxPerZone slots of each zone.
+// firstFreeSpread chooses the first slots of each zone, at most maxPerZone per zone.
 func firstFreeSpread(byZone map[string][]futureSlot, tasks, maxPerZone int) (chosen []futureSlot) {
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		slots := byZone[zone]
@@ -129,7 +130,8 @@
 	return chosen[:min(len(chosen), tasks)]
 }
 
-// sortByTimeUntilFree sorts slots by when they are free. Slots of a machine stay in order.
+// sortByTimeUntilFree sorts slots by the time until they are free. Slots of a machine stay
+// in order.
 func sortByTimeUntilFree(slots []futureSlot) {
 	slices.SortStableFunc(slots, func(a, b futureSlot) int { return cmp.Compare(a.timeUntilFree, b.timeUntilFree) })
 }
--- a/internal/core/placement/next_free_test.go
+++ b/internal/core/placement/next_free_test.go
@@ -7,8 +7,8 @@
 	"woadweir/internal/core/model"
 )
 
-// A gang gets the slots that are free first, within its rules on zones; too few if there
-// are not enough.
+// A gang gets the slots that are free first, as its SameZone and Spread rules allow, and
+// fewer than it needs if there are not enough.
 func TestChooseFutureSlots(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -34,12 +34,12 @@
 			got = append(got, slot.target.machine.ID)
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: %d tasks get %v, want %v", c.name, c.tasks, got, c.want)
+			t.Errorf("%s: %d tasks get slots on %v, want %v", c.name, c.tasks, got, c.want)
 		}
 	}
 }
 
-// testSlot is a slot on a machine that is free after some seconds.
+// testSlot returns a slot on a machine that is free after some seconds.
 func testSlot(machine string, seconds model.Micros) futureSlot {
 	return futureSlot{target: &target{machine: &model.Machine{ID: machine}}, timeUntilFree: seconds * model.Second}
 }
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -7,14 +7,14 @@
 	"woadweir/internal/core/model"
 )
 
-// LateDueAt is the least DueAt of jobs that can't be in time any more.
+// LateDueAt is the smallest DueAt of jobs that can't meet an objective any more.
 const LateDueAt = model.Micros(1) << 60
 
-// canBeInTime tells that a job can still meet an aim.
+// canBeInTime reports whether a job can still meet an objective.
 func canBeInTime(job *model.JobState) bool { return job.DueAt < LateDueAt }
 
-// Sort puts jobs into the order in which they are served, as compareJobs has it, after
-// finding out what that depends on.
+// Sort sorts the jobs into the order in which they are served (see compareJobs), after
+// computing the fields that the order depends on.
 func (r *Round) Sort() {
 	slices.SortFunc(r.Jobs, func(a, b *model.JobState) int { return cmp.Compare(a.AcceptedRevision, b.AcceptedRevision) })
 	r.markGuaranteed()
@@ -26,13 +26,14 @@
 	slices.SortStableFunc(r.Jobs, compareJobs)
 }
 
-// compareJobs orders jobs by these criteria, each deciding where those before it don't:
+// compareJobs orders jobs by these criteria, each applied if the ones before it are equal:
 // starved jobs first; priority; jobs for which others have been preempted; jobs that can
-// still be in time; jobs within their team's guarantee; DueAt.
+// still meet an objective; jobs within their team's guarantee; DueAt.
 //
-// If jobs that preempted did not go before their equals, another job would take what
-// they freed, and still more tasks would be preempted. Starved jobs of a priority go by
-// age alone: if those that can still be in time went first, the oldest might never start.
+// If jobs that preempted others did not come first among jobs of their priority, another
+// job would take what they freed, and even more tasks would be preempted. Starved jobs of
+// the same priority are ordered by age alone: if those that can still meet an objective
+// came first, the oldest might never start.
 func compareJobs(a, b *model.JobState) int {
 	if a.Starved && b.Starved {
 		return cmp.Or(
@@ -49,7 +50,7 @@
 		cmp.Compare(a.DueAt, b.DueAt))
 }
 
-// trueFirst compares two flags: true comes before false.
+// trueFirst compares two booleans, with true before false.
 func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -60,23 +61,23 @@
 	return 1
 }
 
-// Even the largest jobs are to start within four minutes. So a job that has not started
-// within startWithin is starved; and also one that would not, at the rate at which tasks
-// of its class start, if it waited any longer for those ahead of it. Whatever the rate,
-// no job is starved before minStarvationAge.
+// Even the largest jobs are to start within four minutes. So a job is starved if it has not
+// started within startWithin, or if it would not if it waited any longer, given the tasks
+// ahead of it and the rate at which tasks of its class start. Whatever the rate, no job is
+// starved before minStarvationAge.
 const (
 	startWithin      = 185 * model.Second
 	minStarvationAge = 60 * model.Second
 )
 
-// minStartRate is the least rate, in tasks a second, that is assumed of a class.
+// minStartRate is the minimum start rate that is assumed of a class, in tasks per second.
 const minStartRate = 0.001
 
-// markStarved finds the jobs that have had no task bound for so long that they have to
-// go first, whatever their priority. Without this, gangs for which single tasks leave no
-// machines, and jobs that can't be in time any more, might never start. If it found jobs
-// sooner, all jobs of a busy class would be late, one after the other. The jobs must be
-// in order of age.
+// markStarved finds the jobs that have had no task bound for so long that they have to be
+// served first, whatever their priority. Without it, gangs to which single tasks leave no
+// machines, and jobs that can't meet an objective any more, might never start. If jobs
+// became starved sooner, all jobs of a busy class would be late, one after the other. The
+// jobs must be in order of age.
 func (r *Round) markStarved() {
 	starvedUntil := r.starvedUntil()
 	for _, job := range r.Jobs {
@@ -85,10 +86,10 @@
 	}
 }
 
-// starvedUntil is, by class, since when the youngest starved job is idle. All that are
-// idle for longer are starved, too.
+// starvedUntil returns, by class, since when the youngest starved job has been idle. All
+// jobs of the class that have been idle for longer are starved, too.
 func (r *Round) starvedUntil() map[string]model.Micros {
-	tasksAhead := map[string]float64{} // by class, tasks that have to start first, the job's own included
+	tasksAhead := map[string]float64{} // by class: tasks that have to start first, those of the job included
 	until := map[string]model.Micros{}
 	for _, job := range r.Jobs {
 		if !isIdle(job) {
@@ -102,8 +103,8 @@
 	return until
 }
 
-// startsTooLate tells that a job has not started in time, or would not with so many tasks
-// ahead of it.
+// startsTooLate reports whether a job has not started within startWithin, or would not with
+// the given number of tasks ahead of it.
 func (r *Round) startsTooLate(job *model.JobState, tasksAhead float64) bool {
 	age := r.Now - idleSince(job)
 	if age <= minStarvationAge {
@@ -113,12 +114,12 @@
 	return age > startWithin || expected > startWithin.Seconds()
 }
 
-// isIdle tells that a job waits and has no task bound.
+// isIdle reports whether a job has waiting tasks and no bound one.
 func isIdle(job *model.JobState) bool {
 	return len(job.Bindings) == 0 && len(job.Waiting) > 0 && job.FinalStatus == ""
 }
 
-// tasksToStart is how many tasks have to start so that a job counts as started.
+// tasksToStart returns how many tasks have to start for a job to count as started.
 func tasksToStart(job *model.JobState) float64 {
 	if job.Kind == model.Gang {
 		return float64(job.Tasks)
@@ -126,9 +127,9 @@
 	return 1
 }
 
-// markGuaranteed finds the jobs that are within their team's guarantee. If guaranteed
-// work is to start within some time, jobs are counted one by one. Otherwise all jobs of a
-// team are alike: those of a team that uses less than its guarantee are within it.
+// markGuaranteed finds the jobs that are within their team's guarantee. If there is a
+// guarantee objective, jobs are counted one by one. Otherwise all jobs of a team are
+// treated alike: they are within the guarantee if the team uses less than its guarantee.
 func (r *Round) markGuaranteed() {
 	if r.GuaranteeObjective != 0 {
 		r.markGuaranteedByJob()
--- a/internal/core/placement/order_test.go
+++ b/internal/core/placement/order_test.go
@@ -6,9 +6,9 @@
 	"woadweir/internal/core/model"
 )
 
-// If guaranteed work is to start within some time, jobs count against their team's
-// guarantee one by one, the oldest first, and only for that time.
-func TestGuaranteeCountsJobByJob(t *testing.T) {
+// With a guarantee objective, jobs count against their team's guarantee one by one, the
+// oldest first, and can meet the objective only for that time.
+func TestGuaranteeCountsJobsOneByOne(t *testing.T) {
 	const guarantee = 60 * model.Second
 	job := func(team string, tasks int, readySince model.Micros) *model.JobState {
 		return &model.JobState{Job: &model.Job{Team: team, Tasks: tasks, Request: model.Resources{Cores: 1000}}, ReadySince: readySince}
@@ -41,7 +41,8 @@
 		{name: "an unknown team's", job: unknown},
 	} {
 		if c.job.WithinGuarantee != c.within || c.job.CanMeetGuarantee != c.inTime {
-			t.Errorf("%s: within the guarantee: %v, in time: %v", c.name, c.job.WithinGuarantee, c.job.CanMeetGuarantee)
+			t.Errorf("%s: within the guarantee: %v, want %v; can meet the objective: %v, want %v",
+				c.name, c.job.WithinGuarantee, c.within, c.job.CanMeetGuarantee, c.inTime)
 		}
 	}
 }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,64 +1,66 @@
-// Package placement decides which waiting task goes to which machine, and which
-// running tasks are preempted for others.
+// Package placement decides on which machine each waiting task is placed, and which running
+// tasks are preempted for others.
 //
-// It works in rounds: World.Round sorts the waiting jobs (order.go), looks at the
-// machines (prepare.go, machines.go), and then serves one job after the other. Tasks go
-// to the machines that cost least (candidates.go, cost.go); a gang gets all its machines
-// or none (gang.go). A preempting round also frees machines for jobs that found none
-// (preempt.go, victims.go) and keeps them reserved until the job starts (reservations.go,
-// nextfree.go).
+// It works in rounds: Round.Run sorts the waiting jobs (order.go), collects the machines
+// that accept tasks (prepare.go, machines.go), and then serves one job after the other.
+// Tasks are placed on the machines with the lowest cost (candidates.go, cost.go); a gang
+// gets all its machines or none (gang.go). A preempting round also frees machines for jobs
+// that found none (preempt.go, victims.go) and reserves them until the job starts
+// (reservations.go, next_free.go).
 //
-// The package only decides. Making a decision durable and carrying it out is left to
-// the caller, by way of the interface Executor.
+// The package only makes decisions. The caller makes them durable and carries them out, by
+// implementing the interface Executor.
 package placement
 
 import "woadweir/internal/core/model"
 
-// Estimator gives a round the estimates on which its decisions rest.
+// Estimator provides the estimates on which the decisions of a round are based.
 type Estimator interface {
-	// DueAt is by when a job is to be done to be in time. For a job that can't be in time
-	// any more, or needn't be, it is Late or greater.
+	// DueAt returns the time by which a job has to be done to meet its objectives. For a
+	// job that can't meet them any more, or has none, it is LateDueAt or greater.
 	DueAt(job *model.JobState) model.Micros
-	// MaxWait is how long a job may wait before work of lower priority is preempted for it.
+	// MaxWait returns how long a job may wait before work of lower priority is preempted
+	// for it.
 	MaxWait(job *model.JobState) model.Micros
-	// StartRate is how many tasks of a class start in a second, as estimated from those
-	// that run.
+	// StartRate returns how many tasks of a class start per second, as estimated from the
+	// running tasks.
 	StartRate(class string) float64
-	// Remaining is how long a bound task is expected to stay on its machine.
+	// Remaining returns how long a bound task is expected to stay on its machine.
 	Remaining(binding *model.Binding) model.Micros
 }
 
 // Executor carries out the decisions of a round.
 type Executor interface {
-	// TaskSlots is how many more tasks of a job may be bound to a machine, whatever
-	// resources are free there.
+	// TaskSlots returns how many more tasks of a job may be bound to a machine, regardless
+	// of the free resources.
 	TaskSlots(job *model.Job, machine *model.Machine) int
-	// NextAttempt returns an attempt number that no task has carried before.
+	// NextAttempt returns an attempt number that has not been used for any task.
 	NextAttempt() uint64
-	// Bind binds a waiting task to a machine. It has to book the task's resources at
-	// once, so that the next decision sees what is left.
+	// Bind binds a waiting task to a machine. It has to book the task's resources
+	// immediately, so that the next decision is based on what is left.
 	Bind(job *model.JobState, task int, machine *model.Machine, attempt uint64)
 	// Stop asks for a bound task to be stopped, to free its resources.
 	Stop(binding *model.Binding, reason string)
 }
 
-// Round is what a placement round works on. It serves for one round.
+// Round holds the input and the state of one placement round. It must not be reused.
 type Round struct {
 	// Now is the time of the round.
 	Now model.Micros
-	// HeartbeatTimeout is the silence after which a machine gets no new work.
+	// HeartbeatTimeout is the time since its last heartbeat after which a machine gets no
+	// new work.
 	HeartbeatTimeout model.Micros
-	// StopTime is about how long it takes until a stopped task's resources are free.
+	// StopTime is the approximate time until the resources of a stopped task are free.
 	StopTime model.Micros
-	// GuaranteeObjective is the time within which jobs within their team's guarantee are to start;
-	// 0 if these jobs are not counted one by one.
+	// GuaranteeObjective is the time within which jobs within their team's guarantee are to
+	// start; 0 if these jobs are not counted one by one.
 	GuaranteeObjective model.Micros
 
 	Machines     []*model.Machine
 	MachineTypes map[string]*model.MachineType
 	Jobs         []*model.JobState
 	Teams        map[string]*model.Team
-	// Used is what all bound tasks of a team take.
+	// Used are the resources that the bound tasks of a team take, by team.
 	Used map[string]model.Resources
 	// RequestPerGPU is what a GPU task takes beside each of its GPUs, on average.
 	RequestPerGPU model.Resources
@@ -68,43 +70,44 @@
 	Estimates Estimator
 	Executor  Executor
 
-	// Preempting has the round also look for work to be stopped, which takes longer than
+	// Preempting makes the round also search for tasks to preempt, which takes longer than
 	// placing alone.
 	Preempting bool
-	// Reservations are the resources kept for jobs that still wait. A preempting round
-	// makes them anew; the rounds until the next one respect them.
+	// Reservations are the resources reserved for waiting jobs. A preempting round renews
+	// them; the rounds until the next preempting one respect them.
 	Reservations map[*model.JobState][]Reservation
 
-	// The rest is the round's own.
+	// The following fields are internal to the round.
 
-	// targets are the machines that take new work.
+	// targets are the machines that accept new tasks.
 	targets []target
-	// targetOf indexes openMachines; it is made when first needed.
+	// targetOf indexes targets by machine; it is built on first use.
 	targetOf map[*model.Machine]*target
-	// tooLarge holds, by constraints, requests that no machine has room for.
+	// tooLarge holds, by constraints, the requests that fit on no machine.
 	tooLarge map[machineConstraints][]model.Resources
-	// reservedLimit is what is kept, of a team's limit, for gangs served earlier.
+	// reservedLimit holds, by team, the part of the limit that is reserved for gangs served
+	// earlier.
 	reservedLimit map[string]model.Resources
-	// reservedZones are the zones where machines that come free are reserved for a gang.
+	// reservedZones are the zones in which machines that come free are reserved for a gang.
 	reservedZones map[string]bool
 	// lowestPriority is the lowest priority of the tasks that may be preempted.
 	lowestPriority model.Priority
-	// preemptedFor counts, by job and machine, the tasks' places for which others were
-	// stopped in the last preempting round.
+	// preemptedFor counts, by job and machine, the reservations of the last preempting round
+	// for which tasks of others were stopped.
 	preemptedFor map[*model.JobState]map[*model.Machine]int
-	// protectedJobs are jobs whose first task may not be preempted.
+	// protectedJobs are the jobs whose first task may not be preempted.
 	protectedJobs map[string]bool
 	// holdingGangs counts the gangs for which free resources were held back.
 	holdingGangs int
-	// preemptingJobs counts the jobs that looked for work to be stopped.
+	// preemptingJobs counts the jobs that searched for tasks to preempt.
 	preemptingJobs int
 }
 
-// maxPreemptingJobs bounds the jobs of a round that look for work to be stopped: the
-// first in order. The turn of the others comes when those are served.
+// maxPreemptingJobs is the maximum number of jobs per round that search for tasks to
+// preempt: the first in order. The others follow once those have been served.
 const maxPreemptingJobs = 24
 
-// Run places what can be placed and passes each decision to the Executor.
+// Run places the tasks that can be placed, and passes each decision to the Executor.
 func (r *Round) Run() {
 	r.Sort()
 	r.prepare()
@@ -118,14 +121,14 @@
 	}
 }
 
-// samePrecedence tells whether neither job has to be served before the other.
+// samePrecedence reports whether neither job has to be served before the other.
 func samePrecedence(a, b *model.JobState) bool {
 	return a.Priority == b.Priority && a.Starved == b.Starved && canBeInTime(a) == canBeInTime(b)
 }
 
-// placeSamePrecedence serves jobs of equal standing. Tasks whose image is on a machine go
-// first: when GPUs come free one at a time, each would otherwise go to the next task in
-// order, and spend as long on fetching its image as on running it.
+// placeSamePrecedence serves jobs of the same precedence. Tasks whose image is on a machine
+// are placed first: when GPUs come free one at a time, each would otherwise go to the next
+// task in order, and spend as much time on fetching the image as on running the task.
 func (r *Round) placeSamePrecedence(jobs []*model.JobState) {
 	if r.mayReorder(jobs) {
 		for _, job := range jobs {
@@ -141,8 +144,8 @@
 	}
 }
 
-// mayReorder tells whether jobs of equal standing may be served out of order: none of
-// them is starved or a waiting gang.
+// mayReorder reports whether jobs of the same precedence may be served out of order: none
+// of them is starved or a waiting gang.
 func (r *Round) mayReorder(jobs []*model.JobState) bool {
 	if jobs[0].Starved {
 		return false
@@ -155,13 +158,14 @@
 	return true
 }
 
-// isWaiting tells whether a job has tasks that may be placed now.
+// isWaiting reports whether a job has tasks that may be placed now.
 func (r *Round) isWaiting(job *model.JobState) bool {
 	return job.FinalStatus == "" && !job.EndPending && len(job.Waiting) > 0 && r.Now >= job.NotBefore
 }
 
-// placeJob places what it can of one job, on resources reserved for it and others. What
-// it does not use stays reserved, except in a preempting round, which decides anew.
+// placeJob places the tasks of a job that it can, on resources reserved for the job and on
+// others. Reserved resources that are not used stay reserved, except in a preempting round,
+// which decides anew.
 func (r *Round) placeJob(job *model.JobState) {
 	if len(r.Reservations[job]) == 0 {
 		r.placeOrReserve(job)
@@ -181,8 +185,8 @@
 	r.bookReservationsOf(job)
 }
 
-// placeOrReserve places what it can of one job, and reserves or frees resources for the
-// rest.
+// placeOrReserve places the tasks of a job that it can, and reserves or frees resources for
+// the others.
 func (r *Round) placeOrReserve(job *model.JobState) {
 	if job.Kind == model.Gang && r.tasksWithinLimit(job, job.Tasks) < job.Tasks {
 		r.preemptWithinTeam(job)
@@ -204,9 +208,9 @@
 }
 
 // reserveFirstGangLimit reserves part of the team's limit for a gang that waits for
-// machines, if no other gang of the team has such a reservation. With none at all, the
-// team's other work would use up the limit meanwhile, and be preempted for the gang
-// again; with one for every gang, nothing would be left of the limit.
+// machines, if no other gang of the team has such a reservation. Without any reservation,
+// the team's other work would use up the limit in the meantime, and be preempted for the
+// gang again; with one for every gang, nothing would be left of the limit.
 func (r *Round) reserveFirstGangLimit(gang *model.JobState) {
 	_, exists := r.reservedLimit[gang.Team]
 	if !exists && len(gang.Waiting) > 0 && len(gang.Bindings) == 0 {
@@ -214,8 +218,8 @@
 	}
 }
 
-// freeResources has others preempted for a job that found no machines. For a gang that
-// can't preempt, it reserves the machines that come free next.
+// freeResources preempts others for a job that found no machines. For a gang that can't
+// preempt, it reserves the machines that come free next.
 func (r *Round) freeResources(job *model.JobState) {
 	reserved := false
 	if r.mayPreempt(job) {
@@ -227,8 +231,8 @@
 	}
 }
 
-// mayPreempt tells whether there may be tasks that a job can preempt, and the round has
-// not looked for such tasks too often yet.
+// mayPreempt reports whether there may be tasks that a job can preempt, and the round has
+// not reached maxPreemptingJobs.
 func (r *Round) mayPreempt(job *model.JobState) bool {
 	if r.preemptingJobs >= maxPreemptingJobs {
 		return false
@@ -236,8 +240,8 @@
 	return job.Priority > r.lowestPriority || job.Priority >= model.HighPriority
 }
 
-// placeTasks places single tasks. With cachedOnly, it uses only machines that have the
-// job's image, or will have it soon.
+// placeTasks places tasks of an array or a service. With cachedOnly, it uses only machines
+// that have the job's image, or will have it soon.
 func (r *Round) placeTasks(job *model.JobState, cachedOnly bool) {
 	left := job.BindableTasks(r.tasksWithinLimit(job, len(job.Waiting)))
 	if job.Starved {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -6,9 +6,9 @@
 	"woadweir/internal/core/model"
 )
 
-// testEstimator has no job wait long enough for others to be preempted for it.
+// testEstimator returns such a long MaxWait that no job preempts others.
 type testEstimator struct {
-	dueAt map[string]model.Micros // by job, 0 for the others
+	dueAt map[string]model.Micros // by job; 0 for jobs without an entry
 }
 
 func (e testEstimator) DueAt(job *model.JobState) model.Micros { return e.dueAt[job.ID] }
@@ -16,7 +16,7 @@
 func (e testEstimator) StartRate(string) float64               { return 1 }
 func (e testEstimator) Remaining(*model.Binding) model.Micros  { return 0 }
 
-// testExecutor remembers the machine to which a task was bound last. It is for jobs with a
+// testExecutor records the machine to which a task was last bound. It supports jobs with a
 // single task.
 type testExecutor struct {
 	boundTo string
@@ -30,10 +30,10 @@
 	e.boundTo, job.Waiting = machine.ID, nil
 }
 
-// Of jobs of a priority, one for which others have been preempted already goes first, and
-// what they freed is not taken by one that could be in time: else it would have more
-// preempted elsewhere, and so on.
-func TestJobThatPreemptedGoesFirst(t *testing.T) {
+// Among jobs of the same priority, one for which others have been preempted is served
+// first. Otherwise a job that can still meet an objective would take what they freed, and
+// even more tasks would be preempted elsewhere.
+func TestJobThatPreemptedIsServedFirst(t *testing.T) {
 	job := func(id string, revision uint64, priority model.Priority) *model.JobState {
 		description := &model.Job{ID: id, Class: "c", Team: "red", Kind: model.Gang, Priority: priority, Tasks: 1, AcceptedRevision: revision}
 		return &model.JobState{Job: description, Waiting: []int{0}}
@@ -53,19 +53,19 @@
 		if got != want {
 			t.Errorf("served in the order %s, want %s", got, want)
 		}
-		round.Reservations[preempting] = []Reservation{{}} // reserved, but nobody was preempted for it
+		round.Reservations[preempting] = []Reservation{{}} // reserved, but no task was preempted for it
 	}
 }
 
-// Work that may use spot machines prefers them, even if it has to fetch its image there,
-// unless a lost task would make it late; and it never goes to a surplus machine
-// unless it has waited for long.
-func TestFlexibleWorkPrefersSpotMachines(t *testing.T) {
+// A job that may use spot machines prefers them, even if it has to fetch its image there,
+// unless a lost task would make it late. It is not placed on a surplus machine unless it
+// has waited for surplusAllowedAfter.
+func TestJobsPreferSpotMachines(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		late    bool // if a task is lost
-		surplus bool // the ordinary machine
-		full    bool // the spot machine
+		late    bool // the job is late if a task is lost
+		surplus bool // the ordinary machine is surplus
+		full    bool // the spot machine is full
 		waited  model.Micros
 		want    string
 	}{
@@ -74,7 +74,7 @@
 		{name: "the spot machine is full", full: true, want: "ordinary"},
 		{name: "the ordinary machine is surplus", late: true, surplus: true, want: "spot"},
 		{name: "the same, and the spot machine is full", late: true, surplus: true, full: true, want: ""},
-		{name: "the same, and it has waited for long", late: true, surplus: true, full: true, waited: surplusAllowedAfter, want: "ordinary"},
+		{name: "the same, and the job has waited long", late: true, surplus: true, full: true, waited: surplusAllowedAfter, want: "ordinary"},
 	} {
 		ordinary, spot := testMachine("ordinary", false), testMachine("spot", true)
 		ordinary.Cache, ordinary.Surplus = []string{"i"}, c.surplus
@@ -87,7 +87,7 @@
 		executor := &testExecutor{}
 		testRound(job, executor, ordinary, spot).Run()
 		if executor.boundTo != c.want {
-			t.Errorf("%s: goes to %q, want %q", c.name, executor.boundTo, c.want)
+			t.Errorf("%s: bound to %q, want %q", c.name, executor.boundTo, c.want)
 		}
 	}
 }
@@ -95,12 +95,12 @@
 // testNow is the time of the rounds of testWorld.
 const testNow = model.Micros(1000)
 
-// testMachine is a machine that takes work.
+// testMachine returns a machine that accepts tasks.
 func testMachine(id string, spot bool) *model.Machine {
 	return &model.Machine{ID: id, MachineType: "box", Zone: "a", Spot: spot, Size: model.Resources{Cores: 8000}, Up: true, ReceivesAnswers: true}
 }
 
-// flexibleJob is a new job with one task that may use spot machines.
+// flexibleJob returns a new job with one task that may use spot machines.
 func flexibleJob() *model.JobState {
 	description := &model.Job{
 		ID:           "j-1",
@@ -115,7 +115,7 @@
 	return &model.JobState{Job: description, Waiting: []int{0}, ReadySince: testNow}
 }
 
-// testRound is a round with a single job.
+// testRound returns a round with a single job.
 func testRound(job *model.JobState, executor Executor, machines ...*model.Machine) *Round {
 	return &Round{
 		Now:              testNow,
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -7,21 +7,22 @@
 	"woadweir/internal/core/model"
 )
 
-// machineFilter tells which machines are considered.
+// machineFilter reports whether a machine is considered.
 type machineFilter func(*model.Machine) bool
 
-// anyMachine lets every machine be considered.
+// anyMachine accepts every machine.
 func anyMachine(*model.Machine) bool { return true }
 
-// hasImageOf lets machines be considered that have a job's image, or will have it at once.
+// hasImageOf returns a filter that accepts machines that have a job's image, or will have it
+// in less than a second.
 func (r *Round) hasImageOf(job *model.JobState) machineFilter {
 	return func(machine *model.Machine) bool { return r.fetchTime(job, machine) < model.Second }
 }
 
-// preempt finds machines for a job that found none: it stops tasks of lower priority
-// where that loses least, and reserves what they free for this job. What earlier stops
-// are about to free counts first. It tells whether all that the job needs was found and
-// reserved.
+// preempt frees resources for a job that found no machines. It stops tasks of lower
+// priority where the loss is least, and reserves the resources that they free for the job.
+// Resources of tasks that are already being stopped are used first. It reports whether all
+// that the job needs was found, and bound or reserved.
 func (r *Round) preempt(job *model.JobState, suits machineFilter) (reserved bool) {
 	wanted := r.tasksWithinLimit(job, len(job.Waiting))
 	if wanted == 0 || job.Kind == model.Gang && (len(job.Bindings) > 0 || wanted < job.Tasks) {
@@ -42,13 +43,13 @@
 	return len(chosen) == wanted
 }
 
-// allFree tells that no slot needs a task to be stopped: they are free, but reserved for
-// GPU tasks.
+// allFree reports whether no slot requires a task to be stopped: the slots are free, but
+// reserved for GPU tasks.
 func allFree(slots []preemptionSlot) bool {
 	return !slices.ContainsFunc(slots, func(slot preemptionSlot) bool { return !slot.free })
 }
 
-// bindToSlots binds tasks of a job to slots that are free.
+// bindToSlots binds tasks of a job to free slots.
 func (r *Round) bindToSlots(job *model.JobState, slots []preemptionSlot) {
 	attempt := r.Executor.NextAttempt()
 	for _, slot := range slots {
@@ -59,13 +60,13 @@
 	}
 }
 
-// reserveSlot reserves a slot for a job. Its victims are stopped only when the job is
-// late: until then the resources become free by themselves, as no job that is served
-// later gets them.
+// reserveSlot reserves a slot for a job. The victims are stopped only if the job is late:
+// until then, the resources become free by themselves, as no job that is served later gets
+// them.
 func (r *Round) reserveSlot(job *model.JobState, slot preemptionSlot, late bool) {
 	if late {
 		for _, victim := range slot.victims {
-			r.Executor.Stop(victim, "room for "+job.ID)
+			r.Executor.Stop(victim, "preempted for job "+job.ID)
 		}
 	}
 	r.reserve(job, slot.target, slot.preempted || late && len(slot.victims) > 0)
@@ -74,11 +75,11 @@
 // selection is a choice of slots, at most one for each task of a job.
 type selection struct {
 	slots []preemptionSlot
-	cost  model.Micros // of all slots
+	cost  model.Micros // total cost of the slots
 }
 
-// chooseSlots chooses the cheapest slots, at most as many as wanted, as the job's rules on
-// zones allow.
+// chooseSlots chooses the cheapest slots that the job's SameZone and Spread rules allow, at
+// most as many as wanted.
 func chooseSlots(job *model.JobState, slots []preemptionSlot, wanted int) []preemptionSlot {
 	sortByCost(slots)
 	if job.SameZone {
@@ -87,8 +88,8 @@
 	return choosePerZone(job, slots, wanted).slots
 }
 
-// sortByCost sorts slots, the cheapest first. Slots of a machine stay in order where the
-// cost is the same.
+// sortByCost sorts slots, the cheapest first. Slots of a machine with the same cost stay in
+// order.
 func sortByCost(slots []preemptionSlot) {
 	slices.SortFunc(slots, func(a, b preemptionSlot) int {
 		return cmp.Or(
@@ -98,9 +99,9 @@
 	})
 }
 
-// chooseZone chooses the zone that has slots for most tasks, and of these the one where
-// all of them cost least. What has been stopped there already costs nothing any more,
-// while changing zones from round to round would stop tasks in each.
+// chooseZone chooses the zone with slots for the most tasks, and among equal ones the zone
+// with the lowest total cost. Slots for which tasks have already been stopped cost nothing.
+// So the choice does not change zones from round to round, which would stop tasks in each.
 func chooseZone(job *model.JobState, slots []preemptionSlot, wanted int) (best selection) {
 	tried := map[string]bool{}
 	for _, slot := range slots {
@@ -117,7 +118,8 @@
 	return best
 }
 
-// betterThan tells that a selection has more slots than another, or as many for less.
+// betterThan reports whether a selection has more slots than another, or as many at a lower
+// cost.
 func (s selection) betterThan(other selection) bool {
 	if len(s.slots) != len(other.slots) {
 		return len(s.slots) > len(other.slots)
@@ -125,7 +127,7 @@
 	return s.cost < other.cost
 }
 
-// slotsInZone are the slots in one zone, in the same order.
+// slotsInZone returns the slots in one zone, in the same order.
 func slotsInZone(slots []preemptionSlot, zone string) (inZone []preemptionSlot) {
 	for _, slot := range slots {
 		if slot.target.machine.Zone == zone {
@@ -135,8 +137,8 @@
 	return inZone
 }
 
-// choosePerZone chooses the first slots, in each zone at most as many as the job's tasks
-// may use there.
+// choosePerZone chooses the first slots, in each zone at most as many as there is ZoneRoom
+// for the job.
 func choosePerZone(job *model.JobState, slots []preemptionSlot, wanted int) (chosen selection) {
 	inZone := map[string]int{}
 	for _, slot := range slots {
--- a/internal/core/placement/prepare.go
+++ b/internal/core/placement/prepare.go
@@ -6,11 +6,11 @@
 	"woadweir/internal/core/model"
 )
 
-// protectFirstTaskAfter is how long a job has to have waited for its first task so that
-// this task is not preempted.
+// protectFirstTaskAfter is how long a job has to have waited for its first task for that
+// task to be protected from preemption.
 const protectFirstTaskAfter = 150 * model.Second
 
-// prepare sets up the round's own state.
+// prepare initializes the internal state of the round.
 func (r *Round) prepare() {
 	r.reservedLimit = map[string]model.Resources{}
 	r.tooLarge = map[machineConstraints][]model.Resources{}
@@ -26,7 +26,7 @@
 	r.bookReservations()
 }
 
-// collectTargets collects the machines that take new work.
+// collectTargets collects the machines that accept new tasks.
 func (r *Round) collectTargets() {
 	r.targets = make([]target, 0, len(r.Machines))
 	for _, machine := range r.Machines {
@@ -64,10 +64,10 @@
 	}
 }
 
-// dropReservations drops the reservations of the last preempting round, except those
-// for which others were preempted. If these were dropped, too, a job served earlier could
-// take the machines without having enough of them to start; the job that loses them
-// would preempt tasks elsewhere, and so on for the jobs behind it.
+// dropReservations drops the reservations of the last preempting round, except those for
+// which others were preempted. If these were dropped as well, a job served earlier could
+// take the machines without having enough of them to start; the job that loses them would
+// preempt tasks elsewhere, and so on for the jobs after it.
 func (r *Round) dropReservations() {
 	for job, reservations := range r.Reservations {
 		reservations = slices.DeleteFunc(reservations, func(reservation Reservation) bool { return !reservation.Preempted })
--- a/internal/core/placement/reservations.go
+++ b/internal/core/placement/reservations.go
@@ -2,11 +2,11 @@
 
 import "woadweir/internal/core/model"
 
-// Reservation is what is kept on a machine for one task of a waiting job.
+// Reservation reserves resources of a machine for one task of a waiting job.
 type Reservation struct {
 	Machine *model.Machine
 	Request model.Resources
-	// Preempted tells that others were preempted for it.
+	// Preempted is set if tasks of others were preempted for the reservation.
 	Preempted bool
 }
 
@@ -26,7 +26,7 @@
 	}
 }
 
-// unbookReservationsOf makes a job's reservations available.
+// unbookReservationsOf makes the resources that are reserved for a job available.
 func (r *Round) unbookReservationsOf(job *model.JobState) {
 	for _, reservation := range r.Reservations[job] {
 		if target := r.findTarget(reservation.Machine); target != nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-// findTarget returns what the round knows of a machine, nil if it takes no new work.
+// findTarget returns the target of a machine, nil if the machine accepts no new tasks.
 func (r *Round) findTarget(machine *model.Machine) *target {
 	if r.targetOf == nil {
 		r.targetOf = make(map[*model.Machine]*target, len(r.targets))
@@ -47,7 +47,7 @@
 	return r.targetOf[machine]
 }
 
-// reserve keeps what one task needs on a machine for a job that waits.
+// reserve reserves what one task of a waiting job needs on a machine.
 func (r *Round) reserve(job *model.JobState, target *target, preempted bool) {
 	target.reserved = target.reserved.Plus(job.Request)
 	if r.Reservations != nil {
@@ -56,10 +56,10 @@
 	}
 }
 
-// holdFreeResources keeps free resources from jobs served later in this round, for a
-// gang that found too few. Which of them the gang gets is left to the next preempting
-// round: until then single tasks would take each machine at once, and be preempted soon
-// after.
+// holdFreeResources withholds free resources from jobs served later in this round, for a
+// gang that found too few. The next preempting round decides which of them the gang gets.
+// Without this, single tasks would take each machine as soon as it is free, and be
+// preempted soon afterwards.
 func (r *Round) holdFreeResources(gang *model.JobState) {
 	r.holdingGangs++
 	if r.holdingGangs > maxPreemptingJobs {
@@ -80,10 +80,9 @@
 	}
 }
 
-// reserveLimit keeps what a waiting gang needs, of its team's limit, from jobs that are
-// served later: otherwise single tasks would take whatever becomes free, and the gang
-// might never start. It tells whether the gang is the first of its team with such a
-// reservation.
+// reserveLimit reserves what a waiting gang needs of its team's limit. Otherwise, single
+// tasks of jobs served later would take whatever becomes free, and the gang might never
+// start. It reports whether the gang is the first of its team with such a reservation.
 func (r *Round) reserveLimit(gang *model.JobState) (first bool) {
 	reserved, exists := r.reservedLimit[gang.Team]
 	r.reservedLimit[gang.Team] = reserved.Plus(gang.Request.Times(gang.Tasks))
--- a/internal/core/placement/team_limit.go
+++ b/internal/core/placement/team_limit.go
@@ -2,19 +2,19 @@
 
 import "woadweir/internal/core/model"
 
-// limitPreemption is what of a team's limit a preemption can free.
+// limitPreemption describes how much of a team's limit preemption can free for a gang.
 type limitPreemption struct {
-	// left is what is left of the limit, negative if it is exceeded, once tasks that are
-	// being stopped are gone.
+	// left is what is left of the limit once tasks that are being stopped are gone, negative
+	// if the limit is exceeded.
 	left model.Resources
 	// victims are the team's tasks that may be preempted, least loss first.
 	victims []*model.Binding
 }
 
-// preemptWithinTeam serves a gang that its team's limit keeps waiting. When it is late,
-// tasks of its own team and of lower priority are stopped for it. It does so only for the
-// first gang: the next may not find machines for a long time, and the team's other work
-// would use up the limit again meanwhile.
+// preemptWithinTeam serves a gang that has to wait because of its team's limit. Once the
+// gang is late, tasks of its own team with lower priority are stopped for it. This is done
+// only for the first gang of a team: the next one may not find machines for a long time,
+// and the team's other work would use up the limit again in the meantime.
 func (r *Round) preemptWithinTeam(gang *model.JobState) {
 	if r.Teams[gang.Team] == nil || len(gang.Bindings) > 0 || len(gang.Waiting) != gang.Tasks {
 		return
@@ -24,12 +24,12 @@
 		return
 	}
 	for _, victim := range r.findLimitPreemption(gang).chooseVictims() {
-		r.Executor.Stop(victim, "limit of "+gang.Team+" for "+gang.ID)
+		r.Executor.Stop(victim, "preempted within the limit of team "+gang.Team+" for gang "+gang.ID)
 	}
 }
 
-// findLimitPreemption finds what of its team's limit a preemption can free for a gang, for which it
-// is reserved already.
+// findLimitPreemption finds out how much of its team's limit preemption can free for a gang.
+// What the gang needs must have been reserved with reserveLimit.
 func (r *Round) findLimitPreemption(gang *model.JobState) limitPreemption {
 	preemption := limitPreemption{left: r.remainingLimit(gang.Team)}
 	for _, machine := range r.Machines {
@@ -47,7 +47,7 @@
 	return preemption
 }
 
-// chooseVictims chooses victims until the limit is kept; none if it can't be.
+// chooseVictims chooses victims until the limit is kept, or none if it can't be kept.
 func (p limitPreemption) chooseVictims() (chosen []*model.Binding) {
 	left := p.left
 	for _, victim := range p.victims {
@@ -55,7 +55,7 @@
 			break
 		}
 		if left.Cores >= 0 && victim.Job.Request.GPUs == 0 {
-			continue // only GPUs are missing
+			continue // only GPUs are missing, and the victim has none
 		}
 		left = left.Plus(victim.Job.Request)
 		chosen = append(chosen, victim)
@@ -66,6 +66,6 @@
 	return chosen
 }
 
-// withinLimit tells that what is left of a limit shows it to be kept. Memory is not
+// withinLimit reports whether a limit is kept, given what is left of it. Memory is not
 // limited.
 func withinLimit(left model.Resources) bool { return left.Cores >= 0 && left.GPUs >= 0 }
--- a/internal/core/placement/team_limit_test.go
+++ b/internal/core/placement/team_limit_test.go
@@ -7,8 +7,8 @@
 	"woadweir/internal/core/model"
 )
 
-// Of a team's own tasks, no more are stopped than its limit requires: none that lack the
-// GPUs that are missing, and none at all if all of them would not do.
+// No more of a team's own tasks are stopped than its limit requires: no tasks without GPUs
+// if only GPUs are missing, and none at all if stopping all of them would not be enough.
 func TestChooseVictims(t *testing.T) {
 	victim := func(id string, cores, gpus model.Milli) *model.Binding {
 		return &model.Binding{ID: model.TaskID{Job: id}, Job: &model.Job{Request: model.Resources{Cores: cores, GPUs: gpus}}}
@@ -31,7 +31,7 @@
 			got = append(got, chosen.ID.Job)
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v are stopped, want %v", c.name, got, c.want)
+			t.Errorf("%s: stopped %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/core/placement/victims.go
+++ b/internal/core/placement/victims.go
@@ -3,29 +3,29 @@
 import "woadweir/internal/core/model"
 
 const (
-	// placementCostDivisor scales the cost of a machine for the comparison with the work
-	// that preemption loses.
+	// placementCostDivisor scales the cost of a machine so that it can be compared with the
+	// work that is lost by preemption.
 	placementCostDivisor = 4
-	// minIdleGPUTime is the least time for which GPUs count as idle beside a task.
+	// minIdleGPUTime is the minimum time for which GPUs count as idle beside a task.
 	minIdleGPUTime = 10 * model.Second
-	// costUnknown stands for a cost that has not been computed yet.
+	// costUnknown marks a cost that has not been computed yet.
 	costUnknown = model.Micros(-1)
 )
 
-// preemptionSlot is where a task would fit if the victims were stopped.
+// preemptionSlot is room for a task on a machine, available once the victims have stopped.
 type preemptionSlot struct {
 	target  *target
 	index   int // among the slots of the machine
 	victims []*model.Binding
 	cost    model.Micros
-	// free tells that the task fits without any stop.
+	// free is set if the task fits without stopping other tasks.
 	free bool
-	// preempted tells that others have been stopped for this slot already.
+	// preempted is set if other tasks have already been stopped for the slot.
 	preempted bool
 }
 
-// preemptionSlots finds the slots that preemption can give to a job, on the machines that
-// suit.
+// preemptionSlots finds the slots that a job can get by preemption on the machines that
+// pass a filter, at most as many as wanted on each.
 func (r *Round) preemptionSlots(job *model.JobState, wanted int, suits machineFilter) (slots []preemptionSlot) {
 	constraints := r.constraintsOf(job)
 	for i := range r.targets {
@@ -47,7 +47,7 @@
 	return slots
 }
 
-// findVictims finds out which tasks of a machine may be preempted.
+// findVictims finds the tasks of a machine that may be preempted.
 func (r *Round) findVictims(target *target) {
 	if target.victimsKnown {
 		return
@@ -63,31 +63,33 @@
 	r.sortByLoss(target.victims)
 }
 
-// isPreemptible tells whether tasks of a job may be preempted at all.
+// isPreemptible reports whether tasks of a job may be preempted at all.
 func (r *Round) isPreemptible(job *model.Job) bool {
 	return job.Kind != model.Gang && job.Priority < model.ProductionPriority && !r.protectedJobs[job.ID]
 }
 
-// slotSearch finds the slots of one machine for a job, one after the other, as long as
-// there are victims.
+// slotSearch finds the slots of one machine for a job, one after the other, until no victims
+// are left to make room.
 type slotSearch struct {
 	round  *Round
 	job    *model.JobState
 	target *target
 	wanted int
-	// foundSlots is how many slots have been found.
+	// foundSlots is the number of slots found so far.
 	foundSlots int
-	// freeNow is what is left, beside these slots, without any stop.
+	// freeNow is what the found slots leave free without stopping tasks, negative if they
+	// take more.
 	freeNow model.Resources
-	// freeAfterStops is what is left beside them once their victims are gone.
+	// freeAfterStops is what the found slots leave free once their victims are gone.
 	freeAfterStops model.Resources
 	// victims are the tasks not yet considered, least loss first.
 	victims []*model.Binding
-	// preemptedSlots is how many slots others have been stopped for already.
+	// preemptedSlots is the number of slots for which tasks have already been stopped.
 	preemptedSlots int
 	// placementCost is the cost of the machine for a task, costUnknown until it is needed.
 	placementCost model.Micros
-	// coresTaken are the cores of all slots found, and gpusIdled the GPUs that they idle.
+	// coresTaken are the cores of the found slots, and gpusIdled the GPUs that would be idle
+	// beside them.
 	coresTaken, gpusIdled model.Milli
 }
 
@@ -110,7 +112,7 @@
 	}
 }
 
-// next finds the next slot, if there is another.
+// next returns the next slot, and whether there is one.
 func (s *slotSearch) next() (slot preemptionSlot, found bool) {
 	request := s.job.Request
 	slot = preemptionSlot{target: s.target, index: s.foundSlots, free: request.Fits(s.freeNow)}
@@ -122,8 +124,8 @@
 	s.freeAfterStops = s.freeAfterStops.Minus(request)
 	slot.cost += s.machineCost() + s.idleGPUCost()
 	if slot.index < s.preemptedSlots && len(slot.victims) == 0 {
-		// Others have been stopped for this slot already. Any other choice would stop
-		// more tasks elsewhere, and leave this slot to whichever job comes next.
+		// Tasks have already been stopped for this slot. Any other choice would stop more
+		// tasks elsewhere, and leave this slot to whichever job comes next.
 		slot.cost, slot.preempted = 0, true
 	}
 	s.foundSlots++
@@ -144,8 +146,9 @@
 	}
 }
 
-// mayPreemptTask tells whether a job may preempt a task. A task's GPUs are worth more than
-// what one without GPUs would do in its place; only jobs of high priority are worth that.
+// mayPreemptTask reports whether a job may preempt a task. Tasks without GPUs preempt tasks
+// with GPUs only for jobs of high priority, as the GPUs are worth more than what a task
+// without GPUs does in their place.
 func mayPreemptTask(job *model.JobState, victim *model.Binding) bool {
 	if victim.Stopping || victim.Job.Priority >= job.Priority {
 		return false
@@ -153,7 +156,7 @@
 	return job.Request.GPUs > 0 || victim.Job.Request.GPUs == 0 || job.Priority >= model.HighPriority
 }
 
-// machineCost is what the machine itself costs, as core time.
+// machineCost returns the cost of the machine for a task, as core time.
 func (s *slotSearch) machineCost() model.Micros {
 	if s.placementCost == costUnknown {
 		cost := s.round.cost(s.job, s.target, s.wanted)
@@ -162,8 +165,8 @@
 	return s.placementCost
 }
 
-// idleGPUCost is the cost, as core time, of the wanted GPUs that would be idle beside one
-// more slot for all its run, as too few cores are left for them.
+// idleGPUCost returns the cost, as core time, of the wanted GPUs that one more slot would
+// leave idle for its whole run because too few cores are left for them.
 func (s *slotSearch) idleGPUCost() model.Micros {
 	coresPerGPU := s.round.RequestPerGPU.Cores
 	if s.job.Request.GPUs > 0 || s.round.WantedGPUs <= 0 || coresPerGPU <= 0 {
--- a/internal/core/placement/waiting.go
+++ b/internal/core/placement/waiting.go
@@ -2,22 +2,21 @@
 
 import "woadweir/internal/core/model"
 
-// How long jobs wait, relative to the times that the caller gives.
+// Waiting times of jobs, relative to times that the caller provides.
 const (
-	// guaranteeWaitDivisor is the part of the time in which guaranteed work is to start
-	// after which others may be preempted for it: a fourth.
+	// guaranteeWaitDivisor defines when others may be preempted for guaranteed work: after a
+	// fourth of the guarantee objective.
 	guaranteeWaitDivisor = 4
-	// promptStartStopTimes bounds the longest wait of a class that is to start promptly, in
-	// times that stopping a task takes.
+	// promptStartStopTimes bounds the MaxWait of classes that have to start promptly, in
+	// multiples of StopTime.
 	promptStartStopTimes = 2
 	// gangWaitPercent is how long a gang waits for machines that suit it better, in percent
-	// of its longest wait.
+	// of its MaxWait.
 	gangWaitPercent = 160
 )
 
-// waitedLongEnough tells that a job has waited as long as it may before others are
-// preempted for it. For work within its team's guarantee, the wait is bounded by the
-// time in which such work is to start.
+// waitedLongEnough reports whether a job has waited so long that others are preempted for
+// it. For work within its team's guarantee, the guarantee objective bounds the wait.
 func (r *Round) waitedLongEnough(job *model.JobState) bool {
 	maxWait := r.Estimates.MaxWait(job)
 	if job.CanMeetGuarantee {
@@ -26,19 +25,19 @@
 	return r.Now-job.ReadySince+r.StopTime >= maxWait
 }
 
-// mustStartNow tells that a job of high priority is late, and its class is to start
+// mustStartNow reports whether a job of high priority is late, and its class has to start
 // within a few heartbeats.
 func (r *Round) mustStartNow(job *model.JobState) bool {
 	return job.Priority >= model.HighPriority && r.waitedLongEnough(job) && r.Estimates.MaxWait(job) < promptStartStopTimes*r.StopTime
 }
 
-// gangCanWait tells that a gang can still wait for machines that suit it better.
+// gangCanWait reports whether a gang can still wait for machines that suit it better.
 func (r *Round) gangCanWait(job *model.JobState) bool {
 	return job.Kind == model.Gang && r.Now-job.ReadySince < r.Estimates.MaxWait(job)*gangWaitPercent/100
 }
 
-// idleSince is since when a job waits with none of its tasks bound: from the start if no
-// task has run.
+// idleSince returns since when a job has been waiting with none of its tasks bound. For a
+// job that is not known to have run, that is ReadySince.
 func idleSince(job *model.JobState) model.Micros {
 	if !job.IsKnownToRun() {
 		return job.ReadySince
