--- a/internal/core/leadership/authority.go
+++ b/internal/core/leadership/authority.go
@@ -1,6 +1,7 @@
-// Package leadership computes for how long a controller may act as the leader: lease
-// times that are safe whatever the clocks do, the authority that rests on a session
-// lease, and the protocol that keeps this lease in the state service.
+// Package leadership determines for how long a controller may act as the leader. It
+// computes lease times that are safe whatever the clocks do, tracks the authority that is
+// based on a session lease, and implements the protocol that maintains this lease in the
+// state service.
 package leadership
 
 import (
@@ -8,33 +9,33 @@
 )
 
 const (
-	// driftDivisor bounds how far two monotonic clocks may drift apart, 1/driftDivisor
-	// of the time passed: 0.05% on each side, doubled as a margin.
+	// driftDivisor bounds how far two monotonic clocks may drift apart: by 1/driftDivisor
+	// of the time passed, which is 0.05% for each clock, doubled as a margin.
 	driftDivisor = 500
-	// safetyMargin covers what clocks and responses may be late by.
+	// safetyMargin covers the delays of clocks and responses.
 	safetyMargin = model.Second / 2
-	// minSessionTTL is the shortest session lease that can be kept.
+	// minSessionTTL is the shortest session lease that can be maintained.
 	minSessionTTL = 2 * model.Second
-	// stableSessionTTL is long enough to outlive a state service that is slow for a
-	// while, and some lost requests.
+	// stableSessionTTL is long enough for a session to survive a temporarily slow state
+	// service and some lost requests.
 	stableSessionTTL = 8 * model.Second
 )
 
-// LeaseTimes are the times on which the safety of a session lease rests.
+// LeaseTimes are the times on which the safety of a session lease depends.
 type LeaseTimes struct {
-	TTL    model.Micros // of the session lease in the state service
-	Margin model.Micros // by which this process stops acting before the lease may expire
+	TTL    model.Micros // TTL of the session lease in the state service
+	Margin model.Micros // how long before the lease may expire this process stops acting
 }
 
-// ComputeLeaseTimes computes the session's TTL. Authority, the workerLease after it and a
-// margin have to end before cancelWithin, within which a cancelled task has to stop. The
-// workers of a dead leader are to be taken over before their lease is over, while the
-// session outlives an outage of the state service. The operators' blockLease is the upper
-// bound.
+// ComputeLeaseTimes computes the times of a session lease. Authority, a workerLease granted
+// at its end and a margin have to end within cancelWithin, in which a cancelled task has to
+// stop. The workers of a dead leader are to be taken over before their leases expire, while
+// the session should survive an outage of the state service. blockLease, set by the
+// operators, is the upper bound of the TTL.
 //
-// Two more report periods are kept free before cancelWithin, where that leaves a stable
-// session: no rule needs them, but with long report periods beside a short cancellation
-// they would leave a session that a single lost request ends.
+// Two more report periods are kept free before cancelWithin if that leaves a stable
+// session. No rule requires them; with long report periods and a short cancelWithin, they
+// would leave a session so short that a single lost request ends it.
 func ComputeLeaseTimes(blockLease, workerLease, reportPeriod, cancelWithin model.Micros) LeaseTimes {
 	safe := maxSafeTTL(workerLease, cancelWithin)
 	preferred := max(safe-2*reportPeriod, min(safe, stableSessionTTL))
@@ -42,26 +43,26 @@
 	return LeaseTimes{TTL: max(ttl, minSessionTTL), Margin: safetyMargin}
 }
 
-// maxSafeTTL is the longest TTL of a session after which a worker's lease still ends
-// before cancelWithin.
+// maxSafeTTL returns the longest TTL of a session with which a worker's lease still ends
+// within cancelWithin.
 func maxSafeTTL(workerLease, cancelWithin model.Micros) model.Micros {
 	return cancelWithin - workerLease - workerLease/driftDivisor - 4*safetyMargin
 }
 
-// IsFeasible tells whether any session is safe with these times.
+// IsFeasible reports whether a safe session is possible with these times.
 func IsFeasible(workerLease, cancelWithin model.Micros) bool {
 	return maxSafeTTL(workerLease, cancelWithin) >= minSessionTTL
 }
 
-// ValidUntil is when authority ends that rests on a request sent at that time.
+// ValidUntil returns when authority ends that is based on a request sent at sentAt.
 func (t LeaseTimes) ValidUntil(sentAt model.Micros) model.Micros {
 	return sentAt + t.TTL - t.TTL/driftDivisor - t.Margin
 }
 
-// Authority tracks until when this process may act. It rests on the last successful
-// renewal of the session lease and on the last time the view of the state was known to be
-// up to date, each counted from when the request was sent, as the service may have
-// answered at any time since.
+// Authority tracks until when this process may act. It is based on the last successful
+// renewal of the session lease and on the last time when the view of the state was known to
+// be up to date. Both count from when the request was sent, as the service may have
+// executed it at any time since.
 type Authority struct {
 	Times      LeaseTimes
 	renewedAt  model.Micros
@@ -70,36 +71,37 @@
 	hasView    bool
 }
 
-// Renewed notes a successful grant or renewal of the session lease that was sent at that
-// time.
+// Renewed records a successful grant or renewal of the session lease that was sent at
+// sentAt.
 func (a *Authority) Renewed(sentAt model.Micros) {
 	a.renewedAt = max(a.renewedAt, sentAt)
 	a.hasSession = true
 }
 
-// ViewSynced notes a successful update of the view that was sent at that time.
+// ViewSynced records a successful update of the view that was requested at sentAt.
 func (a *Authority) ViewSynced(sentAt model.Micros) {
 	a.syncedAt = max(a.syncedAt, sentAt)
 	a.hasView = true
 }
 
-// Revoke notes that the session is over.
+// Revoke records that the session has ended.
 func (a *Authority) Revoke() {
 	a.hasSession = false
 	a.renewedAt = 0
 }
 
-// IsValid tells whether the process may act now.
+// IsValid reports whether the process may act now.
 func (a *Authority) IsValid(now model.Micros) bool {
 	return a.hasSession && a.hasView && now < a.ExpiresAt()
 }
 
-// ExpiresAt is when authority ends that is valid now.
+// ExpiresAt returns when the current authority ends.
 func (a *Authority) ExpiresAt() model.Micros {
 	return a.Times.ValidUntil(min(a.renewedAt, a.syncedAt))
 }
 
-// IsViewFresh tells whether the view alone is recent enough to answer users from it.
+// IsViewFresh reports whether the view is recent enough to answer users from it, regardless
+// of the session.
 func (a *Authority) IsViewFresh(now model.Micros) bool {
 	return a.hasView && now < a.Times.ValidUntil(a.syncedAt)
 }
--- a/internal/core/leadership/session.go
+++ b/internal/core/leadership/session.go
@@ -2,15 +2,15 @@
 
 import "woadweir/internal/core/model"
 
-// CallKind is a kind of request that the session needs made to the state service.
+// CallKind is the kind of a request that the session makes to the state service.
 type CallKind uint8
 
 // The session's requests.
 const (
 	CallRead   CallKind = iota // read the node's key
 	CallRevoke                 // revoke the lease
-	CallGrant                  // open a lease
-	CallPut                    // put the node's key under the lease if the key is at Revision
+	CallGrant                  // grant a lease
+	CallPut                    // put the node's key under the lease if the key is still at Revision
 	CallRenew                  // renew the lease
 )
 
@@ -25,61 +25,62 @@
 // Outcome is how a request ended.
 type Outcome uint8
 
-// Outcomes of a request. Unclear covers all requests that may or may not have been
-// executed, and all that were rejected.
+// The outcomes of a request.
 const (
 	Succeeded Outcome = iota
-	Missing
-	Conflict
-	Unclear
+	Missing           // the key or the lease does not exist
+	Conflict          // the key is not at the expected revision
+	Unclear           // the request may or may not have been executed, or was rejected
 )
 
 // Reply is the result of a Call.
 type Reply struct {
 	Outcome  Outcome
-	LeaseID  uint64 // CallRead: the lease in the node's key; CallGrant: the new lease
+	LeaseID  uint64 // CallRead: the lease of the node's key; CallGrant: the new lease
 	Revision uint64 // CallRead: the revision of the node's key
 }
 
-// SessionChange tells the session's owner that its lease was opened, renewed or lost.
+// SessionChange reports to the owner of a session that its lease was granted, renewed or
+// lost.
 type SessionChange struct {
-	Changed bool         // false: nothing to tell
-	LeaseID uint64       // 0: the session is over
-	SentAt  model.Micros // when the request that opened or renewed it was sent
+	Changed bool         // false if there is nothing to report
+	LeaseID uint64       // 0 if the session has ended
+	SentAt  model.Micros // when the request that granted or renewed the lease was sent
 }
 
 const (
-	// sessionRetry is the delay before a failed request is repeated.
-	sessionRetry = 250 * model.Millisecond
-	// renewalsPerTTL is how many renewals are sent within the lease's TTL.
+	// sessionRetryDelay is the delay before a failed request is repeated.
+	sessionRetryDelay = 250 * model.Millisecond
+	// renewalsPerTTL is the number of renewals that are sent within the TTL of the lease.
 	renewalsPerTTL = 6
 )
 
-// Session keeps one lease for this process, as a state machine: its owner makes the
-// request of Next, and passes the result to HandleReply. A process that starts first
-// revokes the lease of its predecessor on the same node: only this node writes its key,
-// so that process is no more, and what it led need not wait for its lease to expire.
+// Session maintains one lease for this process. It is a state machine: its owner makes the
+// request that Next returns, and passes the result to HandleReply. A process that starts
+// first revokes the lease of its predecessor on the same node. Only this node writes its
+// key, so the predecessor has ended, and its leadership need not last until its lease
+// expires.
 type Session struct {
 	ttl       model.Micros
-	call      Call
-	sentAt    model.Micros
-	grantedAt model.Micros
-	leaseID   uint64
-	revision  uint64 // of the node's key before the lease was opened
-	revokedID uint64 // a former lease that was revoked
+	call      Call         // next request
+	sentAt    model.Micros // when that request was sent
+	grantedAt model.Micros // when the request that granted the lease was sent
+	leaseID   uint64       // current lease, 0 if there is none
+	revision  uint64       // revision of the node's key before the lease was granted
+	revokedID uint64       // former lease that was revoked
 }
 
-// NewSession makes a session that begins with reading the node's key.
+// NewSession returns a session that begins by reading the node's key.
 func NewSession(ttl model.Micros) *Session { return &Session{ttl: ttl} }
 
-// Next is the request to be made now.
+// Next returns the request to be made now.
 func (s *Session) Next() Call { return s.call }
 
-// Sending notes when the request of Next is sent.
+// Sending records when the request returned by Next is sent.
 func (s *Session) Sending(now model.Micros) { s.sentAt = now }
 
-// Abandon has the lease revoked instead of renewed: its owner has stopped acting under
-// it. It must not be called between Sending and HandleReply.
+// Abandon makes the session revoke its lease instead of renewing it, as its owner has
+// stopped acting under it. It must not be called between Sending and HandleReply.
 func (s *Session) Abandon(leaseID uint64) {
 	if leaseID != 0 && leaseID == s.leaseID {
 		s.leaseID = 0
@@ -87,7 +88,7 @@
 	}
 }
 
-// HandleReply takes the result of the request, and decides on the next one.
+// HandleReply processes the result of the request, and determines the next one.
 func (s *Session) HandleReply(reply Reply) SessionChange {
 	switch s.call.Kind {
 	case CallRead:
@@ -104,8 +105,8 @@
 	return SessionChange{}
 }
 
-// restart reads the node's key again: it tells whether the failed request was executed.
-func (s *Session) restart() { s.call = Call{Kind: CallRead, After: sessionRetry} }
+// restart reads the node's key again, as it shows whether the failed request was executed.
+func (s *Session) restart() { s.call = Call{Kind: CallRead, After: sessionRetryDelay} }
 
 func (s *Session) handleRead(reply Reply) {
 	switch {
@@ -160,7 +161,7 @@
 		s.call = Call{Kind: CallRead}
 		return SessionChange{Changed: true}
 	default:
-		s.call.After = sessionRetry
+		s.call.After = sessionRetryDelay
 		return SessionChange{}
 	}
 }
