--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,23 +9,23 @@
 	"woadweir/internal/core/model"
 )
 
-// FieldError reports a setting with which nothing safe could be done.
+// FieldError reports a setting with which the controller can't run safely.
 type FieldError struct {
-	Field   string // its path in the file
-	Problem string
+	Field  string // path of the field in the file
+	Reason string
 }
 
-// Error names the field first.
-func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
+// Error returns the field and the reason.
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 const missing = "missing"
 
-// fieldRange is a field's value with the range that it must be in.
+// fieldRange is a field's value with the range that it has to be in.
 type fieldRange struct {
 	field       string
 	value       float64
 	low, high   float64
-	includesLow bool // the value low itself is in the range
+	includesLow bool // low itself is in the range
 }
 
 func (r *fieldRange) contains() bool {
@@ -38,14 +38,14 @@
 func checkRanges(ranges []fieldRange) error {
 	for _, r := range ranges {
 		if !r.contains() {
-			return &FieldError{r.field, fmt.Sprintf("%v is out of range", r.value)}
+			return &FieldError{r.field, fmt.Sprintf("%v is not between %v and %v", r.value, r.low, r.high)}
 		}
 	}
 	return nil
 }
 
-// check finds the first field at fault. All settings with which something safe can be
-// done are accepted, however unusual.
+// check returns an error for the first invalid field. All settings with which the
+// controller can run safely are accepted, however unusual.
 func (s *Settings) check() error {
 	checks := []func() error{s.checkNames, s.checkAddresses, s.checkTeamNames, s.checkAllRanges, s.checkSession}
 	for _, check := range checks {
@@ -149,14 +149,14 @@
 	}
 }
 
-// checkSession makes sure that the workers' times leave room for a session lease.
+// checkSession checks that the workers' times allow a safe session lease.
 func (s *Settings) checkSession() error {
 	workers := &s.Params.Workers
 	if workers.ReportS*5/4 >= workers.LeaseS {
-		return &FieldError{"params.workers.report_s", fmt.Sprintf("%v leaves no lease of %v s", workers.ReportS, workers.LeaseS)}
+		return &FieldError{"params.workers.report_s", fmt.Sprintf("a report period of %v s is too long for a worker lease of %v s", workers.ReportS, workers.LeaseS)}
 	}
 	if !leadership.IsFeasible(model.Seconds(workers.LeaseS), model.Seconds(workers.CancelS)) {
-		return &FieldError{"params.workers.cancel_s", fmt.Sprintf("%v leaves no session beside a lease of %v s", workers.CancelS, workers.LeaseS)}
+		return &FieldError{"params.workers.cancel_s", fmt.Sprintf("a cancellation time of %v s is too short for a session lease and a worker lease of %v s", workers.CancelS, workers.LeaseS)}
 	}
 	return nil
 }
--- a/internal/config/duties.go
+++ b/internal/config/duties.go
@@ -9,9 +9,9 @@
 	"woadweir/internal/duty"
 )
 
-// LoadDuties reads and checks the duties file against the deployment's settings; an
-// empty path gives nil: the leader does everything itself.
-func LoadDuties(path string, s *Settings, o *OperatorSettings) (*duty.Policy, error) {
+// LoadDuties loads the duties file and checks it against the other settings. For an empty
+// path, it returns nil: the leader performs all duties itself.
+func LoadDuties(path string, s *Settings, operator *OperatorSettings) (*duty.Policy, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -23,20 +23,20 @@
 	for _, sibling := range s.Siblings {
 		nodes = append(nodes, sibling.NodeName)
 	}
-	policy, err := duty.ParseSettings(raw, nodes, s.LeaseTimes(o).TTL)
+	policy, err := duty.ParseSettings(raw, nodes, s.LeaseTimes(operator).TTL)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return policy, nil
 }
 
-// LeaseTimes are the times of the controller's session lease that follow from the
+// LeaseTimes returns the times of the controller's session lease that result from the
 // settings. The duties file may shorten the session.
-func (s *Settings) LeaseTimes(o *OperatorSettings) leadership.LeaseTimes {
+func (s *Settings) LeaseTimes(operator *OperatorSettings) leadership.LeaseTimes {
 	workers := &s.Params.Workers
-	longest := model.Seconds(float64(o.BlockLeaseS))
-	if o.Duties != nil && o.Duties.Lease != 0 {
-		longest = min(longest, o.Duties.Lease)
+	maxTTL := model.Seconds(float64(operator.BlockLeaseS))
+	if operator.Duties != nil && operator.Duties.Lease != 0 {
+		maxTTL = min(maxTTL, operator.Duties.Lease)
 	}
-	return leadership.ComputeLeaseTimes(longest, model.Seconds(workers.LeaseS), model.Seconds(workers.ReportS), model.Seconds(workers.CancelS))
+	return leadership.ComputeLeaseTimes(maxTTL, model.Seconds(workers.LeaseS), model.Seconds(workers.ReportS), model.Seconds(workers.CancelS))
 }
--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -7,7 +7,7 @@
 	"woadweir/internal/core/model"
 )
 
-// Kinds of objectives.
+// The kinds of objectives.
 const (
 	objectiveWait      = "wait"      // tasks start within a time
 	objectiveFinished  = "finished"  // jobs are done within a time
@@ -15,26 +15,27 @@
 	objectiveGuarantee = "guarantee" // work within a team's guarantee starts within a time
 )
 
-// StartObjectives gives, by class, the times within which its tasks are to start, ascending.
+// StartObjectives returns, by class, the times within which tasks should start, ascending.
 func (s *Settings) StartObjectives() map[string][]model.Micros { return s.timesByClass(objectiveWait) }
 
-// FinishObjectives gives, by class, the times within which its jobs are to be done, ascending.
+// FinishObjectives returns, by class, the times within which jobs should be done, ascending.
 func (s *Settings) FinishObjectives() map[string][]model.Micros {
 	return s.timesByClass(objectiveFinished)
 }
 
+// timesByClass returns, by class, the times of the objectives of a kind, ascending.
 func (s *Settings) timesByClass(kind string) map[string][]model.Micros {
-	return targetsByClass(s, kind, func(o *Objective) model.Micros { return model.Seconds(o.WithinS) })
+	return targetsByClass(s, kind, func(objective *Objective) model.Micros { return model.Seconds(objective.WithinS) })
 }
 
-// DeadlineObjectives gives, by class, the multiples of their deadline by which its jobs are to be
-// done, ascending.
+// DeadlineObjectives returns, by class, the multiples of their deadline within which jobs
+// should be done, ascending.
 func (s *Settings) DeadlineObjectives() map[string][]float64 {
-	return targetsByClass(s, objectiveDeadline, func(o *Objective) float64 { return o.DeadlineMultiple })
+	return targetsByClass(s, objectiveDeadline, func(objective *Objective) float64 { return objective.DeadlineMultiple })
 }
 
-// targetsByClass collects the positive targets that the objectives of a kind set for each
-// class, ascending.
+// targetsByClass returns, by class, the positive targets of the objectives of a kind,
+// ascending.
 func targetsByClass[T cmp.Ordered](s *Settings, kind string, targetOf func(*Objective) T) map[string][]T {
 	targets := map[string][]T{}
 	var zero T
@@ -47,14 +48,14 @@
 			targets[objective.Class] = append(targets[objective.Class], target)
 		}
 	}
-	for _, ofClass := range targets {
-		slices.Sort(ofClass)
+	for _, classTargets := range targets {
+		slices.Sort(classTargets)
 	}
 	return targets
 }
 
-// GuaranteeObjective is the time within which work within a team's guarantee is to start, 0 if no
-// objective says so.
+// GuaranteeObjective returns the time within which work within a team's guarantee should
+// start, 0 if there is no such objective.
 func (s *Settings) GuaranteeObjective() model.Micros {
 	for _, objective := range s.Params.Objectives {
 		if objective.Kind == objectiveGuarantee && objective.WithinS > 0 {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,7 +11,8 @@
 	"woadweir/internal/spill"
 )
 
-// OperatorSettings is the operators' own file, with the policies of the files beside it.
+// OperatorSettings are the settings from the operators' file, with the policies from the
+// duties and spill files.
 type OperatorSettings struct {
 	XMLName           xml.Name `xml:"woadweir"`
 	ExtraCapacityRate Number   `xml:"extra-capacity-rate"`
@@ -19,17 +20,17 @@
 	Granularity       Number   `xml:"granularity"`
 	BlockLeaseS       Number   `xml:"block-lease-s"`
 	RefusedPauseS     Number   `xml:"refused-pause-s"`
-	// Duties is the duties file, nil without one.
+	// Duties is the policy from the duties file, nil without one.
 	Duties *duty.Policy `xml:"-"`
-	// Spill is the spill file, nil without one.
+	// Spill is the policy from the spill file, nil without one.
 	Spill *spill.Policy `xml:"-"`
 }
 
-// Number is a decimal number in an XML element. Text that is none is reported with the
-// element's name.
+// Number is a decimal number in an XML element. Text that is not a number is reported with
+// the name of the element.
 type Number float64
 
-// UnmarshalXML reads the element.
+// UnmarshalXML implements xml.Unmarshaler.
 func (n *Number) UnmarshalXML(decoder *xml.Decoder, start xml.StartElement) error {
 	var text string
 	if err := decoder.DecodeElement(&text, &start); err != nil {
@@ -43,7 +44,8 @@
 	return nil
 }
 
-// DefaultOperatorSettings is what holds where the operators' file says nothing.
+// DefaultOperatorSettings returns the settings for elements that the operators' file does
+// not contain.
 func DefaultOperatorSettings() *OperatorSettings {
 	return &OperatorSettings{
 		ExtraCapacityRate: 0.1,
@@ -54,7 +56,8 @@
 	}
 }
 
-// LoadOperatorSettings reads and checks the operators' file; an empty path gives the defaults.
+// LoadOperatorSettings loads and checks the operators' file. For an empty path, it returns
+// the defaults.
 func LoadOperatorSettings(path string) (*OperatorSettings, error) {
 	operator := DefaultOperatorSettings()
 	if path == "" {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the settings: the platform's TOML file and the
-// operators' own XML files.
+// Package config loads and checks the settings: the platform's TOML file and the operators'
+// XML files.
 package config
 
 import (
@@ -11,12 +11,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the platform's file. Fields it does not name are ignored.
+// Settings are the settings from the platform's file. Unknown fields in the file are
+// ignored.
 type Settings struct {
 	NodeName    string    `toml:"node_name"`
 	Area        string    `toml:"area"`
-	ServeOn     string    `toml:"serve_on"` // address for users and workers
-	PeerAddress string    `toml:"back"`     // address for the other controllers
+	ServeOn     string    `toml:"serve_on"` // listen address for users and workers
+	PeerAddress string    `toml:"back"`     // listen address for the other controllers
 	Siblings    []Sibling `toml:"siblings"`
 	Services    Services  `toml:"services"`
 	Params      Params    `toml:"params"`
@@ -58,7 +59,7 @@
 
 // Objective is a service level objective for the jobs of a class.
 type Objective struct {
-	Kind             string  `toml:"kind"` // one of the objective kinds below
+	Kind             string  `toml:"kind"` // one of the kinds in objectives.go
 	Class            string  `toml:"class"`
 	WithinS          float64 `toml:"within_s"`
 	Share            float64 `toml:"share"`
@@ -67,22 +68,22 @@
 
 // Workers are the times of the protocol with the workers.
 type Workers struct {
-	ReportS   float64 `toml:"report_s"`    // period of the heartbeats
-	LeaseS    float64 `toml:"lease_s"`     // for which a worker runs its tasks without a response
-	GangWaitS float64 `toml:"gang_wait_s"` // for which the tasks of a gang wait for each other
+	ReportS   float64 `toml:"report_s"`    // heartbeat period
+	LeaseS    float64 `toml:"lease_s"`     // how long a worker runs its tasks without a response
+	GangWaitS float64 `toml:"gang_wait_s"` // how long the tasks of a gang wait for each other
 	GangPeerS float64 `toml:"gang_peer_s"`
-	CancelS   float64 `toml:"cancel_s"` // within which the tasks of a cancelled job stop
+	CancelS   float64 `toml:"cancel_s"` // time within which the tasks of a cancelled job have to stop
 }
 
-// State is the rate and size limits of the state service.
+// State holds the rate and size limits of the state service.
 type State struct {
 	Limits
-	// Next holds the limits that the state service will have from some unannounced
-	// moment on; what it does not name stays.
+	// Next holds the limits that the state service will change to at an unannounced time.
+	// Limits that it does not contain stay.
 	Next NextLimits `toml:"next"`
 }
 
-// Limits are the rates and sizes that the state service accepts.
+// Limits are the request rates and sizes that the state service accepts.
 type Limits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -90,7 +91,7 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// NextLimits are changes of Limits, nil where a limit stays.
+// NextLimits are changes to Limits; nil fields leave a limit unchanged.
 type NextLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -98,20 +99,20 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Cloud is the limits of the cloud.
+// Cloud holds the limits of the cloud API.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"` // by which its machine list may be out of date
+	ListLagS float64 `toml:"list_lag_s"` // by how much the cloud's machine list may be out of date
 }
 
-// Quota is what a controller may use of its own machine.
+// Quota is the quota of a controller on the machine that it runs on.
 type Quota struct {
 	Cores   float64 `toml:"cores"`
 	RAMMB   float64 `toml:"ram_mb"`
 	FDLimit int     `toml:"fd_limit"`
 }
 
-// Load reads and checks the platform's file.
+// Load loads and checks the platform's file.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -124,7 +125,7 @@
 	return settings, nil
 }
 
-// Parse reads and checks settings. A FieldError names the first field at fault.
+// Parse parses and checks settings. A FieldError names the first invalid field.
 func Parse(raw []byte) (*Settings, error) {
 	settings := new(Settings)
 	if err := toml.Unmarshal(raw, settings); err != nil {
@@ -133,8 +134,8 @@
 	return settings, settings.check()
 }
 
-// addFieldPath adds the path of the field to an error of the TOML decoder, which names the
-// Go type instead.
+// addFieldPath adds the path of the field to an error of the TOML decoder, whose text names
+// the Go type instead.
 func addFieldPath(err error) error {
 	var decodeError *toml.DecodeError
 	if !errors.As(err, &decodeError) || len(decodeError.Key()) == 0 {
@@ -143,7 +144,7 @@
 	return fmt.Errorf("%s: %w", strings.Join(decodeError.Key(), "."), err)
 }
 
-// nextLimits are the limits of the state service after they have changed.
+// nextLimits returns the limits of the state service after the change.
 func (s *Settings) nextLimits() Limits {
 	limits, next := s.Params.State.Limits, &s.Params.State.Next
 	if next.RPS != nil {
@@ -161,14 +162,14 @@
 	return limits
 }
 
-// StateLimits are the limits of the state service that are respected at any time: the
-// smaller ones of now and next, as the change comes without notice.
+// StateLimits returns the limits of the state service that are always respected: the
+// smaller of the current and the next ones, as the change comes without notice.
 func (s *Settings) StateLimits() Limits {
-	now, next := s.Params.State.Limits, s.nextLimits()
+	current, next := s.Params.State.Limits, s.nextLimits()
 	return Limits{
-		RPS:      min(now.RPS, next.RPS),
-		WriteRPS: min(now.WriteRPS, next.WriteRPS),
-		ValueKB:  min(now.ValueKB, next.ValueKB),
-		TxnOps:   min(now.TxnOps, next.TxnOps),
+		RPS:      min(current.RPS, next.RPS),
+		WriteRPS: min(current.WriteRPS, next.WriteRPS),
+		ValueKB:  min(current.ValueKB, next.ValueKB),
+		TxnOps:   min(current.TxnOps, next.TxnOps),
 	}
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -65,47 +65,48 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(validSettings))
+	settings, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if tm := s.Teams()["red"]; tm.Limit.Cores != 136_000 || tm.Limit.GPUs != model.NoLimit || tm.Guaranteed.Cores != 64_000 {
-		t.Errorf("team %+v", tm)
+	if team := settings.Teams()["red"]; team.Limit.Cores != 136_000 || team.Limit.GPUs != model.NoLimit || team.Guaranteed.Cores != 64_000 {
+		t.Errorf("team %+v, want at most 136 cores, GPUs without a limit, and 64 cores guaranteed", team)
 	}
-	if w := s.StartObjectives()["c"]; len(w) != 2 || w[0] != 8*model.Second || w[1] != 18*model.Second {
-		t.Errorf("waits %v", w)
+	if times := settings.StartObjectives()["c"]; len(times) != 2 || times[0] != 8*model.Second || times[1] != 18*model.Second {
+		t.Errorf("start objectives %v, want 8 s and 18 s", times)
 	}
-	if f := s.FinishObjectives()["d"]; len(f) != 1 || f[0] != 150*model.Second {
-		t.Errorf("finish %v", f)
+	if times := settings.FinishObjectives()["d"]; len(times) != 1 || times[0] != 150*model.Second {
+		t.Errorf("finish objectives %v, want 150 s", times)
 	}
 }
 
-// Of the limits now and next the smaller ones are kept, whichever they are.
+// Of the current and the next limits of the state service, the smaller ones apply, each by
+// itself.
 func TestNextLimits(t *testing.T) {
-	s, err := Parse([]byte(validSettings))
+	settings, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := s.StateLimits(); l != (Limits{RPS: 120, WriteRPS: 40, ValueKB: 32, TxnOps: 24}) {
-		t.Errorf("without any to come: %+v", l)
+	if limits := settings.StateLimits(); limits != (Limits{RPS: 120, WriteRPS: 40, ValueKB: 32, TxnOps: 24}) {
+		t.Errorf("without next limits: %+v", limits)
 	}
-	s, err = Parse([]byte(validSettings + "[params.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 48\nother = 1\n"))
+	settings, err = Parse([]byte(validSettings + "[params.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 48\nother = 1\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := s.StateLimits(); l != (Limits{RPS: 120, WriteRPS: 28, ValueKB: 2, TxnOps: 24}) {
-		t.Errorf("with some to come: %+v", l)
+	if limits := settings.StateLimits(); limits != (Limits{RPS: 120, WriteRPS: 28, ValueKB: 2, TxnOps: 24}) {
+		t.Errorf("with next limits: %+v", limits)
 	}
 	for field, value := range map[string]string{"rps": "0.0", "write_rps": "-1.0", "value_kb": "0.5", "txn_ops": "1"} {
 		_, err := Parse([]byte(validSettings + "[params.state.next]\n" + field + " = " + value + "\n"))
 		if err == nil || !strings.Contains(err.Error(), "params.state.next."+field) {
-			t.Errorf("%s = %s: %v, want the field named", field, value, err)
+			t.Errorf("%s = %s: error %v, want one that names the field", field, value, err)
 		}
 	}
 }
 
 func TestBadSettingsNameTheField(t *testing.T) {
-	for old, c := range map[string][2]string{
+	for old, invalid := range map[string][2]string{ // replacement, field that the error names
 		`serve_on = "10.0.0.1:8080"`: {`serve_on = "here"`, "serve_on"},
 		`state = "10.2.0.1:2379"`:    {``, "services.state"},
 		`lease_s = 18.0`:             {`lease_s = 0.0`, "params.workers.lease_s"},
@@ -116,9 +117,9 @@
 		`cancel_s = 38.0`:            {`cancel_s = 21.0`, "params.workers.cancel_s"},
 		`gang_wait_s = 30.0`:         {`gang_wait_s = -1.0`, "params.workers.gang_wait_s"},
 	} {
-		_, err := Parse([]byte(strings.Replace(validSettings, old, c[0], 1)))
-		if err == nil || !strings.Contains(err.Error(), c[1]) {
-			t.Errorf("%s instead of %s: %v, want the field %s named", c[0], old, err, c[1])
+		_, err := Parse([]byte(strings.Replace(validSettings, old, invalid[0], 1)))
+		if err == nil || !strings.Contains(err.Error(), invalid[1]) {
+			t.Errorf("%q instead of %q: error %v, want one that names %s", invalid[0], old, err, invalid[1])
 		}
 	}
 }
@@ -126,23 +127,23 @@
 func TestFieldErrors(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(validSettings, "txn_ops = 24", "txn_ops = 1", 1)))
 	var fieldError *FieldError
-	if !errors.As(err, &fieldError) || *fieldError != (FieldError{"params.state.txn_ops", "1 is out of range"}) {
-		t.Errorf("%v", err)
+	if want := (FieldError{"params.state.txn_ops", "1 is not between 2 and 1e+06"}); !errors.As(err, &fieldError) || *fieldError != want {
+		t.Errorf("error %v, want %v", err, &want)
 	}
 }
 
-// Settings that are unusual, but with which something safe can be done, start.
-func TestUnusualSettingsStart(t *testing.T) {
-	for old, odd := range map[string]string{
+// Settings that are unusual, but with which the controller can run safely, are accepted.
+func TestUnusualSettingsAreAccepted(t *testing.T) {
+	for old, unusual := range map[string]string{
 		`report_s = 2.5`:  `report_s = 14.0`,
 		`cancel_s = 38.0`: `cancel_s = 23.0`,
 	} {
-		if _, err := Parse([]byte(strings.Replace(validSettings, old, odd, 1))); err != nil {
-			t.Errorf("%s: %v", odd, err)
+		if _, err := Parse([]byte(strings.Replace(validSettings, old, unusual, 1))); err != nil {
+			t.Errorf("%s: %v", unusual, err)
 		}
 	}
 	if _, err := Parse([]byte(strings.Replace(validSettings, `report_s = 2.5`, `report_s = 15.0`, 1))); err == nil {
-		t.Error("workers that report less often than their lease lasts")
+		t.Error("a report period of 15 s is accepted with a worker lease of 18 s")
 	}
 }
 
@@ -154,35 +155,35 @@
 		}
 	}
 	write(`<woadweir><extra-capacity-rate>0.2</extra-capacity-rate></woadweir>`)
-	o, err := LoadOperatorSettings(path)
-	if err != nil || o.ExtraCapacityRate != 0.2 || o.Granularity != 5 {
-		t.Errorf("%+v, %v", o, err)
+	operator, err := LoadOperatorSettings(path)
+	if err != nil || operator.ExtraCapacityRate != 0.2 || operator.Granularity != 5 {
+		t.Errorf("%+v, error %v, want extra-capacity-rate 0.2 and the default granularity 5", operator, err)
 	}
 	write(`<woadweir><granularity>0</granularity></woadweir>`)
 	if _, err := LoadOperatorSettings(path); err == nil || !strings.Contains(err.Error(), "granularity") {
-		t.Errorf("out of bounds: %v", err)
+		t.Errorf("granularity 0: error %v, want one that names the element", err)
 	}
-	for _, bad := range []string{"x", "2.5", ""} {
-		write(`<woadweir><granularity>` + bad + `</granularity></woadweir>`)
+	for _, invalid := range []string{"x", "2.5", ""} {
+		write(`<woadweir><granularity>` + invalid + `</granularity></woadweir>`)
 		if _, err := LoadOperatorSettings(path); err == nil || !strings.Contains(err.Error(), "granularity") {
-			t.Errorf("granularity %q: %v", bad, err)
+			t.Errorf("granularity %q: error %v, want one that names the element", invalid, err)
 		}
 	}
 	write(`<other/>`)
 	if _, err := LoadOperatorSettings(path); err == nil {
-		t.Error("another document is taken")
+		t.Error("a document with another root element is accepted")
 	}
-	if o, err := LoadOperatorSettings(""); err != nil || o.LoopPeriodS != 10 {
-		t.Errorf("defaults: %+v, %v", o, err)
+	if operator, err := LoadOperatorSettings(""); err != nil || operator.LoopPeriodS != 10 {
+		t.Errorf("defaults: %+v, error %v, want loop-period-s 10", operator, err)
 	}
 }
 
-// A team's limit of 0, or one that is not named, is no limit; a guarantee that is named
-// stands by itself, and what is named in neither way is not asked for.
-func TestTeamsWithoutALimit(t *testing.T) {
-	const named = "cpus = 64.0\ncpus_max = 136.0\n"
+// A team's limit that is 0 or missing means no limit. A guarantee without a limit is kept.
+// A resource with neither does not count against the guarantee.
+func TestTeamsWithoutLimit(t *testing.T) {
+	const teamLines = "cpus = 64.0\ncpus_max = 136.0\n"
 	for lines, want := range map[string][2]model.Milli{
-		named:                            {64_000, 136_000},
+		teamLines:                        {64_000, 136_000},
 		"":                               {model.NoLimit, model.NoLimit},
 		"cpus = 0.0\ncpus_max = 0.0\n":   {model.NoLimit, model.NoLimit},
 		"cpus = 64.0\n":                  {64_000, model.NoLimit},
@@ -190,21 +191,21 @@
 		"cpus_max = 136.0\n":             {0, 136_000},
 		"cpus = 0.0\ncpus_max = 136.0\n": {0, 136_000},
 	} {
-		if !strings.Contains(validSettings, named) {
-			t.Fatal("the settings have changed")
+		if !strings.Contains(validSettings, teamLines) {
+			t.Fatalf("validSettings does not contain %q, so nothing would be replaced", teamLines)
 		}
-		s, err := Parse([]byte(strings.Replace(validSettings, named, lines, 1)))
+		settings, err := Parse([]byte(strings.Replace(validSettings, teamLines, lines, 1)))
 		if err != nil {
 			t.Fatalf("%q: %v", lines, err)
 		}
-		team := s.Teams()[s.Params.Teams[0].Name]
+		team := settings.Teams()[settings.Params.Teams[0].Name]
 		if got := [2]model.Milli{team.Guaranteed.Cores, team.Limit.Cores}; got != want {
 			t.Errorf("%q: guarantee and limit %v, want %v", lines, got, want)
 		}
 		job := &model.Job{Team: team.Name, Tasks: 1, Request: model.Resources{Cores: 8000, GPUs: 1000}}
 		machineTypes := []model.MachineType{{Name: "f", Cores: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a"}}}
-		if why := job.InfeasibleReason(s.Teams(), machineTypes); why != "" {
-			t.Errorf("%q: a task with 8 cores can't run: %s", lines, why)
+		if reason := job.InfeasibleReason(settings.Teams(), machineTypes); reason != "" {
+			t.Errorf("%q: a task with 8 cores can never run: %s", lines, reason)
 		}
 	}
 }
--- a/internal/config/spill.go
+++ b/internal/config/spill.go
@@ -8,8 +8,8 @@
 	"woadweir/internal/spill"
 )
 
-// LoadSpill reads and checks the spill file against the deployment's settings; an empty
-// path gives nil: nothing is lent to other cells, nor taken from them.
+// LoadSpill loads the spill file and checks it against the other settings. For an empty
+// path, it returns nil: no jobs are lent to other cells or borrowed from them.
 func LoadSpill(path string, s *Settings) (*spill.Policy, error) {
 	if path == "" {
 		return nil, nil
--- a/internal/config/teams.go
+++ b/internal/config/teams.go
@@ -2,9 +2,10 @@
 
 import "woadweir/internal/core/model"
 
-// Teams converts the teams. A limit of 0, or none at all, is no limit: there are
-// deployments whose teams name GPUs alone, and whose tasks all use processors. Such a
-// team's guarantee does not cover what is named neither in guarantee nor in limit.
+// Teams returns the teams by name. A limit that is 0 or missing means no limit: there are
+// deployments whose teams have settings for GPUs alone, while all their tasks use
+// processors as well. A resource of a team with neither guarantee nor limit does not count
+// against the team's guarantee.
 func (s *Settings) Teams() map[string]*model.Team {
 	teams := map[string]*model.Team{}
 	for _, team := range s.Params.Teams {
@@ -20,8 +21,8 @@
 }
 
 // guaranteeAndLimit converts a team's guarantee and limit of one resource.
-func guaranteeAndLimit(guaranteed, highest float64) (guarantee, limit model.Milli) {
-	guarantee, limit = model.ToMilli(guaranteed), model.ToMilli(highest)
+func guaranteeAndLimit(guaranteed, allowed float64) (guarantee, limit model.Milli) {
+	guarantee, limit = model.ToMilli(guaranteed), model.ToMilli(allowed)
 	if limit != 0 {
 		return guarantee, limit
 	}
--- a/internal/core/model/submission.go
+++ b/internal/core/model/submission.go
@@ -104,11 +104,11 @@
 
 // FieldError reports an invalid field of a submission.
 type FieldError struct {
-	Field   string // name of the field on the wire
-	Problem string
+	Field  string // name of the field on the wire
+	Reason string
 }
 
-func (e *FieldError) Error() string { return e.Field + " " + e.Problem }
+func (e *FieldError) Error() string { return e.Field + " " + e.Reason }
 
 // maxAmount is the upper bound of every amount and duration in a submission.
 const maxAmount = 1e9
