--- a/internal/core/model/submission.go
+++ b/internal/core/model/submission.go
@@ -52,7 +52,7 @@
 // ParseSubmission parses and checks the body of a user's POST request. Any error is to be
 // answered with status 400. The ref is returned also with an error if it could be read, so
 // that a repeated submission of a known job is recognised whatever its other fields are.
-func ParseSubmission(body []byte) (sub *Submission, ref string, err error) {
+func ParseSubmission(body []byte) (submission *Submission, ref string, err error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, "", err
@@ -70,22 +70,22 @@
 			return nil, ref, &FieldError{field, "is missing"}
 		}
 	}
-	sub = new(Submission)
-	if err := json.Unmarshal(body, sub); err != nil {
+	submission = new(Submission)
+	if err := json.Unmarshal(body, submission); err != nil {
 		return nil, ref, err
 	}
-	sub.AcceptedMs = 0
-	return sub, ref, sub.check()
+	submission.AcceptedMs = 0
+	return submission, ref, submission.check()
 }
 
 // DecodeSubmission decodes and checks a submission that was stored, or sent by another
 // cell.
 func DecodeSubmission(raw []byte) (*Submission, error) {
-	sub := new(Submission)
-	if err := json.Unmarshal(raw, sub); err != nil {
+	submission := new(Submission)
+	if err := json.Unmarshal(raw, submission); err != nil {
 		return nil, err
 	}
-	return sub, sub.check()
+	return submission, submission.check()
 }
 
 // ValidJobID reports whether s has the form of a job id and can be part of a key.
@@ -181,9 +181,9 @@
 		}
 	}
 	s.Awaits = slices.DeleteFunc(s.Awaits, func(jobID string) bool {
-		again := seen[jobID]
+		duplicate := seen[jobID]
 		seen[jobID] = true
-		return again
+		return duplicate
 	})
 	return nil
 }
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -23,12 +23,12 @@
 // priority where the loss is least, and reserves the resources that they free for the job.
 // Resources of tasks that are already being stopped are used first. It reports whether all
 // that the job needs was found, and bound or reserved.
-func (r *Round) preempt(job *model.JobState, suits machineFilter) (reserved bool) {
+func (r *Round) preempt(job *model.JobState, accepts machineFilter) (reserved bool) {
 	wanted := r.tasksWithinLimit(job, len(job.Waiting))
 	if wanted == 0 || job.Kind == model.Gang && (len(job.Bindings) > 0 || wanted < job.Tasks) {
 		return false
 	}
-	chosen := chooseSlots(job, r.preemptionSlots(job, wanted, suits), wanted)
+	chosen := chooseSlots(job, r.preemptionSlots(job, wanted, accepts), wanted)
 	if len(chosen) == 0 || job.Kind == model.Gang && len(chosen) < job.Tasks {
 		return false
 	}
--- a/internal/core/placement/victims.go
+++ b/internal/core/placement/victims.go
@@ -26,12 +26,12 @@
 
 // preemptionSlots finds the slots that a job can get by preemption on the machines that
 // pass a filter, at most as many as wanted on each.
-func (r *Round) preemptionSlots(job *model.JobState, wanted int, suits machineFilter) (slots []preemptionSlot) {
+func (r *Round) preemptionSlots(job *model.JobState, wanted int, accepts machineFilter) (slots []preemptionSlot) {
 	constraints := r.constraintsOf(job)
 	for i := range r.targets {
 		target := &r.targets[i]
 		machine := target.machine
-		if !job.Request.Fits(machine.Size) || !r.mayUse(job, machine) || r.fragmentsGPUs(job, machine) || !suits(machine) {
+		if !job.Request.Fits(machine.Size) || !r.mayUse(job, machine) || r.fragmentsGPUs(job, machine) || !accepts(machine) {
 			continue
 		}
 		r.findVictims(target)
