--- a/internal/core/placement/candidates.go
+++ b/internal/core/placement/candidates.go
@@ -7,93 +7,94 @@
 	"woadweir/internal/core/model"
 )
 
-// An image counts as being on a machine if it is there within this time, or within a
-// small part of the task's run.
+// An image counts as cached on a machine if it is there within imageReadyWithin, or within
+// the estimated run time of the task divided by imageReadyRunDivisor.
 const (
 	imageReadyWithin     = 2 * model.Second
 	imageReadyRunDivisor = 8
 )
 
-// candidate is a machine that a task may go to.
+// candidate is a machine on which a task may be placed.
 type candidate struct {
 	target *target
 	cost   model.Micros
-	// free is what is free there of the resource that matters most to the job.
+	// free is the free amount of the resource that matters most to the job: GPUs if it
+	// requests any, cores otherwise.
 	free model.Milli
 }
 
-// fittingMachines are the machines on which a task fits.
+// fittingMachines are the machines on which a task of a job fits.
 type fittingMachines struct {
 	machines []*target
-	// tasks is how many tasks fit there.
+	// tasks is the number of tasks that fit on these machines.
 	tasks int
-	// anyPreferred tells that a task fits, with or without its image, on a machine of the
-	// kind that suits the job best.
+	// anyPreferred is set if a task fits on a machine of the job's preferred kind, whether
+	// the image is there or not.
 	anyPreferred bool
 }
 
-// candidates are the machines on which a task fits, best first; none if fewer than
+// candidates returns the machines on which a task fits, best first; none if fewer than
 // minTasks fit. With cachedOnly, only machines that have the image, or will have it soon,
-// count. Requests that fit nowhere are remembered: during a round, free resources only
-// shrink, so that nothing larger needs to be tried again.
-func (w *Round) candidates(job *model.JobState, minTasks int, cachedOnly bool) []candidate {
-	limits := w.constraintsOf(job)
+// are considered. Requests that fit nowhere are recorded: during a round, free resources
+// only shrink, so that no larger request has to be tried again.
+func (r *Round) candidates(job *model.JobState, minTasks int, cachedOnly bool) []candidate {
+	constraints := r.constraintsOf(job)
 	if cachedOnly {
-		limits.image = job.Image
+		constraints.image = job.Image
 	}
-	if w.isTooLarge(job.Request, limits) {
+	if r.isTooLarge(job.Request, constraints) {
 		return nil
 	}
-	fitting := w.findFitting(job, limits, minTasks, cachedOnly)
+	fitting := r.findFitting(job, constraints, minTasks, cachedOnly)
 	if cachedOnly && fitting.anyPreferred {
-		// A cached image is no reason to go to the other kind of machine.
-		fitting.machines = slices.DeleteFunc(fitting.machines, func(open *target) bool { return !isPreferredKind(job, open.machine) })
+		// A cached image is not worth using a machine of the other kind.
+		fitting.machines = slices.DeleteFunc(fitting.machines, func(target *target) bool { return !isPreferredKind(job, target.machine) })
 	}
 	if len(fitting.machines) == 0 {
-		w.tooLarge[limits] = append(w.tooLarge[limits], job.Request)
+		r.tooLarge[constraints] = append(r.tooLarge[constraints], job.Request)
 	}
 	if fitting.tasks < minTasks {
 		return nil
 	}
-	return w.rank(job, limits, fitting.machines)
+	return r.rank(job, constraints, fitting.machines)
 }
 
-// isTooLarge tells that a request is known to fit on no machine.
-func (w *Round) isTooLarge(request model.Resources, limits machineConstraints) bool {
-	return slices.ContainsFunc(w.tooLarge[limits], func(tooLarge model.Resources) bool { return tooLarge.Fits(request) })
+// isTooLarge reports whether a request is known to fit on no machine.
+func (r *Round) isTooLarge(request model.Resources, constraints machineConstraints) bool {
+	return slices.ContainsFunc(r.tooLarge[constraints], func(tooLarge model.Resources) bool { return tooLarge.Fits(request) })
 }
 
-// findFitting finds the machines on which a task fits, and counts up to maxTasks tasks on
-// each.
-func (w *Round) findFitting(job *model.JobState, limits machineConstraints, maxTasks int, cachedOnly bool) (fitting fittingMachines) {
+// findFitting finds the machines on which a task fits, and counts the tasks that fit, at
+// most maxTasks on each.
+func (r *Round) findFitting(job *model.JobState, constraints machineConstraints, maxTasks int, cachedOnly bool) (fitting fittingMachines) {
 	maxFetch := max(imageReadyWithin, job.EstimatedRun/imageReadyRunDivisor)
-	for i := range w.targets {
-		open := &w.targets[i]
-		usable := open.usable(limits)
-		if !job.Request.Fits(usable) || !w.mayUse(job, open.machine) || w.fragmentsGPUs(job, open.machine) {
+	for i := range r.targets {
+		target := &r.targets[i]
+		usable := target.usable(constraints)
+		if !job.Request.Fits(usable) || !r.mayUse(job, target.machine) || r.fragmentsGPUs(job, target.machine) {
 			continue
 		}
-		fitting.anyPreferred = fitting.anyPreferred || isPreferredKind(job, open.machine)
-		if cachedOnly && w.fetchTime(job, open.machine) > maxFetch {
+		fitting.anyPreferred = fitting.anyPreferred || isPreferredKind(job, target.machine)
+		if cachedOnly && r.fetchTime(job, target.machine) > maxFetch {
 			continue
 		}
-		fitting.machines = append(fitting.machines, open)
+		fitting.machines = append(fitting.machines, target)
 		fitting.tasks += job.Request.FitCount(usable, maxTasks)
 	}
 	return fitting
 }
 
-// rank sorts machines by cost, then by what is free: the fullest first, so that others
+// rank sorts machines by cost, then by free resources: the fullest first, so that others
 // become empty and can be returned.
-func (w *Round) rank(job *model.JobState, limits machineConstraints, machines []*target) []candidate {
+func (r *Round) rank(job *model.JobState, constraints machineConstraints, machines []*target) []candidate {
 	ranked := make([]candidate, len(machines))
-	for i, open := range machines {
-		tasks := job.Request.FitCount(open.usable(limits), len(job.Waiting))
-		free := open.free().Cores
+	for i, target := range machines {
+		tasks := job.Request.FitCount(target.usable(constraints), len(job.Waiting))
+		free := target.free().Cores
 		if job.Request.GPUs > 0 {
-			free = open.free().GPUs
+			free = target.free().GPUs
 		}
-		ranked[i] = candidate{target: open, cost: w.cost(job, open, tasks), free: free}
+		ranked[i] = candidate{target: target, cost: r.cost(job, target, tasks), free: free}
 	}
 	slices.SortFunc(ranked, func(a, b candidate) int {
 		return cmp.Or(
