--- a/internal/spill/borrowed.go
+++ b/internal/spill/borrowed.go
@@ -37,71 +37,71 @@
 )
 
 // Permission returns the phase at a time. withhold is how long answers are withheld.
-func (h *BorrowedJob) Permission(withhold, now model.Micros) Permission {
+func (b *BorrowedJob) Permission(withholdTime, now model.Micros) Permission {
 	switch {
-	case h.returnRequested || h.lendingOver:
+	case b.returnRequested || b.lendingOver:
 		return Stopped
-	case h.lease.IsValid(now):
+	case b.lease.IsValid(now):
 		return MayRun
-	case now-max(h.lease.expiresAt, h.trackedSince) < withhold:
+	case now-max(b.lease.expiresAt, b.trackedSince) < withholdTime:
 		return Withheld
 	}
 	return Stopped
 }
 
 // MarkStarted records that tasks of the job are on machines.
-func (h *BorrowedJob) MarkStarted() { h.started = true }
+func (b *BorrowedJob) MarkStarted() { b.started = true }
 
 // HasStarted tells whether tasks of the job were on machines.
-func (h *BorrowedJob) HasStarted() bool { return h.started }
+func (b *BorrowedJob) HasStarted() bool { return b.started }
 
 // ReturnUnlessStarted requests a return if the job has not begun in the time that a guest
 // keeps it.
-func (h *BorrowedJob) ReturnUnlessStarted(start, now model.Micros) {
-	if !h.started && now-h.trackedSince > start {
-		h.returnRequested = true
+func (b *BorrowedJob) ReturnUnlessStarted(startTimeout, now model.Micros) {
+	if !b.started && now-b.trackedSince > startTimeout {
+		b.returnRequested = true
 	}
 }
 
 // RequestReturn has the job returned once nothing of it is bound.
-func (h *BorrowedJob) RequestReturn() { h.returnRequested = true }
+func (b *BorrowedJob) RequestReturn() { b.returnRequested = true }
 
 // IsReturnRequested tells that the job is to be returned once nothing of it is bound.
-func (h *BorrowedJob) IsReturnRequested() bool { return h.returnRequested }
+func (b *BorrowedJob) IsReturnRequested() bool { return b.returnRequested }
 
 // SetReturned records that the state service holds the return.
-func (h *BorrowedJob) SetReturned() { h.returnRequested, h.returned = true, true }
+func (b *BorrowedJob) SetReturned() { b.returnRequested, b.returned = true, true }
 
 // IsReturned tells that the state service holds the return.
-func (h *BorrowedJob) IsReturned() bool { return h.returned }
+func (b *BorrowedJob) IsReturned() bool { return b.returned }
 
 // IsLendingOver tells that home has said that the job is not lent any more.
-func (h *BorrowedJob) IsLendingOver() bool { return h.lendingOver }
+func (b *BorrowedJob) IsLendingOver() bool { return b.lendingOver }
 
 // CanForget tells that home needs to hear nothing more of a job that is over here.
-func (h *BorrowedJob) CanForget() bool { return h.lendingOver && (!h.jobEnded || h.returnAcknowledged) }
+func (b *BorrowedJob) CanForget() bool { return b.lendingOver && (!b.jobEnded || b.returnAcknowledged) }
 
 // ReportsReturned tells whether home is to be told that nothing is left here. bound tells whether
 // any task is.
-func (h *BorrowedJob) ReportsReturned(bound bool) (returned bool) {
-	return !bound && (h.returned || h.jobEnded)
+func (b *BorrowedJob) ReportsReturned(bound bool) (returned bool) {
+	return !bound && (b.returned || b.jobEnded)
 }
 
 // ApplyVerdict takes a verdict of the home cell on a question that was sent at that time, and
 // told whether the job was reported as returned.
-func (h *BorrowedJob) ApplyVerdict(v *Verdict, returned bool, sent, age model.Micros) {
-	if v.Token != h.Token {
+func (b *BorrowedJob) ApplyVerdict(verdict *Verdict, returned bool, sent, age model.Micros) {
+	if verdict.Token != b.Token {
 		return
 	}
-	switch v.Kind {
+	switch verdict.Kind {
 	case Granted:
-		h.lease.Extend(sent, age, v.Lease)
+		b.lease.Extend(sent, age, verdict.Lease)
 	case Recalled:
-		h.returnRequested = true
+		b.returnRequested = true
 	case Revoked:
-		h.lendingOver, h.jobEnded = true, false
+		b.lendingOver, b.jobEnded = true, false
 	case Ended:
-		h.returnAcknowledged = returned
-		h.lendingOver, h.jobEnded = true, true
+		b.returnAcknowledged = returned
+		b.lendingOver, b.jobEnded = true, true
 	}
 }
--- a/internal/spill/lease.go
+++ b/internal/spill/lease.go
@@ -28,17 +28,17 @@
 
 // FitsCancel tells whether tasks of a job whose cancellation never reaches the guest are
 // gone within the time that a cancellation may take at home.
-func FitsCancel(lease, workerLease, cancel model.Micros) bool {
-	return GoneAfter(lease, workerLease) <= cancel
+func FitsCancel(lease, workerLease, cancelTime model.Micros) bool {
+	return GoneAfter(lease, workerLease) <= cancelTime
 }
 
 // ExecutionLease is a guest's right to run one lent job.
 type ExecutionLease struct{ expiresAt model.Micros }
 
 // Extend takes an answer that grants the right. Answers may come in any order.
-func (r *ExecutionLease) Extend(sent, age, lease model.Micros) {
-	r.expiresAt = max(r.expiresAt, LeaseExpiry(sent, age, lease))
+func (l *ExecutionLease) Extend(sent, age, lease model.Micros) {
+	l.expiresAt = max(l.expiresAt, LeaseExpiry(sent, age, lease))
 }
 
 // IsValid tells whether tasks of the job may run now.
-func (r *ExecutionLease) IsValid(now model.Micros) bool { return now < r.expiresAt }
+func (l *ExecutionLease) IsValid(now model.Micros) bool { return now < l.expiresAt }
--- a/internal/spill/lent.go
+++ b/internal/spill/lent.go
@@ -80,8 +80,8 @@
 
 // RecordReportAfterEnd takes in what the guest tells of a job that has ended. It is never granted
 // the right again, so that nothing is bound there stays true.
-func (l *LentJob) RecordReportAfterEnd(guest string, report *JobReport) {
-	if guest == l.Record.Cell && report.Token == l.Record.Token && report.Returned {
+func (l *LentJob) RecordReportAfterEnd(executionCell string, report *JobReport) {
+	if executionCell == l.Record.Cell && report.Token == l.Record.Token && report.Returned {
 		l.returned = true
 	}
 }
@@ -89,8 +89,8 @@
 // AnswerRenewal decides what the guest's question about the job is answered. Only here the right
 // is granted. workerLease is that of the guest's workers now, and cancel what home allows
 // for a cancellation.
-func (l *LentJob) AnswerRenewal(guest string, report *JobReport, workerLease, cancel, now model.Micros) VerdictKind {
-	if guest != l.Record.Cell || report.Token != l.Record.Token {
+func (l *LentJob) AnswerRenewal(executionCell string, report *JobReport, workerLease, cancelTime, now model.Micros) VerdictKind {
+	if executionCell != l.Record.Cell || report.Token != l.Record.Token {
 		return Revoked
 	}
 	l.renewalReceived = true
@@ -103,7 +103,7 @@
 	switch {
 	case l.takingBack:
 		return Undecided // until the record says that it is home
-	case l.recalled || workerLease > l.Record.WorkerLease() || !FitsCancel(l.Record.Lease(), l.Record.WorkerLease(), cancel):
+	case l.recalled || workerLease > l.Record.WorkerLease() || !FitsCancel(l.Record.Lease(), l.Record.WorkerLease(), cancelTime):
 		return Recalled
 	}
 	l.leaseGranted, l.lastGrantAt = true, now
--- a/internal/spill/model_test.go
+++ b/internal/spill/model_test.go
@@ -44,6 +44,8 @@
 	age     model.Micros
 }
 
+const executionCell = "execution"
+
 const (
 	modelLease            = 10 * model.Second
 	modelWorkerLease      = 18 * model.Second
@@ -59,13 +61,13 @@
 
 // lend is a new lending, under the next token.
 func (m *lendingModel) lend() {
-	m.record = OutRecord{Cell: "guest", Token: m.record.Token + 1, State: Lent, LeaseUs: int64(modelLease), WorkerLeaseUs: int64(modelWorkerLease)}
+	m.record = OutRecord{Cell: executionCell, Token: m.record.Token + 1, State: Lent, LeaseUs: int64(modelLease), WorkerLeaseUs: int64(modelWorkerLease)}
 	m.lent, m.bound = NewLentJob(m.record, m.now), false
 }
 
 // advance lets time go by; the worker reports and its lease runs out.
-func (m *lendingModel) advance(d model.Micros) {
-	for end := m.now + d; m.now < end; {
+func (m *lendingModel) advance(duration model.Micros) {
+	for end := m.now + duration; m.now < end; {
 		m.now += model.Second / 4
 		if m.workerReachable && m.borrowed != nil && m.inRecord != nil {
 			m.reportWorker()
@@ -189,23 +191,23 @@
 }
 
 func (m *lendingModel) answerRenewal() {
-	q, ok := drawMessage(m, m.renewals)
+	renewal, ok := drawMessage(m, m.renewals)
 	if !ok || !m.hasAuthority() && (m.lent != nil || m.record.State == Lent) {
 		return
 	}
-	a := modelAnswer{q, Verdict{Token: q.report.Token, Kind: Revoked, Lease: modelLease}, m.now - m.syncedAt}
+	answer := modelAnswer{renewal, Verdict{Token: renewal.report.Token, Kind: Revoked, Lease: modelLease}, m.now - m.syncedAt}
 	switch {
 	case m.cancelledAt != 0 && m.syncedAt >= m.cancelledAt:
-		a.verdict.Kind = Ended
+		answer.verdict.Kind = Ended
 	case m.lent != nil:
-		a.verdict.Kind = m.lent.AnswerRenewal("guest", &q.report, modelWorkerLease, modelCancelTime, m.now)
+		answer.verdict.Kind = m.lent.AnswerRenewal(executionCell, &renewal.report, modelWorkerLease, modelCancelTime, m.now)
 	}
-	m.answers = append(m.answers, a)
+	m.answers = append(m.answers, answer)
 }
 
 func (m *lendingModel) receiveAnswer() {
-	if a, ok := drawMessage(m, m.answers); ok && m.borrowed != nil {
-		m.borrowed.ApplyVerdict(&a.verdict, a.report.Returned, a.sent, a.age)
+	if answer, ok := drawMessage(m, m.answers); ok && m.borrowed != nil {
+		m.borrowed.ApplyVerdict(&answer.verdict, answer.report.Returned, answer.sent, answer.age)
 	}
 }
 
@@ -246,17 +248,17 @@
 // Whatever happens between two cells and in whatever order, a job is never on machines in
 // both, nor too long after its cancellation.
 func TestLendingModel(t *testing.T) {
-	ran := 0
+	schedulesWithRun := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &lendingModel{t: rt, now: model.Second, syncedAt: model.Second, workerReachable: true, answeredAt: -modelWorkerLease}
 		m.lend()
 		actions := m.actions()
 		rt.Repeat(actions)
 		if m.answeredAt > 0 {
-			ran++
+			schedulesWithRun++
 		}
 	})
-	if ran == 0 {
+	if schedulesWithRun == 0 {
 		t.Error("the guest never ran it")
 	}
 }
--- a/internal/spill/pacer.go
+++ b/internal/spill/pacer.go
@@ -9,7 +9,7 @@
 	maxBackoffDoublings     = 5   // of the backoff
 	minJitterFraction       = 0.5 // of the backoff that is waited for at least
 	slowResponseThreshold   = model.Second
-	slowResponsePauseFactor = 10   // pause after a slow answer, in times that it took
+	slowResponsePauseFactor = 10   // pause after a slow answer, in times that it responseTime
 	maxRetryBudget          = 10.0 // retries at once
 	retryBudgetPerSecond    = 0.2  // retries a second
 )
@@ -25,31 +25,31 @@
 }
 
 // Ready tells whether the neighbour may be asked now.
-func (c *OfferPacer) Ready(now model.Micros) bool {
-	if !c.started {
-		c.started, c.retryBudget, c.refilledAt = true, maxRetryBudget, now
+func (p *OfferPacer) Ready(now model.Micros) bool {
+	if !p.started {
+		p.started, p.retryBudget, p.refilledAt = true, maxRetryBudget, now
 	}
-	c.retryBudget = min(maxRetryBudget, c.retryBudget+retryBudgetPerSecond*(now-c.refilledAt).Seconds())
-	c.refilledAt = now
-	return now >= c.notBefore && (c.failures == 0 || c.retryBudget >= 1)
+	p.retryBudget = min(maxRetryBudget, p.retryBudget+retryBudgetPerSecond*(now-p.refilledAt).Seconds())
+	p.refilledAt = now
+	return now >= p.notBefore && (p.failures == 0 || p.retryBudget >= 1)
 }
 
 // RecordSuccess records an answer that took so long.
-func (c *OfferPacer) RecordSuccess(took, now model.Micros) {
-	c.failures = 0
-	if took > slowResponseThreshold {
-		c.notBefore = max(c.notBefore, now+min(slowResponsePauseFactor*took, maxBackoff))
+func (p *OfferPacer) RecordSuccess(responseTime, now model.Micros) {
+	p.failures = 0
+	if responseTime > slowResponseThreshold {
+		p.notBefore = max(p.notBefore, now+min(slowResponsePauseFactor*responseTime, maxBackoff))
 	}
 }
 
 // RecordFailure records that there was no answer, or a refusal that asks for a pause. jitter is
 // drawn from 0 to 1.
-func (c *OfferPacer) RecordFailure(retryAfter model.Micros, jitter float64, now model.Micros) {
-	if c.failures > 0 {
-		c.retryBudget = max(0, c.retryBudget-1)
+func (p *OfferPacer) RecordFailure(retryAfter model.Micros, jitter float64, now model.Micros) {
+	if p.failures > 0 {
+		p.retryBudget = max(0, p.retryBudget-1)
 	}
-	c.failures++
-	backoff := min(minBackoff<<min(c.failures-1, maxBackoffDoublings), maxBackoff)
+	p.failures++
+	backoff := min(minBackoff<<min(p.failures-1, maxBackoffDoublings), maxBackoff)
 	pause := max(retryAfter, model.Micros(float64(backoff)*(minJitterFraction+jitter)))
-	c.notBefore = max(c.notBefore, now+pause)
+	p.notBefore = max(p.notBefore, now+pause)
 }
--- a/internal/spill/settings.go
+++ b/internal/spill/settings.go
@@ -82,28 +82,28 @@
 
 // ParseSettings reads and checks a spill file against the deployment's own lease of
 // workers and time for a cancellation.
-func ParseSettings(raw []byte, workerLease, cancel model.Micros) (*Policy, error) {
-	var s settings
-	if err := xml.Unmarshal(raw, &s); err != nil {
+func ParseSettings(raw []byte, workerLease, cancelTime model.Micros) (*Policy, error) {
+	var file settings
+	if err := xml.Unmarshal(raw, &file); err != nil {
 		return nil, &FieldError{"spill", err.Error()}
 	}
-	if len(s.Unknown) > 0 {
-		return nil, &FieldError{s.Unknown[0].XMLName.Local, "unknown element"}
+	if len(file.Unknown) > 0 {
+		return nil, &FieldError{file.Unknown[0].XMLName.Local, "unknown element"}
 	}
-	p := &Policy{Cell: s.Cell}
-	if err := checkCellName("cell", s.Cell); err != nil {
+	policy := &Policy{Cell: file.Cell}
+	if err := checkCellName("cell", file.Cell); err != nil {
 		return nil, err
 	}
-	if err := p.addNeighbours(s.Neighbours); err != nil {
+	if err := policy.addNeighbours(file.Neighbours); err != nil {
 		return nil, err
 	}
-	if err := p.readNumbers(&s); err != nil {
+	if err := policy.readNumbers(&file); err != nil {
 		return nil, err
 	}
-	if !FitsCancel(p.Lease, workerLease, cancel) {
-		return nil, &FieldError{"lease-s", fmt.Sprintf("%v s of right, %v s of workers' lease and a margin do not fit into cancel_s = %v", p.Lease.Seconds(), workerLease.Seconds(), cancel.Seconds())}
+	if !FitsCancel(policy.Lease, workerLease, cancelTime) {
+		return nil, &FieldError{"lease-s", fmt.Sprintf("%v s of right, %v s of workers' lease and a margin do not fit into cancel_s = %v", policy.Lease.Seconds(), workerLease.Seconds(), cancelTime.Seconds())}
 	}
-	return p, nil
+	return policy, nil
 }
 
 func checkCellName(field, name string) error {
@@ -116,24 +116,24 @@
 	return nil
 }
 
-func (p *Policy) addNeighbours(list []neighbourSettings) error {
-	for _, n := range list {
-		field := "neighbour " + n.Cell
-		if err := checkCellName(field, n.Cell); err != nil {
+func (p *Policy) addNeighbours(entries []neighbourSettings) error {
+	for _, entry := range entries {
+		field := "neighbour " + entry.Cell
+		if err := checkCellName(field, entry.Cell); err != nil {
 			return err
 		}
 		switch {
-		case len(n.Unknown) > 0:
-			return &FieldError{field, "unknown element " + n.Unknown[0].XMLName.Local}
-		case n.Cell == p.Cell:
+		case len(entry.Unknown) > 0:
+			return &FieldError{field, "unknown element " + entry.Unknown[0].XMLName.Local}
+		case entry.Cell == p.Cell:
 			return &FieldError{field, "a cell can't be its own neighbour"}
-		case p.HasNeighbour(n.Cell):
+		case p.HasNeighbour(entry.Cell):
 			return &FieldError{field, "named twice"}
-		case len(n.Controllers) == 0:
+		case len(entry.Controllers) == 0:
 			return &FieldError{field, "no controller"}
 		}
-		neighbour := Neighbour{Cell: n.Cell}
-		for _, text := range n.Controllers {
+		neighbour := Neighbour{Cell: entry.Cell}
+		for _, text := range entry.Controllers {
 			address := strings.TrimSpace(text)
 			if _, err := netip.ParseAddrPort(address); err != nil {
 				return &FieldError{field, fmt.Sprintf("controller: %q is not an address with a port", address)}
@@ -146,35 +146,35 @@
 }
 
 // readNumbers takes the numbers of the file, or their defaults.
-func (p *Policy) readNumbers(s *settings) error {
+func (p *Policy) readNumbers(file *settings) error {
 	var mostLent float64
 	numbers := []struct {
 		field            string
 		values           []float64
 		value, low, high float64
-		span             *model.Micros
+		duration         *model.Micros
 		count            *float64
 	}{
-		{"wait-s", s.WaitS, defaultWaitS, 1, maxSeconds, &p.MinWait, nil},
-		{"lease-s", s.LeaseS, defaultLeaseS, minLeaseS, maxSeconds, &p.Lease, nil},
-		{"stay-s", s.StayS, defaultStayS, 1, maxSeconds, &p.MinStay, nil},
-		{"start-s", s.StartS, defaultStartS, 1, maxSeconds, &p.StartTimeout, nil},
-		{"most-lent", s.MostLent, defaultMostLent, 1, maxMostLent, nil, &mostLent},
+		{"wait-s", file.WaitS, defaultWaitS, 1, maxSeconds, &p.MinWait, nil},
+		{"lease-s", file.LeaseS, defaultLeaseS, minLeaseS, maxSeconds, &p.Lease, nil},
+		{"stay-s", file.StayS, defaultStayS, 1, maxSeconds, &p.MinStay, nil},
+		{"start-s", file.StartS, defaultStartS, 1, maxSeconds, &p.StartTimeout, nil},
+		{"most-lent", file.MostLent, defaultMostLent, 1, maxMostLent, nil, &mostLent},
 	}
-	for _, n := range numbers {
-		if len(n.values) > 1 {
-			return &FieldError{n.field, "stands twice"}
+	for _, number := range numbers {
+		if len(number.values) > 1 {
+			return &FieldError{number.field, "stands twice"}
 		}
-		if len(n.values) == 1 {
-			n.value = n.values[0]
+		if len(number.values) == 1 {
+			number.value = number.values[0]
 		}
-		if !(n.value >= n.low && n.value <= n.high) {
-			return &FieldError{n.field, fmt.Sprintf("%v is not between %v and %v", n.value, n.low, n.high)}
+		if !(number.value >= number.low && number.value <= number.high) {
+			return &FieldError{number.field, fmt.Sprintf("%v is not between %v and %v", number.value, number.low, number.high)}
 		}
-		if n.span != nil {
-			*n.span = model.Seconds(n.value)
+		if number.duration != nil {
+			*number.duration = model.Seconds(number.value)
 		} else {
-			*n.count = n.value
+			*number.count = number.value
 		}
 	}
 	p.MaxLent = int(mostLent)
--- a/internal/spill/settings_test.go
+++ b/internal/spill/settings_test.go
@@ -8,9 +8,9 @@
 )
 
 // A wrong spill file is refused with its field and the reason.
-func TestWrongSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	const neighbour = `<neighbour cell="south"><controller>10.0.0.1:9</controller></neighbour>`
-	for _, c := range []struct{ file, says string }{
+	for _, c := range []struct{ file, wantPrefix string }{
 		{`<spill cell="north">` + neighbour + `</spill>`, ""},
 		{`<spill cell="north">`, "spill: "},
 		{`<spill/>`, "cell: missing"},
@@ -30,33 +30,33 @@
 	} {
 		_, err := ParseSettings([]byte(c.file), 18*model.Second, 38*model.Second)
 		switch {
-		case c.says == "" && err != nil:
+		case c.wantPrefix == "" && err != nil:
 			t.Errorf("%s: %v", c.file, err)
-		case c.says != "" && (err == nil || !strings.HasPrefix(err.Error(), c.says)):
-			t.Errorf("%s: %v, want %s", c.file, err, c.says)
+		case c.wantPrefix != "" && (err == nil || !strings.HasPrefix(err.Error(), c.wantPrefix)):
+			t.Errorf("%s: %v, want %s", c.file, err, c.wantPrefix)
 		}
 	}
 }
 
 // A neighbour that fails is asked less and less often, within a budget of retries; one that
 // answers slowly is used less.
-func TestContactBacksOff(t *testing.T) {
-	c, now, asked := OfferPacer{}, model.Micros(0), 0
+func TestOfferPacerBacksOff(t *testing.T) {
+	pacer, now, offers := OfferPacer{}, model.Micros(0), 0
 	for ; now < 600*model.Second; now += model.Second / 10 {
-		if c.Ready(now) {
-			asked++
-			c.RecordFailure(0, 0.5, now)
+		if pacer.Ready(now) {
+			offers++
+			pacer.RecordFailure(0, 0.5, now)
 		}
 	}
-	if asked < 15 || asked > 30 {
-		t.Errorf("asked %d times in 600 s of failures", asked)
+	if offers < 15 || offers > 30 {
+		t.Errorf("asked %d times in 600 s of failures", offers)
 	}
-	c.RecordSuccess(0, now)
-	if now += maxBackoff + maxBackoff/2; !c.Ready(now) {
+	pacer.RecordSuccess(0, now)
+	if now += maxBackoff + maxBackoff/2; !pacer.Ready(now) {
 		t.Error("not asked again after an answer")
 	}
-	c.RecordSuccess(3*model.Second, now)
-	if c.Ready(now + model.Second) {
+	pacer.RecordSuccess(3*model.Second, now)
+	if pacer.Ready(now + model.Second) {
 		t.Error("asked at once after a slow answer")
 	}
 }
