--- a/internal/spill/borrowed.go
+++ b/internal/spill/borrowed.go
@@ -2,41 +2,43 @@
 
 import "woadweir/internal/core/model"
 
-// BorrowedJob is a job that another cell has lent to this one, as the guest's holder sees it.
-// A new holder has no right to run anything until it has asked.
+// BorrowedJob is the state of a job that another cell has lent to this one, as kept by the
+// holder of this cell's shard (stored as an InRecord). After a change of the shard's holder
+// the new one has no execution lease until it has renewed it.
 type BorrowedJob struct {
 	Home  string
 	Token uint64
 
 	lease              ExecutionLease
-	trackedSince       model.Micros
-	started            bool // tasks of it were on machines
-	returnRequested    bool // it is to be returned
-	returned           bool // the record says that it is returned
-	lendingOver        bool // home has said that it is not lent any more
-	jobEnded           bool // as it has ended: home waits to hear that nothing is left here
-	returnAcknowledged bool // home has heard that
+	trackedSince       model.Micros // when this holder began to track the job
+	started            bool         // tasks of it have been on machines
+	returnRequested    bool         // it is to be returned
+	returned           bool         // the stored record has the state Returned
+	lendingOver        bool         // the home cell has answered Revoked or Ended
+	jobEnded           bool         // the answer was Ended: the home cell waits for the report that nothing is left here
+	returnAcknowledged bool         // the home cell has received that report
 }
 
-// NewBorrowedJob is a hosting without a right to run.
+// NewBorrowedJob returns the state of a borrowed job without an execution lease.
 func NewBorrowedJob(record *InRecord, now model.Micros) *BorrowedJob {
 	returned := record.State == Returned
 	return &BorrowedJob{Home: record.Home, Token: record.Token, trackedSince: now, returnRequested: returned, returned: returned}
 }
 
-// Permission tells what a guest may do with the tasks of a lent job.
+// Permission says what an execution cell may do with the tasks of a borrowed job.
 type Permission uint8
 
-// The phases of a lent job in its guest. Without the right, workers that have tasks of the job get no answer for a
-// while, so that the tasks live on until their lease runs out if the right comes back;
-// after that they are stopped.
+// The permissions. Without a valid execution lease, answers to the workers that have tasks of
+// the job are withheld for a while: the tasks run on until the worker lease expires, in case the
+// execution lease is renewed. After that the tasks are stopped.
 const (
 	MayRun Permission = iota
 	Withheld
 	Stopped
 )
 
-// Permission returns the phase at a time. withhold is how long answers are withheld.
+// Permission returns the permission at the time now. withholdTime is how long answers to workers
+// are withheld.
 func (b *BorrowedJob) Permission(withholdTime, now model.Micros) Permission {
 	switch {
 	case b.returnRequested || b.lendingOver:
@@ -52,43 +54,43 @@
 // MarkStarted records that tasks of the job are on machines.
 func (b *BorrowedJob) MarkStarted() { b.started = true }
 
-// HasStarted tells whether tasks of the job were on machines.
+// HasStarted reports whether tasks of the job have been on machines.
 func (b *BorrowedJob) HasStarted() bool { return b.started }
 
-// ReturnUnlessStarted requests a return if the job has not begun in the time that a guest
-// keeps it.
+// ReturnUnlessStarted requests a return if the job has not started within startTimeout.
 func (b *BorrowedJob) ReturnUnlessStarted(startTimeout, now model.Micros) {
 	if !b.started && now-b.trackedSince > startTimeout {
 		b.returnRequested = true
 	}
 }
 
-// RequestReturn has the job returned once nothing of it is bound.
+// RequestReturn requests that the job is returned once none of its tasks is bound.
 func (b *BorrowedJob) RequestReturn() { b.returnRequested = true }
 
-// IsReturnRequested tells that the job is to be returned once nothing of it is bound.
+// IsReturnRequested reports whether the job is to be returned once none of its tasks is bound.
 func (b *BorrowedJob) IsReturnRequested() bool { return b.returnRequested }
 
-// SetReturned records that the state service holds the return.
+// SetReturned records that the return is stored in the state service.
 func (b *BorrowedJob) SetReturned() { b.returnRequested, b.returned = true, true }
 
-// IsReturned tells that the state service holds the return.
+// IsReturned reports whether the return is stored in the state service.
 func (b *BorrowedJob) IsReturned() bool { return b.returned }
 
-// IsLendingOver tells that home has said that the job is not lent any more.
+// IsLendingOver reports whether the home cell has said that the job is no longer lent.
 func (b *BorrowedJob) IsLendingOver() bool { return b.lendingOver }
 
-// CanForget tells that home needs to hear nothing more of a job that is over here.
+// CanForget reports whether the lending is over and the home cell needs no further report.
 func (b *BorrowedJob) CanForget() bool { return b.lendingOver && (!b.jobEnded || b.returnAcknowledged) }
 
-// ReportsReturned tells whether home is to be told that nothing is left here. bound tells whether
-// any task is.
+// ReportsReturned reports whether the home cell is to be told that nothing of the job is left
+// here. bound says whether any task is still bound.
 func (b *BorrowedJob) ReportsReturned(bound bool) (returned bool) {
 	return !bound && (b.returned || b.jobEnded)
 }
 
-// ApplyVerdict takes a verdict of the home cell on a question that was sent at that time, and
-// told whether the job was reported as returned.
+// ApplyVerdict applies the home cell's verdict in the answer to a renewal that was sent at the
+// time sent. returned says whether that renewal reported the job as returned; age is the
+// answer's RenewalAnswer.Age.
 func (b *BorrowedJob) ApplyVerdict(verdict *Verdict, returned bool, sent, age model.Micros) {
 	if verdict.Token != b.Token {
 		return
--- a/internal/spill/messages.go
+++ b/internal/spill/messages.go
@@ -8,29 +8,31 @@
 
 // Errors of calls between cells.
 var (
-	// ErrNotHolder means that the controller asked does not hold its cell's shard: another
-	// one has to be asked.
+	// ErrNotHolder means that the called controller does not hold its cell's shard: another
+	// controller has to be called. The text goes to the caller in the gRPC status; "block" in
+	// it is the shard.
 	ErrNotHolder = errors.New("cell: this controller does not hold the block")
 	// ErrUnreachable means that no controller of the cell answered in time. The call may
-	// have arrived, or may yet arrive.
+	// have been received, or may still be.
 	ErrUnreachable = errors.New("cell: no answer")
 )
 
-// Offer is a home cell's question whether another cell takes a job.
+// Offer asks a neighbour to run a job of the home cell.
 type Offer struct {
 	Home string
-	// Token is the fencing token of the lending; 0 asks only whether the job would be
-	// taken.
+	// Token is the fencing token of the lending. With 0 the offer only asks whether the job
+	// would be accepted.
 	Token uint64
 	Spec  *model.Submission
-	Done  []byte
-	Trace string // the trace that the lending belongs to
+	Done  []byte // set of finished tasks
+	Trace string // trace context of the lending
 }
 
-// Refusal tells why a job is not taken.
+// Refusal says why an offer is refused.
 type Refusal string
 
-// Reasons of a refusal. Never is about the job or the cells' settings; the others pass.
+// The reasons for a refusal. CannotRun is due to the job or the cells' settings; the others are
+// temporary.
 const (
 	NotRefused Refusal = ""
 	Busy       Refusal = "own work waits"
@@ -41,63 +43,64 @@
 	Disabled   Refusal = "not spilling"
 )
 
-// OfferAnswer is the guest's answer.
+// OfferAnswer is the answer to an Offer.
 type OfferAnswer struct {
-	Cell        string // its name
+	Cell        string // name of the cell that answers
 	Refusal     Refusal
 	Detail      string // for logs
 	RetryAfter  model.Micros
 	WorkerLease model.Micros // lease_s of its workers
 }
 
-// Renewal is a guest cell's question for the right to run what a home cell has lent to
-// it, with what it knows of these jobs.
+// Renewal is an execution cell's request to grant or extend the execution leases on the jobs that
+// a home cell has lent to it, with a report on each job.
 type Renewal struct {
-	ExecutionCell string
+	ExecutionCell string // guest on the wire
 	WorkerLease   model.Micros
 	Jobs          []JobReport
 }
 
-// JobReport is what a guest tells of a lent job.
+// JobReport is what an execution cell reports on a borrowed job.
 type JobReport struct {
 	Job   string
 	Token uint64
-	// Returned tells that nothing of it is bound, and never will be under this token: the
-	// guest's state service says so, or the home cell has said that the job has ended.
+	// Returned is set if nothing of the job is bound, and never will be under this token: the
+	// execution cell has stored the return, or the home cell has said that the job has ended.
 	Returned bool
-	// Complete tells that all of the job is done; of an array Done says so, too.
+	// Complete is set if the whole job is done. For an array Done says so, too.
 	Complete bool
 	Running  int    // tasks on machines
-	Done     []byte // finished tasks
+	Done     []byte // set of finished tasks
 }
 
-// VerdictKind is what a home cell says of a lent job.
+// VerdictKind is the home cell's decision on a lent job.
 type VerdictKind uint8
 
-// Verdicts. Undecided promises nothing and changes nothing.
+// The verdicts. Undecided promises nothing and changes nothing.
 const (
 	Undecided VerdictKind = iota
-	Granted               // the guest may run it for the lease
-	Recalled              // the guest is to return it
-	Revoked               // it is not lent under this token, and never will be again
-	Ended                 // it has ended
+	Granted               // the execution lease is granted or extended
+	Recalled              // the execution cell is to return the job
+	Revoked               // the job is not lent under this token, and never will be again
+	Ended                 // the job has ended
 )
 
-// Verdict is the home cell's answer about a job.
+// Verdict is the home cell's answer for one job of a Renewal.
 type Verdict struct {
 	Job       string
 	Token     uint64
 	Kind      VerdictKind
-	Lease     model.Micros // of a granted right
-	End       string       // of an ended one
-	Confirmed []byte       // finished tasks that home has stored
+	Lease     model.Micros // length of the execution lease, if Granted
+	End       string       // final status of the job, if Ended
+	Confirmed []byte       // set of finished tasks that the home cell has stored
 }
 
 // RenewalAnswer is the home cell's answer to a Renewal.
 type RenewalAnswer struct {
 	Home string
-	// Age is how long before the answer the request was sent with which home last caught
-	// up with its state service.
+	// Age is the age of the state that the answer is based on: the time from when the home
+	// cell sent the request with which it last caught up with its state service until the
+	// answer.
 	Age  model.Micros
 	Jobs []Verdict
 }
--- a/internal/spill/model_test.go
+++ b/internal/spill/model_test.go
@@ -8,29 +8,30 @@
 	"woadweir/internal/core/model"
 )
 
-// lendingModel is one job between a home cell and a guest, with everything round the two
-// pure cores that the argument in docs/spill.md speaks of: durable records, holders that
-// end, a link that holds, repeats and reorders, a cancellation that home's holder has not
-// heard of, and a worker in the guest that answers can't reach.
+// lendingModel models one job between a home cell and an execution cell: LentJob and BorrowedJob
+// together with everything around them that the safety argument in docs/spill.md depends on.
+// These are durable records, shard holders that end, a connection that delays, duplicates and
+// reorders messages, a cancellation that the home shard's holder does not know of yet, and a
+// worker in the execution cell that receives no answers.
 type lendingModel struct {
 	now      model.Micros
 	t        *rapid.T
-	record   OutRecord // home's durable record
-	inRecord *InRecord // the guest's durable record
-	syncedAt model.Micros
+	record   OutRecord    // the home cell's durable record
+	inRecord *InRecord    // the execution cell's durable record
+	syncedAt model.Micros // when the home cell last caught up with its state service
 
-	lent       *LentJob     // home's holder, nil: none
-	bound      bool         // home has a task of it bound, on a durable record
-	takingBack bool         // home's write is on its way
-	borrowed   *BorrowedJob // the guest's holder, nil: none
+	lent       *LentJob     // held by the home shard's holder, nil: there is no holder
+	bound      bool         // the home cell has a task bound, based on a durable record
+	takingBack bool         // the home cell's write of the state Home is in flight
+	borrowed   *BorrowedJob // held by the execution cell's shard holder, nil: nothing is borrowed
 	offers     []uint64
 	renewals   []modelRenewal
 	answers    []modelAnswer
 
 	cancelledAt     model.Micros // 0: not cancelled
-	running         bool         // a task is on the guest's machine
+	running         bool         // a task is on the execution cell's machine
 	workerReachable bool         // answers reach that machine's worker
-	answeredAt      model.Micros // when its last answered report was sent
+	answeredAt      model.Micros // when the worker sent the last heartbeat that was answered
 }
 
 type modelRenewal struct {
@@ -54,18 +55,18 @@
 	modelAuthorityTimeout = 8 * model.Second
 )
 
-// hasAuthority tells whether home's holder may answer.
+// hasAuthority reports whether the home shard's holder may answer renewals.
 func (m *lendingModel) hasAuthority() bool {
 	return m.lent != nil && m.now-m.syncedAt < modelAuthorityTimeout
 }
 
-// lend is a new lending, under the next token.
+// lend starts a new lending under the next token.
 func (m *lendingModel) lend() {
 	m.record = OutRecord{Cell: executionCell, Token: m.record.Token + 1, State: Lent, LeaseUs: int64(modelLease), WorkerLeaseUs: int64(modelWorkerLease)}
 	m.lent, m.bound = NewLentJob(m.record, m.now), false
 }
 
-// advance lets time go by; the worker reports and its lease runs out.
+// advance lets time pass. Meanwhile the worker sends heartbeats, and its lease may expire.
 func (m *lendingModel) advance(duration model.Micros) {
 	for end := m.now + duration; m.now < end; {
 		m.now += model.Second / 4
@@ -79,7 +80,8 @@
 	}
 }
 
-// reportWorker is the worker's: it is answered, answered with a stop, or not at all.
+// reportWorker is a heartbeat of the worker: it is answered, answered with a stop, or not
+// answered.
 func (m *lendingModel) reportWorker() {
 	switch m.borrowed.Permission(modelWithholdTime, m.now) {
 	case MayRun:
@@ -91,16 +93,19 @@
 	}
 }
 
+// checkInvariants fails the test if the job is on machines in both cells, or too long after its
+// cancellation.
 func (m *lendingModel) checkInvariants() {
 	if m.running && m.bound {
-		m.t.Fatalf("%.2f s: it runs in both cells", m.now.Seconds())
+		m.t.Fatalf("%.2f s: the job runs in both cells", m.now.Seconds())
 	}
 	if m.running && m.cancelledAt != 0 && m.now > m.cancelledAt+modelCancelTime {
-		m.t.Fatalf("%.2f s: it runs after its cancellation at %.2f s", m.now.Seconds(), m.cancelledAt.Seconds())
+		m.t.Fatalf("%.2f s: the job still runs after its cancellation at %.2f s", m.now.Seconds(), m.cancelledAt.Seconds())
 	}
 }
 
-// drawMessage draws one of the messages on their way; it stays there, so that copies come.
+// drawMessage draws one of the latest messages. It is not removed, so that it may be delivered
+// again.
 func drawMessage[T any](m *lendingModel, list []T) (item T, ok bool) {
 	if len(list) == 0 {
 		return item, false
@@ -108,18 +113,19 @@
 	return list[rapid.IntRange(max(0, len(list)-4), len(list)-1).Draw(m.t, "message")], true
 }
 
-// actions are what may happen at any moment.
+// actions returns the events that may happen at any moment. The empty name is rapid's invariant
+// check.
 func (m *lendingModel) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"": func(*rapid.T) { m.checkInvariants() },
 		"time passes": func(*rapid.T) {
 			m.advance(model.Micros(rapid.IntRange(1, 12).Draw(m.t, "quarters")) * model.Second / 4)
 		},
-		"long time":     func(*rapid.T) { m.advance(model.Micros(rapid.IntRange(5, 40).Draw(m.t, "seconds")) * model.Second) },
-		"home syncs":    func(*rapid.T) { m.syncedAt = m.now },
-		"home offers":   func(*rapid.T) { m.offers = append(m.offers, m.record.Token) },
-		"offer arrives": func(*rapid.T) { m.receiveOffer() },
-		"all goes well": func(*rapid.T) { // else most schedules come to nothing
+		"long time passes": func(*rapid.T) { m.advance(model.Micros(rapid.IntRange(5, 40).Draw(m.t, "seconds")) * model.Second) },
+		"home syncs":       func(*rapid.T) { m.syncedAt = m.now },
+		"home offers":      func(*rapid.T) { m.offers = append(m.offers, m.record.Token) },
+		"offer arrives":    func(*rapid.T) { m.receiveOffer() },
+		"lending succeeds": func(*rapid.T) { // without it, the job is never run in most schedules
 			m.syncedAt = m.now
 			m.offers = append(m.offers, m.record.Token)
 			m.receiveOffer()
@@ -128,40 +134,40 @@
 			m.receiveAnswer()
 			m.advance(model.Second / 2)
 		},
-		"the guest renews": func(*rapid.T) { // on what home knows
+		"execution cell renews": func(*rapid.T) { // based on what the home cell knows
 			m.sendRenewal()
 			m.answerRenewal()
 			m.receiveAnswer()
 		},
-		"guest asks":     func(*rapid.T) { m.sendRenewal() },
-		"home answers":   func(*rapid.T) { m.answerRenewal() },
-		"answer arrives": func(*rapid.T) { m.receiveAnswer() },
-		"home's step":    func(*rapid.T) { m.stepHome() },
+		"renewal is sent":      func(*rapid.T) { m.sendRenewal() },
+		"home answers renewal": func(*rapid.T) { m.answerRenewal() },
+		"answer arrives":       func(*rapid.T) { m.receiveAnswer() },
+		"home holder steps":    func(*rapid.T) { m.stepHome() },
 		"home takes back": func(*rapid.T) {
 			m.syncedAt = m.now
 			m.stepHome()
 		},
-		"home commits": func(*rapid.T) { m.commitHome() },
-		"guest's step": func(*rapid.T) { m.stepExecutionCell() },
+		"home commits":         func(*rapid.T) { m.commitHome() },
+		"execution cell steps": func(*rapid.T) { m.stepExecutionCell() },
 		"home recalls": func(*rapid.T) {
 			if m.lent != nil {
 				m.lent.Recall(m.now)
 			}
 		},
-		"home's holder ends": func(*rapid.T) { m.lent, m.takingBack = nil, false },
-		"home takes over": func(*rapid.T) {
+		"home holder ends": func(*rapid.T) { m.lent, m.takingBack = nil, false },
+		"home holder takes over": func(*rapid.T) {
 			if m.lent == nil && m.record.State == Lent {
 				m.lent, m.syncedAt = RestoreLentJob(m.record, m.now), m.now
 			}
 		},
-		"guest's holder changes": func(*rapid.T) {
+		"execution cell's holder changes": func(*rapid.T) {
 			if m.borrowed = nil; m.inRecord != nil {
 				m.borrowed = NewBorrowedJob(m.inRecord, m.now)
 			}
 		},
-		"the worker is cut off": func(*rapid.T) { m.workerReachable = !m.workerReachable },
-		"cancelled": func(*rapid.T) {
-			if m.cancelledAt == 0 && rapid.IntRange(0, 3).Draw(m.t, "asked") == 0 {
+		"worker connection changes": func(*rapid.T) { m.workerReachable = !m.workerReachable },
+		"job is cancelled": func(*rapid.T) {
+			if m.cancelledAt == 0 && rapid.IntRange(0, 3).Draw(m.t, "one in four") == 0 {
 				m.cancelledAt = m.now
 			}
 		},
@@ -173,8 +179,8 @@
 	}
 }
 
-// offerArrives has the guest take a job, as whyNot in internal/controller does: not while an
-// older lending is there.
+// receiveOffer lets the execution cell accept the job, unless an older lending is still there, as
+// refusal in internal/controller does.
 func (m *lendingModel) receiveOffer() {
 	token, ok := drawMessage(m, m.offers)
 	if !ok || m.inRecord != nil || m.running {
@@ -211,7 +217,7 @@
 	}
 }
 
-// homeStep has home's holder decide to take the job back.
+// stepHome lets the home shard's holder take the job back if there is proof that this is safe.
 func (m *lendingModel) stepHome() {
 	if m.lent != nil && m.hasAuthority() {
 		if _, proven := m.lent.TakeBack(m.now); proven {
@@ -220,7 +226,7 @@
 	}
 }
 
-// homeCommits makes that durable; then a task may be bound at home.
+// commitHome makes that decision durable. Then a task may be bound in the home cell.
 func (m *lendingModel) commitHome() {
 	if m.takingBack {
 		m.record.State = Home
@@ -229,7 +235,7 @@
 	}
 }
 
-// guestStep returns and forgets what is to be.
+// stepExecutionCell returns or forgets the job if that is due.
 func (m *lendingModel) stepExecutionCell() {
 	if m.borrowed == nil || m.inRecord == nil {
 		return
@@ -245,8 +251,9 @@
 	}
 }
 
-// Whatever happens between two cells and in whatever order, a job is never on machines in
-// both, nor too long after its cancellation.
+// A lent job must never be on machines in both cells, nor for too long after its cancellation.
+// Lost, late and duplicate messages and changes of shard holders could break this. Random
+// schedules of these events are checked.
 func TestLendingModel(t *testing.T) {
 	schedulesWithRun := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -259,6 +266,6 @@
 		}
 	})
 	if schedulesWithRun == 0 {
-		t.Error("the guest never ran it")
+		t.Error("the execution cell ran the job in no schedule")
 	}
 }
--- a/internal/spill/pacer.go
+++ b/internal/spill/pacer.go
@@ -2,29 +2,30 @@
 
 import "woadweir/internal/core/model"
 
-// Pacing of calls to a neighbour.
+// Limits on the rate of offers to a neighbour.
 const (
 	minBackoff              = model.Second
 	maxBackoff              = 30 * model.Second
-	maxBackoffDoublings     = 5   // of the backoff
-	minJitterFraction       = 0.5 // of the backoff that is waited for at least
+	maxBackoffDoublings     = 5
+	minJitterFraction       = 0.5 // lower bound of the pause, as a fraction of the backoff
 	slowResponseThreshold   = model.Second
-	slowResponsePauseFactor = 10   // pause after a slow answer, in times that it responseTime
-	maxRetryBudget          = 10.0 // retries at once
-	retryBudgetPerSecond    = 0.2  // retries a second
+	slowResponsePauseFactor = 10   // pause after a slow answer, as a multiple of its response time
+	maxRetryBudget          = 10.0 // largest burst of retries
+	retryBudgetPerSecond    = 0.2
 )
 
-// OfferPacer paces the offers to a neighbour: exponential backoff with jitter after failures
-// and refusals, and a budget of retries. A neighbour that answers slowly is used less.
+// OfferPacer limits the rate of offers to one neighbour: exponential backoff with jitter after
+// failures and refusals, and a token bucket for retries. A neighbour that answers slowly gets
+// fewer offers.
 type OfferPacer struct {
-	failures    int // in a row
+	failures    int // consecutive
 	notBefore   model.Micros
-	retryBudget float64      // of retries
-	refilledAt  model.Micros // when the budget was last refilled
+	retryBudget float64      // retries allowed now
+	refilledAt  model.Micros // when retryBudget was last refilled
 	started     bool
 }
 
-// Ready tells whether the neighbour may be asked now.
+// Ready refills the retry budget and reports whether an offer may be sent now.
 func (p *OfferPacer) Ready(now model.Micros) bool {
 	if !p.started {
 		p.started, p.retryBudget, p.refilledAt = true, maxRetryBudget, now
@@ -34,7 +35,7 @@
 	return now >= p.notBefore && (p.failures == 0 || p.retryBudget >= 1)
 }
 
-// RecordSuccess records an answer that took so long.
+// RecordSuccess records an answer that arrived after responseTime.
 func (p *OfferPacer) RecordSuccess(responseTime, now model.Micros) {
 	p.failures = 0
 	if responseTime > slowResponseThreshold {
@@ -42,8 +43,8 @@
 	}
 }
 
-// RecordFailure records that there was no answer, or a refusal that asks for a pause. jitter is
-// drawn from 0 to 1.
+// RecordFailure records a call without an answer, or a refusal that asks for a pause of
+// retryAfter. jitter is a random number between 0 and 1.
 func (p *OfferPacer) RecordFailure(retryAfter model.Micros, jitter float64, now model.Micros) {
 	if p.failures > 0 {
 		p.retryBudget = max(0, p.retryBudget-1)
--- a/internal/spill/settings.go
+++ b/internal/spill/settings.go
@@ -9,7 +9,7 @@
 	"woadweir/internal/core/model"
 )
 
-// Defaults and bounds of the spill file.
+// Defaults and limits of the spill settings file.
 const (
 	defaultWaitS      = 30
 	defaultLeaseS     = 10
@@ -17,24 +17,24 @@
 	defaultStartS     = 30
 	defaultMostLent   = 64
 	maxSeconds        = 3600
-	minLeaseS         = 3 // a shorter right does not outlive one lost question
+	minLeaseS         = 3 // a shorter execution lease would expire after one lost renewal
 	maxMostLent       = 100_000
 	maxCellNameLength = 63
 	cellNameAlphabet  = "abcdefghijklmnopqrstuvwxyz0123456789-"
 )
 
-// unknownElement is an element that the spill file does not have.
+// unknownElement is an element that spill settings do not have.
 type unknownElement struct{ XMLName xml.Name }
 
-// neighbourSettings is another cell in the spill file.
+// neighbourSettings is a neighbour as written in the spill settings file.
 type neighbourSettings struct {
 	Cell        string           `xml:"cell,attr"`
 	Controllers []string         `xml:"controller"`
 	Unknown     []unknownElement `xml:",any"`
 }
 
-// settings is the operators' spill file. Numbers are lists, so that an element that
-// stands twice is seen.
+// settings is the spill settings file as operators write it. Numbers are lists, so that
+// duplicate elements are detected.
 type settings struct {
 	XMLName    xml.Name            `xml:"spill"`
 	Cell       string              `xml:"cell,attr"`
@@ -47,30 +47,30 @@
 	Unknown    []unknownElement    `xml:",any"`
 }
 
-// FieldError is a setting that is wrong.
+// FieldError reports an invalid setting.
 type FieldError struct{ Field, Reason string }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// Neighbour is another cell of the operator.
+// Neighbour is another cell of the same operator.
 type Neighbour struct {
 	Cell string
-	// Controllers are the addresses at which its controllers answer other controllers.
+	// Controllers are the addresses at which its controllers answer calls of other controllers.
 	Controllers []string
 }
 
-// Policy is a checked spill file.
+// Policy holds the validated spill settings.
 type Policy struct {
 	Cell         string
 	Neighbours   []Neighbour
-	MinWait      model.Micros // how long a job has to have waited before it is lent
-	Lease        model.Micros // of a guest's right to run a job
-	MinStay      model.Micros // how long what has come back stays
-	StartTimeout model.Micros // how long a guest keeps what has not started
-	MaxLent      int          // jobs lent at the same time
+	MinWait      model.Micros // wait-s: a job that has waited for less is not lent
+	Lease        model.Micros // lease-s: length of an execution lease
+	MinStay      model.Micros // stay-s: a job that came back is not lent again before
+	StartTimeout model.Micros // start-s: a borrowed job that has not started by then is returned
+	MaxLent      int          // most-lent: maximum number of jobs lent at the same time
 }
 
-// HasNeighbour tells whether a cell is a neighbour.
+// HasNeighbour reports whether a cell is a neighbour.
 func (p *Policy) HasNeighbour(cell string) bool {
 	for i := range p.Neighbours {
 		if p.Neighbours[i].Cell == cell {
@@ -80,8 +80,8 @@
 	return false
 }
 
-// ParseSettings reads and checks a spill file against the deployment's own lease of
-// workers and time for a cancellation.
+// ParseSettings parses and validates a spill settings file. workerLease is the lease of this
+// deployment's workers, and cancelTime the time that a cancellation may take.
 func ParseSettings(raw []byte, workerLease, cancelTime model.Micros) (*Policy, error) {
 	var file settings
 	if err := xml.Unmarshal(raw, &file); err != nil {
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	if !FitsCancel(policy.Lease, workerLease, cancelTime) {
-		return nil, &FieldError{"lease-s", fmt.Sprintf("%v s of right, %v s of workers' lease and a margin do not fit into cancel_s = %v", policy.Lease.Seconds(), workerLease.Seconds(), cancelTime.Seconds())}
+		return nil, &FieldError{"lease-s", fmt.Sprintf("%v s of right to run a borrowed job, a worker lease of %v s and the safety margin do not fit into cancel_s = %v", policy.Lease.Seconds(), workerLease.Seconds(), cancelTime.Seconds())}
 	}
 	return policy, nil
 }
@@ -111,7 +111,7 @@
 	case name == "":
 		return &FieldError{field, "missing"}
 	case len(name) > maxCellNameLength || strings.Trim(name, cellNameAlphabet) != "":
-		return &FieldError{field, fmt.Sprintf("%q is not made of small letters, digits and hyphens, at most %d", name, maxCellNameLength)}
+		return &FieldError{field, fmt.Sprintf("%q is not made of lower-case letters, digits and hyphens, or is longer than %d characters", name, maxCellNameLength)}
 	}
 	return nil
 }
@@ -130,7 +130,7 @@
 		case p.HasNeighbour(entry.Cell):
 			return &FieldError{field, "named twice"}
 		case len(entry.Controllers) == 0:
-			return &FieldError{field, "no controller"}
+			return &FieldError{field, "no controller is given"}
 		}
 		neighbour := Neighbour{Cell: entry.Cell}
 		for _, text := range entry.Controllers {
@@ -145,7 +145,8 @@
 	return nil
 }
 
-// readNumbers takes the numbers of the file, or their defaults.
+// readNumbers sets the policy's numbers from the file or, where the file has none, to their
+// defaults.
 func (p *Policy) readNumbers(file *settings) error {
 	var mostLent float64
 	numbers := []struct {
@@ -163,7 +164,7 @@
 	}
 	for _, number := range numbers {
 		if len(number.values) > 1 {
-			return &FieldError{number.field, "stands twice"}
+			return &FieldError{number.field, "given twice"}
 		}
 		if len(number.values) == 1 {
 			number.value = number.values[0]
