--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -20,15 +20,15 @@
 }
 
 // NewBudget makes a full budget.
-func NewBudget(share, highest float64) *Budget {
-	highest = max(share, highest)
-	return &Budget{share: share, maxRate: highest, rate: highest, tokens: highest}
+func NewBudget(share, maxRate float64) *Budget {
+	maxRate = max(share, maxRate)
+	return &Budget{share: share, maxRate: maxRate, rate: maxRate, tokens: maxRate}
 }
 
 // SetRate changes the share and the highest rate.
-func (b *Budget) SetRate(share, highest float64, now model.Micros) {
+func (b *Budget) SetRate(share, maxRate float64, now model.Micros) {
 	b.refill(now)
-	b.share, b.maxRate = share, max(share, highest)
+	b.share, b.maxRate = share, max(share, maxRate)
 	b.rate = b.maxRate
 	b.tokens = min(b.tokens, b.burst())
 }
--- a/internal/state/bundles.go
+++ b/internal/state/bundles.go
@@ -30,7 +30,7 @@
 
 // Bundles gives the slots of a shard's bundles with their entries, in the order in which
 // they were written.
-func (v *View) Bundles(shardName string) (slots []int, names [][]string) {
+func (v *View) Bundles(shardName string) (slots []int, entryNames [][]string) {
 	type slotBundle struct {
 		slot   int
 		bundle *bundleView
@@ -51,9 +51,9 @@
 	})
 	for _, b := range bundles {
 		slots = append(slots, b.slot)
-		names = append(names, b.bundle.entryNames)
+		entryNames = append(entryNames, b.bundle.entryNames)
 	}
-	return slots, names
+	return slots, entryNames
 }
 
 // Machines calls visit with the latest record of every machine.
@@ -117,7 +117,7 @@
 	return !deletedMachine || copies > 1
 }
 
-// putBundle applies a bundle, and drops the entries that only its former version had.
+// putBundle applies a bundle, and drops the entries that only its previous version had.
 func (v *View) putBundle(key string, record *shard.BundleRecord, revision uint64) {
 	if record.Dense {
 		v.NewestLayout = LayoutDense
@@ -131,8 +131,8 @@
 			v.putEntry(shard.DoneEntry+name, entryView{done: done, bundle: key}, revision)
 		}
 	}
-	if former := v.bundles[key]; former != nil {
-		for _, name := range former.entryNames {
+	if previous := v.bundles[key]; previous != nil {
+		for _, name := range previous.entryNames {
 			if !record.Has(name) {
 				v.dropEntry(name, key)
 			}
@@ -156,8 +156,8 @@
 // putEntry applies an entry of a bundle, unless a newer version of it is known.
 func (v *View) putEntry(name string, entry entryView, revision uint64) {
 	if old := v.entries[name]; old != nil && old.bundle != entry.bundle {
-		if other := v.bundles[old.bundle]; other != nil && other.revision >= revision {
-			if other.revision > revision {
+		if oldBundle := v.bundles[old.bundle]; oldBundle != nil && oldBundle.revision >= revision {
+			if oldBundle.revision > revision {
 				return
 			}
 			entry.duplicate = old.bundle
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -32,19 +32,19 @@
 // NewClient makes a client for the address.
 func NewClient(address string) *Client { return &Client{jsonhttp.New(address, maxConnections)} }
 
-// do makes a request and decodes the response's body into out, if out is not nil and the
+// do makes a request and decodes the response's body into responseBody, if it is not nil and the
 // status is one with a body.
-func (c *Client) do(method, uri string, in, out any, timeout model.Micros) (code int, err error) {
+func (c *Client) do(method, uri string, requestBody, responseBody any, timeout model.Micros) (code int, err error) {
 	answered := false
-	err = c.http.Do(method, uri, in, timeout, func(status int, body []byte) error {
+	err = c.http.Do(method, uri, requestBody, timeout, func(status int, body []byte) error {
 		code, answered = status, true
 		switch {
 		case code == http.StatusTooManyRequests:
 			return ErrBusy
 		case code == http.StatusServiceUnavailable:
 			return ErrRefused
-		case out != nil && hasBody(code):
-			if err := json.Unmarshal(body, out); err != nil {
+		case responseBody != nil && hasBody(code):
+			if err := json.Unmarshal(body, responseBody); err != nil {
 				return fmt.Errorf("%w: %w", ErrLost, err)
 			}
 		}
