--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -9,7 +9,8 @@
 	"woadweir/internal/core/shard"
 )
 
-// A view of 1,900 machines takes a bundle with the records of forty of them in.
+// Measures how long a view of 1,900 machines takes to apply a bundle with the records of 40 of
+// them.
 func BenchmarkView(b *testing.B) {
 	view := NewView()
 	for i := range 2000 {
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -2,30 +2,31 @@
 
 import "woadweir/internal/core/model"
 
-// rateRecoveryPerSecond is the part of the highest rate by which the rate grows back in a second.
+// rateRecoveryPerSecond is the fraction of the maximum rate by which a lowered rate recovers each
+// second.
 const rateRecoveryPerSecond = 0.1
 
-// minBurst is how many requests a budget may always save up.
+// minBurst is the smallest burst that a budget allows, whatever its rate.
 const minBurst = 2
 
-// Budget is one controller's part of a rate limit that several share: a token bucket
-// with a burst of one second's worth. The controller always owns its share; as long as
-// the service rejects nothing, it may use up to the highest rate. A Budget must not be
-// used by several goroutines.
+// Budget is one controller's part of a rate limit that all controllers share: a token bucket
+// with a burst of one second's worth of requests. The controller can always use its share, and
+// up to the maximum rate as long as the service rejects nothing. A Budget is not safe for
+// concurrent use.
 type Budget struct {
 	share, maxRate float64 // per second
-	rate           float64 // at present, per second
+	rate           float64 // present rate, per second
 	tokens         float64
 	updatedAt      model.Micros
 }
 
-// NewBudget makes a full budget.
+// NewBudget returns a full budget.
 func NewBudget(share, maxRate float64) *Budget {
 	maxRate = max(share, maxRate)
 	return &Budget{share: share, maxRate: maxRate, rate: maxRate, tokens: maxRate}
 }
 
-// SetRate changes the share and the highest rate.
+// SetRate changes the share and the maximum rate, and sets the rate to the maximum.
 func (b *Budget) SetRate(share, maxRate float64, now model.Micros) {
 	b.refill(now)
 	b.share, b.maxRate = share, max(share, maxRate)
@@ -33,7 +34,7 @@
 	b.tokens = min(b.tokens, b.burst())
 }
 
-// Rate is how many requests a second are allowed at present.
+// Rate returns how many requests per second are allowed at present.
 func (b *Budget) Rate() float64 { return b.rate }
 
 func (b *Budget) burst() float64 { return max(b.rate, minBurst) }
@@ -48,20 +49,20 @@
 	b.updatedAt = now
 }
 
-// Left is how many requests may be made now.
+// Left returns how many requests may be made now.
 func (b *Budget) Left(now model.Micros) int {
 	b.refill(now)
 	return max(0, int(b.tokens))
 }
 
-// Spend takes n requests off the budget, which may become negative.
+// Spend deducts n requests from the budget, which may become negative.
 func (b *Budget) Spend(n int, now model.Micros) {
 	b.refill(now)
 	b.tokens -= float64(n)
 }
 
-// Drain empties the budget after the service has rejected a request as one too many, and
-// moves the rate halfway back to the share.
+// Drain empties the budget after the service has rejected a request because of the rate limit,
+// and moves the rate halfway back to the share.
 func (b *Budget) Drain(now model.Micros) {
 	b.refill(now)
 	b.rate = (b.rate + b.share) / 2
--- a/internal/state/bundles.go
+++ b/internal/state/bundles.go
@@ -10,26 +10,26 @@
 	"woadweir/internal/core/shard"
 )
 
-// bundleView is what the view knows of a bundle: one key that holds the records of many
+// bundleView is the view's information on a bundle: one key that holds the records of many
 // machines and jobs.
 type bundleView struct {
 	revision   uint64
-	entryNames []string // of its entries, see shard.BundleRecord.Names
+	entryNames []string // see shard.BundleRecord.Names
 }
 
-// entryView is the latest version of a bundle's entry: the record of a machine, nil if
-// the machine is gone, or the finished tasks of a job.
+// entryView is the latest version of a bundle entry: the record of a machine, nil if the machine
+// is gone, or the set of finished tasks of a job.
 type entryView struct {
 	machine *shard.MachineRecord
 	done    []byte
-	bundle  string // the key of the bundle that it was read from
-	// duplicate is the key of another bundle with the same version, written in the same
-	// transaction: if one bundle drops the entry, it still stands in the other.
+	bundle  string // key of the bundle that the entry was read from
+	// duplicate is the key of another bundle that has the same version of the entry, written in
+	// the same transaction: if one bundle drops the entry, the other still has it.
 	duplicate string
 }
 
-// Bundles gives the slots of a shard's bundles with their entries, in the order in which
-// they were written.
+// Bundles returns the slots of a shard's bundles with the names of their entries, in the order in
+// which the bundles were written.
 func (v *View) Bundles(shardName string) (slots []int, entryNames [][]string) {
 	type slotBundle struct {
 		slot   int
@@ -65,8 +65,8 @@
 	}
 }
 
-// Done is the set of a job's finished tasks. A large job is stored in parts; an entry of
-// the whole job counts too, until all parts have replaced it.
+// Done returns the set of a job's finished tasks. The set of a large job is stored in parts; an
+// entry for the whole job counts too, until all parts have replaced it.
 func (v *View) Done(jobID string) model.TaskSet {
 	var done model.TaskSet
 	job := v.Jobs[jobID]
@@ -87,9 +87,9 @@
 	return done
 }
 
-// UnusedBundles calls visit for every bundle that is no longer needed: no entry is the
-// latest version of a machine or of an unfinished job, nor says that a machine is gone of
-// which an older version stands elsewhere.
+// UnusedBundles calls visit for every bundle that is no longer needed. None of its entries is the
+// latest version of a machine or of an unfinished job, or records that a machine is gone while
+// another bundle still has an older version of it.
 func (v *View) UnusedBundles(visit func(key string, revision uint64)) {
 	copies := map[string]int{}
 	for _, bundle := range v.bundles {
@@ -105,9 +105,9 @@
 	}
 }
 
-// needsEntry tells whether the entry of this bundle still counts. The record of a
-// deleted machine does as long as another copy exists, which would otherwise bring the
-// machine back.
+// needsEntry reports whether this bundle's version of the entry is still needed. The record of a
+// deleted machine is needed as long as another bundle has an entry of that machine: otherwise the
+// machine would reappear from it.
 func (v *View) needsEntry(name, bundleKey string, copies int) bool {
 	entry := v.entries[name]
 	if entry == nil || entry.bundle != bundleKey && entry.duplicate != bundleKey {
@@ -117,7 +117,7 @@
 	return !deletedMachine || copies > 1
 }
 
-// putBundle applies a bundle, and drops the entries that only its previous version had.
+// putBundle applies a bundle and drops the entries that only its previous version had.
 func (v *View) putBundle(key string, record *shard.BundleRecord, revision uint64) {
 	if record.Dense {
 		v.NewestLayout = LayoutDense
@@ -168,7 +168,7 @@
 	v.countBoundTasks(name, 1)
 }
 
-// dropEntry removes an entry from one bundle; a duplicate in another one stays.
+// dropEntry removes an entry of one bundle. A duplicate in another bundle stays.
 func (v *View) dropEntry(name, bundleKey string) {
 	switch entry := v.entries[name]; {
 	case entry == nil:
@@ -182,7 +182,7 @@
 	}
 }
 
-// dropDoneEntries removes the finished tasks of a job that has ended.
+// dropDoneEntries removes the sets of finished tasks of a job that has ended.
 func (v *View) dropDoneEntries(jobID string, tasks int) {
 	delete(v.entries, shard.DoneEntry+jobID)
 	if tasks <= model.TasksPerPart {
@@ -193,8 +193,8 @@
 	}
 }
 
-// countBoundTasks adds the tasks of a machine's entry to the jobs' numbers of bound
-// tasks, or subtracts them if sign is -1.
+// countBoundTasks adds the tasks of a machine's entry to the jobs' counts of bound tasks, or
+// subtracts them if sign is -1.
 func (v *View) countBoundTasks(name string, sign int) {
 	entry := v.entries[name]
 	if entry == nil || entry.machine == nil {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -1,7 +1,6 @@
 // Package state is the client of the state service, a key-value store with revisions,
-// compare-and-swap transactions, watches and leases. It also holds the records that the
-// controllers keep there, the replica of them that every controller reads from, and the
-// budget of requests.
+// compare-and-swap transactions, watches and leases. It also has the records that the controllers
+// store there, the replica of them that every controller reads from, and the request budget.
 package state
 
 import (
@@ -17,23 +16,23 @@
 )
 
 const (
-	// maxConnections is how many requests a client has open at the same time.
+	// maxConnections is the maximum number of concurrent requests of a client.
 	maxConnections = 16
-	// pageSize is how many entries the state service is asked for at once.
+	// pageSize is the maximum number of entries in one page of a listing.
 	pageSize = 1000
-	// noSuchLeaseText is how the state service says in a response with status 400 that a
-	// transaction names a lease that does not exist.
+	// noSuchLeaseText is part of the error in a response with status 400 to a transaction that
+	// names a lease that does not exist.
 	noSuchLeaseText = "no such lease"
 )
 
-// Client makes requests to the state service.
+// Client sends requests to the state service.
 type Client struct{ http *jsonhttp.Client }
 
-// NewClient makes a client for the address.
+// NewClient returns a client for the state service at the address.
 func NewClient(address string) *Client { return &Client{jsonhttp.New(address, maxConnections)} }
 
-// do makes a request and decodes the response's body into responseBody, if it is not nil and the
-// status is one with a body.
+// do sends a request and decodes the response's body into responseBody, if responseBody is not nil
+// and responses with that status have a body.
 func (c *Client) do(method, uri string, requestBody, responseBody any, timeout model.Micros) (code int, err error) {
 	answered := false
 	err = c.http.Do(method, uri, requestBody, timeout, func(status int, body []byte) error {
@@ -60,7 +59,7 @@
 	return code == http.StatusOK || code == http.StatusBadRequest || code == http.StatusConflict
 }
 
-// Get reads a key; ErrMissing tells that it does not exist.
+// Get reads a key. It returns ErrMissing if the key does not exist.
 func (c *Client) Get(key string, timeout model.Micros) (*Entry, error) {
 	var entry Entry
 	code, err := c.do(http.MethodGet, "/keys/"+key, nil, &entry, timeout)
@@ -75,13 +74,13 @@
 	return &entry, nil
 }
 
-// List reads all keys, page by page. The revision is that of the first page: watching
-// from there misses nothing, and applying a change twice is harmless.
+// List reads all keys, page by page. The returned revision is that of the first page: a watch from
+// there misses no change, and applying a change twice is harmless.
 func (c *Client) List(timeout model.Micros, visit func(Entry) error) (revision uint64, err error) {
 	return c.listPrefix("", timeout, visit)
 }
 
-// listPrefix reads all keys with a prefix, as List does.
+// listPrefix reads all keys with a prefix; see List.
 func (c *Client) listPrefix(prefix string, timeout model.Micros, visit func(Entry) error) (revision uint64, err error) {
 	after := ""
 	for first := true; ; first = false {
@@ -104,7 +103,7 @@
 	}
 }
 
-// listPage reads one page of keys with a prefix, which follow the key after.
+// listPage reads one page of the keys with a prefix, starting behind the key after.
 func (c *Client) listPage(prefix, after string, timeout model.Micros) (*entryPage, error) {
 	uri := "/keys?starts=" + prefix + "&most=" + strconv.Itoa(pageSize)
 	if after != "" {
@@ -121,8 +120,8 @@
 	return &page, nil
 }
 
-// Watch returns all changes after a revision, without waiting for any. ErrCompacted tells
-// that the service no longer has all of them.
+// Watch returns all changes after a revision, without waiting for new ones. It returns
+// ErrCompacted if the service no longer has all of them.
 func (c *Client) Watch(after uint64, timeout model.Micros) (*Changes, error) {
 	uri := "/watch?starts=&from=" + strconv.FormatUint(after, 10) + "&blockMs=0"
 	var changes Changes
@@ -138,8 +137,8 @@
 	return &changes, nil
 }
 
-// Commit executes a transaction. Conditions that do not hold are no error: the result
-// names them.
+// Commit executes a transaction. Conditions that do not hold are not an error: the result names
+// their keys.
 func (c *Client) Commit(txn *Txn, timeout model.Micros) (*Result, error) {
 	var result Result
 	code, err := c.do(http.MethodPost, "/commit", txn, &result, timeout)
@@ -159,7 +158,7 @@
 	return nil, &StatusError{code}
 }
 
-// GrantLease opens a lease and returns its ID.
+// GrantLease creates a lease and returns its ID.
 func (c *Client) GrantLease(ttl, timeout model.Micros) (uint64, error) {
 	request := grantLeaseRequest{TTLMs: int64(ttl / model.Millisecond)}
 	var response grantLeaseResponse
@@ -173,7 +172,7 @@
 	return response.LeaseID, nil
 }
 
-// RenewLease renews a lease; ErrMissing tells that it is over.
+// RenewLease renews a lease. It returns ErrMissing if the lease has expired.
 func (c *Client) RenewLease(leaseID uint64, timeout model.Micros) error {
 	code, err := c.do(http.MethodPost, leaseURI(leaseID)+"/touch", nil, nil, timeout)
 	switch {
@@ -187,7 +186,7 @@
 	return nil
 }
 
-// RevokeLease ends a lease at once. One that is over already is no error.
+// RevokeLease ends a lease at once. It is not an error if the lease has already expired.
 func (c *Client) RevokeLease(leaseID uint64, timeout model.Micros) error {
 	code, err := c.do(http.MethodDelete, leaseURI(leaseID), nil, nil, timeout)
 	if err != nil {
--- a/internal/state/decode.go
+++ b/internal/state/decode.go
@@ -10,10 +10,11 @@
 	"woadweir/internal/spill"
 )
 
+// emptyRecordDetail is the Detail of a RecordError for a record without any content.
 const emptyRecordDetail = "is empty"
 
-// decode reads the typed record of a key. A controller's own key is not among them: see
-// View.setNode.
+// decode decodes the value of a key into the record type that belongs to the key. It does not
+// decode node records: see View.setNode.
 func decode(key string, value json.RawMessage) (any, error) {
 	kind, name := splitKey(key)
 	switch {
@@ -41,7 +42,7 @@
 	return nil, &RecordError{Key: key}
 }
 
-// decodeAs reads a record of one type.
+// decodeAs decodes a record of one type.
 func decodeAs[Record any](key string, value json.RawMessage) (record Record, err error) {
 	if err := json.Unmarshal(value, &record); err != nil {
 		return record, &RecordError{Key: key, Cause: err}
--- a/internal/state/dependencies.go
+++ b/internal/state/dependencies.go
@@ -2,48 +2,48 @@
 
 import "woadweir/internal/core/model"
 
-// dependencies is a job's place among the jobs that it awaits and those that await it.
-// All of it follows from stored records, so every controller computes the same after any
-// failure: a job that depends on a cancelled one is cancelled as soon as that end is
-// written. No task of such a job can be on a machine, as it begins only when all that it
-// depends on is done, and an end is written once.
+// dependencies is a job's node in the dependency graph: the state that follows from the jobs that
+// it awaits and from those that await it. It is derived from stored records only, so every
+// controller computes the same after any failure. A job that depends on a cancelled one is
+// cancelled as soon as that end is written. No task of such a job can be on a machine, because a
+// job starts only when all its dependencies are done, and the end of a job is written only once.
 type dependencies struct {
-	pendingDependencies int      // jobs that it depends on and that are not known to be done
-	dependencyCancelled bool     // a job that it depends on, directly or through others, is cancelled
+	pendingDependencies int      // jobs that it awaits and that are not known to be done
+	dependencyCancelled bool     // a direct or indirect dependency is cancelled
 	dependents          []string // jobs that await it, as long as it has no end
-	endMs               int64    // time of day of its end, 0: not recorded
-	readyMs             int64    // time of day when the last job it depends on was done
-	readyRevision       uint64   // revision of that end
+	endMs               int64    // wall-clock time of its end, 0: not recorded
+	readyMs             int64    // wall-clock time when its last dependency was done
+	readyRevision       uint64   // revision at which that end was written
 	priority            model.Priority
-	deadlineMs          int64 // time of day when it is due, 0: never
+	deadlineMs          int64 // wall-clock time of its effective deadline, 0: none
 }
 
-// Ready tells whether all that a job depends on is done, so that it may begin.
+// Ready reports whether all dependencies of a job are done, so that it may start.
 func (j *JobView) Ready() bool { return j.pendingDependencies == 0 && !j.dependencyCancelled }
 
-// IsIndependent tells that a job neither awaits others nor is awaited.
+// IsIndependent reports whether a job neither awaits other jobs nor is awaited.
 func (j *JobView) IsIndependent() bool {
 	return len(j.Submission.Awaits) == 0 && len(j.dependents) == 0
 }
 
-// ReadyMs is the time of day from which a job's times count, other than its deadline.
+// ReadyMs returns the wall-clock time from which a job's times count, other than its deadline.
 func (j *JobView) ReadyMs() int64 { return max(j.Submission.AcceptedMs, j.readyMs) }
 
-// Order is a job's age among other jobs: the revision of its acceptance, or of the end
-// of the last job that it depends on.
+// Order returns a job's position in the order of age: the revision of its acceptance or, if that
+// is later, of the end of its last dependency.
 func (j *JobView) Order() uint64 { return max(j.Revision, j.readyRevision) }
 
-// Job converts the submission to the form that scheduling decisions use, with the
-// effective priority and deadline.
+// Job converts the submission to the form that the scheduler uses, with the effective priority and
+// deadline.
 func (j *JobView) Job() *model.Job {
 	job := j.Submission.Job(j.Order())
 	job.Priority, job.Deadline = j.EffectivePriority()
 	return job
 }
 
-// EffectivePriority is the highest priority among a job and all that depend on it, and
-// the time from ReadyMs on within which it has to be done so that what runs after it
-// meets its deadlines, 0 if there is none.
+// EffectivePriority returns the highest priority among a job and all its dependents, and the time
+// after ReadyMs within which the job has to be done so that its own deadline and those of its
+// dependents can be met, 0 if there is no deadline.
 func (j *JobView) EffectivePriority() (model.Priority, model.Micros) {
 	if j.deadlineMs == 0 {
 		return j.priority, 0
@@ -51,16 +51,16 @@
 	return j.priority, max(1, model.Micros(j.deadlineMs-j.ReadyMs())*model.Millisecond)
 }
 
-// TakeChangedJobs gives the jobs that other jobs' records have made ready, or given
-// another priority or deadline, since it was last called.
+// TakeChangedJobs returns the jobs that have become ready, or got another priority or deadline,
+// because of other jobs' records since the last call.
 func (v *View) TakeChangedJobs() []string {
 	changed := v.changedJobs
 	v.changedJobs = nil
 	return changed
 }
 
-// addDependencies links a job to the jobs that it awaits, once its submission is known.
-// The jobs that await it may have become known earlier.
+// addDependencies links a job to the jobs that it awaits, once its submission is known. The jobs
+// that await it may have become known earlier.
 func (v *View) addDependencies(jobID string, job *JobView) {
 	submitted := job.Submission.Job(0)
 	job.priority = max(job.priority, submitted.Priority)
@@ -86,14 +86,15 @@
 	v.propagatePriority(jobID)
 }
 
-// dependencyDone notes the end, written at a revision, of a job that this one awaits.
+// dependencyDone records that a job that this one awaits was done, by an end written at the given
+// revision.
 func (j *JobView) dependencyDone(awaited *JobView, revision uint64) {
 	j.readyMs = max(j.readyMs, awaited.endMs)
 	j.readyRevision = max(j.readyRevision, revision)
 }
 
-// lowerDeadline sets the time of day by which the job is due, unless it is due earlier
-// already. It tells whether the deadline has changed.
+// lowerDeadline sets the wall-clock time of the job's effective deadline, unless it already has an
+// earlier one. It reports whether the deadline has changed.
 func (j *JobView) lowerDeadline(ms int64) bool {
 	if j.deadlineMs != 0 && j.deadlineMs <= ms {
 		return false
@@ -102,7 +103,7 @@
 	return true
 }
 
-// jobEnded applies a job's end, written at a revision, to the jobs that depend on it.
+// jobEnded applies a job's end, written at the given revision, to its dependents.
 func (v *View) jobEnded(job *JobView, revision uint64) {
 	if job.End != model.JobDone {
 		v.cancelDependents(job)
@@ -119,8 +120,7 @@
 	job.dependents = nil
 }
 
-// cancelDependents marks all jobs that depend on a cancelled one, directly or through
-// others.
+// cancelDependents marks all direct and indirect dependents of a cancelled job.
 func (v *View) cancelDependents(cancelled *JobView) {
 	for queue := []*JobView{cancelled}; len(queue) > 0; {
 		job := queue[0]
@@ -136,8 +136,8 @@
 	}
 }
 
-// propagatePriority passes a job's priority and deadline on to the jobs that it depends
-// on, directly or through others. It stops where nothing changes.
+// propagatePriority passes a job's priority and deadline on to its direct and indirect
+// dependencies. It stops where nothing changes.
 func (v *View) propagatePriority(jobID string) {
 	for queue := []string{jobID}; len(queue) > 0; {
 		job := v.Jobs[queue[0]]
@@ -153,9 +153,8 @@
 	}
 }
 
-// inheritPriority raises the priority of an awaited job to that of its dependent, and
-// has it done early enough for the dependent's deadline. It tells whether that changed
-// anything.
+// inheritPriority raises the priority of an awaited job to that of its dependent, and lowers its
+// deadline so that the dependent can meet its own. It reports whether either has changed.
 func (v *View) inheritPriority(awaitedID string, dependent *JobView) bool {
 	awaited := v.Jobs[awaitedID]
 	if awaited.End != "" {
@@ -172,5 +171,5 @@
 	return changed
 }
 
-// estimateMs is how long the job is expected to run.
+// estimateMs returns how long the job is expected to run.
 func (j *JobView) estimateMs() int64 { return int64(j.Submission.EstimateS * 1000) }
--- a/internal/state/dependencies_test.go
+++ b/internal/state/dependencies_test.go
@@ -9,6 +9,7 @@
 	"woadweir/internal/core/shard"
 )
 
+// jobPut is a job record to be put into a view.
 type jobPut struct {
 	jobID  string
 	record shard.JobRecord
@@ -33,8 +34,8 @@
 	return put
 }
 
-// What becomes of jobs that await others follows from the records alone, in
-// whatever order they become known.
+// The state of jobs that await others must depend on the records alone, not on the order in which
+// they are applied. Otherwise controllers would disagree about which jobs may start.
 func TestDependenciesInAnyOrder(t *testing.T) {
 	b := submittedJob("j-b", "j-a")
 	cancelled := submittedJob("j-x")
@@ -59,17 +60,17 @@
 		}
 		for jobID, want := range map[string]bool{"j-b": true, "j-c": false, "j-e": true, "j-y": false, "j-v": false} {
 			if view.Jobs[jobID].Ready() != want {
-				t.Fatalf("%s is ready: %v", jobID, !want)
+				t.Fatalf("%s: ready is %v, want %v", jobID, !want, want)
 			}
 		}
 		if job := view.Jobs["j-e"]; job.ReadyMs() != 7000 || job.Order() != 9 {
-			t.Fatalf("j-e could begin at %d ms, its age is %d", job.ReadyMs(), job.Order())
+			t.Fatalf("j-e: ready at %d ms with order %d, want 7000 and 9", job.ReadyMs(), job.Order())
 		}
 	}
 }
 
-// A job counts its times from the end of the last job that it needs, except its
-// deadline; the jobs before it have its priority, and are due early enough for it.
+// The times of a job count from the end of its last dependency, except for its deadline. Its
+// dependencies inherit its priority, and deadlines that let it meet its own.
 func TestDependentsRaisePriority(t *testing.T) {
 	deadlineS := 100.0
 	last := submittedJob("j-c", "j-b")
@@ -77,30 +78,31 @@
 	view := NewView()
 	view.putAll(submittedJob("j-a"), submittedJob("j-b", "j-a"))
 	if priority, deadline := view.Jobs["j-a"].EffectivePriority(); priority != model.LowPriority || deadline != 0 {
-		t.Errorf("alone: priority %d, due in %d", priority, deadline)
+		t.Errorf("without dependents: priority %d, deadline %d, want low priority and no deadline", priority, deadline)
 	}
 	view.TakeChangedJobs()
 	view.putAll(last)
 	if changed := view.TakeChangedJobs(); len(changed) != 1 || changed[0] != "j-a" {
-		t.Errorf("changed jobs %v, want j-a, which may begin", changed)
+		t.Errorf("changed jobs %v, want j-a, which may start", changed)
 	}
 	if priority, deadline := view.Jobs["j-a"].EffectivePriority(); priority != model.HighPriority || deadline != 80*model.Second {
-		t.Errorf("first: priority %d, due in %.1f s", priority, deadline.Seconds())
+		t.Errorf("first job: priority %d, deadline in %.1f s, want high priority and 80 s", priority, deadline.Seconds())
 	}
 	view.putAll(doneJob("j-a", 31_000))
 	if changed := view.TakeChangedJobs(); len(changed) != 1 || changed[0] != "j-b" {
-		t.Errorf("changed jobs %v, want j-b, which may begin now", changed)
+		t.Errorf("changed jobs %v, want j-b, which may start now", changed)
 	}
 	if job := view.Jobs["j-b"]; job.ReadyMs() != 31_000 || job.Job().Deadline != 60*model.Second || job.Job().Priority != model.HighPriority {
-		t.Errorf("second: from %d ms, %+v", job.ReadyMs(), job.Job())
+		t.Errorf("second job: ready at %d ms, %+v; want 31000 ms, a deadline of 60 s and high priority", job.ReadyMs(), job.Job())
 	}
 	view.putAll(doneJob("j-b", 200_000))
 	if job := view.Jobs["j-c"]; !job.Ready() || job.Job().Deadline != 1 {
-		t.Errorf("last: ready %v, due in %d, which is over", job.Ready(), job.Job().Deadline)
+		t.Errorf("last job, past its deadline: ready %v, deadline %d, want true and 1", job.Ready(), job.Job().Deadline)
 	}
 }
 
-// A deep chain and wide fans.
+// Dependencies must be resolved and cancelled correctly along a chain of 1,000 jobs and across a
+// fan-out and fan-in of 1,000 jobs.
 func TestDeepAndWideDependencies(t *testing.T) {
 	const jobCount = 1000
 	idOf := func(i int) string { return fmt.Sprintf("j-%06d", i) }
@@ -111,7 +113,7 @@
 	}
 	for i := range jobCount / 2 {
 		if !chain.Jobs[idOf(i)].Ready() || chain.Jobs[idOf(i+1)].Ready() {
-			t.Fatalf("%d of the chain", i)
+			t.Fatalf("chain: job %d is not ready or the one after it is", i)
 		}
 		chain.putAll(doneJob(idOf(i), 1))
 	}
@@ -125,20 +127,20 @@
 	fan.putAll(submittedJob("j-last", all...), doneJob("j-first", 1))
 	for i := range jobCount {
 		if end, _ := chain.EffectiveEnd(idOf(i)); i >= jobCount/2 && end != model.JobCancelled || i < jobCount/2 && end != model.JobDone {
-			t.Fatalf("%d of the chain is %q", i, end)
+			t.Fatalf("chain: job %d has the end %q", i, end)
 		}
 		if !fan.Jobs[idOf(i)].Ready() || fan.Jobs["j-last"].Ready() {
-			t.Fatalf("%d of the fan", i)
+			t.Fatalf("fan: job %d is not ready or the last job is", i)
 		}
 		fan.putAll(doneJob(idOf(i), 1))
 	}
 	if !fan.Jobs["j-last"].Ready() {
-		t.Error("a thousand jobs are done, and the one after them may not begin")
+		t.Error("fan: all dependencies of the last job are done, but it is not ready")
 	}
 }
 
-// An entry that one transaction wrote into two bundles still stands in one of them
-// when the other drops it.
+// An entry that one transaction wrote into two bundles must remain when one of the bundles drops
+// it; otherwise tasks that are bound would be lost.
 func TestDuplicateEntries(t *testing.T) {
 	machine := map[string]*shard.MachineRecord{"h1": {Tasks: map[string][][2]uint64{"j-1": {{0, 5}}}}}
 	for dropped := range 2 {
@@ -148,11 +150,11 @@
 		view.Put(BundleKey("b0", 1), shard.BundleRecord{Machines: machine}, 7)
 		view.Put(BundleKey("b0", dropped), shard.BundleRecord{}, 8)
 		if status, _, running, _ := view.Status("j-1"); status != "running" || running != 1 {
-			t.Errorf("bundle %d dropped it: %s, %d running", dropped, status, running)
+			t.Errorf("after bundle %d dropped the entry: status %s, %d running; want running, 1", dropped, status, running)
 		}
 		view.Put(BundleKey("b0", 1-dropped), shard.BundleRecord{}, 9)
 		if status, _, _, _ := view.Status("j-1"); status != "pending" {
-			t.Errorf("both dropped it: %s", status)
+			t.Errorf("after both bundles dropped the entry: status %s, want pending", status)
 		}
 	}
 }
--- a/internal/state/duty_status.go
+++ b/internal/state/duty_status.go
@@ -8,7 +8,7 @@
 	"woadweir/internal/duty"
 )
 
-// Duties reads which controller holds which single-holder duty.
+// Duties reads from the state service which controller holds each single-holder duty.
 func (c *Client) Duties(timeout model.Micros) ([]duty.Status, error) {
 	var statuses []duty.Status
 	for _, name := range duty.Movable {
@@ -27,7 +27,7 @@
 	return append(statuses, duty.Status{Name: duty.Reclaiming, Holder: grant.Holder, Token: revision}), nil
 }
 
-// readRecord reads a record. A key that does not exist has the revision 0.
+// readRecord reads the record of a key. It returns revision 0 if the key does not exist.
 func (c *Client) readRecord(key string, record any, timeout model.Micros) (revision uint64, err error) {
 	entry, err := c.Get(key, timeout)
 	if errors.Is(err, ErrMissing) {
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -8,11 +8,11 @@
 	"woadweir/internal/spill"
 )
 
-// FirstShard names the only shard of the current policy. Its holder reclaims work from
+// FirstShard is the name of the only shard that is used at present. Its holder reclaims work from
 // lost machines.
 const FirstShard = "b0"
 
-// The kinds of keys: the part of a key before its first separator.
+// The kinds of keys. The kind is the part of a key before its first separator.
 const (
 	separator = "/"
 
@@ -27,14 +27,14 @@
 	kindSpill        = "spill"
 )
 
-// Keys of which there is only one.
+// Keys that exist only once.
 const (
 	LeaderKey       = kindLeader
 	MachineTypesKey = kindMachineTypes
 )
 
-// Prefixes of keys. Those of duties, intents and the two directions of spilling are
-// declared in their own packages.
+// Prefixes of keys. The prefixes for duties, intents, and lent and borrowed jobs are declared in
+// packages duty and spill.
 const (
 	JobPrefix    = kindJob + separator
 	BundlePrefix = kindBundle + separator
@@ -43,23 +43,23 @@
 	SpillPrefix  = kindSpill + separator
 )
 
-// JobKey is the key of a job's record.
+// JobKey returns the key of a job's record.
 func JobKey(jobID string) string { return JobPrefix + jobID }
 
-// GrantKey is the key of a shard's grant.
+// GrantKey returns the key of a shard's grant.
 func GrantKey(shardName string) string { return GrantPrefix + shardName }
 
-// NodeKey is the key of a controller's own record.
+// NodeKey returns the key of a controller's NodeRecord.
 func NodeKey(node string) string { return NodePrefix + node }
 
-// BundleKey is the key of one of a shard's bundles.
+// BundleKey returns the key of the bundle in one of a shard's slots.
 func BundleKey(shardName string, slot int) string {
 	return shardBundlePrefix(shardName) + strconv.Itoa(slot)
 }
 
 func shardBundlePrefix(shardName string) string { return BundlePrefix + shardName + separator }
 
-// splitKey separates the kind of a key from the rest.
+// splitKey splits a key into its kind and the rest.
 func splitKey(key string) (kind, name string) {
 	kind, name, _ = strings.Cut(key, separator)
 	return kind, name
@@ -77,5 +77,5 @@
 
 func isReturnKey(key string) bool { return strings.HasPrefix(key, duty.ReturnPrefix) }
 
-// lentJobID is the job of a key with spill.OutPrefix.
+// lentJobID returns the job ID in a key with spill.OutPrefix.
 func lentJobID(key string) string { return strings.TrimPrefix(key, spill.OutPrefix) }
--- a/internal/state/keys_test.go
+++ b/internal/state/keys_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Keys are stored, so other versions rely on their exact form.
+// Keys are stored and read by other versions, so their exact form must not change.
 func TestKeys(t *testing.T) {
 	for got, want := range map[string]string{
 		JobKey("j-1"):              "job/j-1",
@@ -21,12 +21,12 @@
 		lentJobID("spill/out/j-1"): "j-1",
 	} {
 		if got != want {
-			t.Errorf("%s, want %s", got, want)
+			t.Errorf("got %s, want %s", got, want)
 		}
 	}
 }
 
-// An unreadable record is reported with its key and what is wrong with it.
+// The error for an unreadable record names the key and what is wrong with the value.
 func TestRecordError(t *testing.T) {
 	for _, c := range []struct{ key, value, want string }{
 		{"else", `1`, "record of another layout: else"},
@@ -38,7 +38,7 @@
 		_, err := decode(c.key, json.RawMessage(c.value))
 		var recordError *RecordError
 		if !errors.As(err, &recordError) || recordError.Key != c.key || !errors.Is(err, ErrLayout) || err.Error() != c.want {
-			t.Errorf("%s: %v, want %s", c.key, err, c.want)
+			t.Errorf("%s: got error %q, want %q", c.key, err, c.want)
 		}
 	}
 }
--- a/internal/state/protocol.go
+++ b/internal/state/protocol.go
@@ -2,20 +2,19 @@
 
 import "encoding/json"
 
-// The JSON names below are those of the state service's protocol: a path is a key, a
-// stamp the revision of a key, an epoch the revision of the whole store, a tenancy the ID
-// of a lease, guards are compare-and-swap conditions, drop deletes a key, and starts is
-// the prefix of keys.
+// The JSON names below are those of the state service's protocol: path is a key, stamp the
+// revision of a key, epoch the revision of the whole store, tenancy the ID of a lease, guards are
+// compare-and-swap conditions, drop deletes a key, and starts is a key prefix.
 
-// Condition is a compare-and-swap condition of a transaction: the key must still be at
-// the revision, where 0 means that it must not exist.
+// Condition is a compare-and-swap condition of a transaction: the key must still be at the
+// revision. Revision 0 means that the key must not exist.
 type Condition struct {
 	Path     string `json:"path"`
 	Revision uint64 `json:"stamp"`
 }
 
-// Op is a write of a transaction: either Set a key to a value, attached to a lease unless
-// LeaseID is 0, or Drop a key.
+// Op is a write of a transaction. It either sets the key Set to Value, attached to a lease unless
+// LeaseID is 0, or deletes the key Drop.
 type Op struct {
 	Set     string `json:"set,omitempty"`
 	Value   any    `json:"value,omitempty"`
@@ -23,7 +22,7 @@
 	Drop    string `json:"drop,omitempty"`
 }
 
-// Txn is a transaction: all writes are executed if all conditions hold, else none.
+// Txn is a transaction: either all conditions hold and all writes are executed, or none is.
 type Txn struct {
 	Conditions []Condition `json:"guards"`
 	Then       []Op        `json:"then,omitempty"`
@@ -37,7 +36,7 @@
 	OK       bool     `json:"-"`
 }
 
-// Entry is a key with its value.
+// Entry is a key with its value, revision and lease.
 type Entry struct {
 	Path     string          `json:"path"`
 	Value    json.RawMessage `json:"value"`
@@ -45,7 +44,8 @@
 	LeaseID  uint64          `json:"tenancy"`
 }
 
-// Event is a change seen by a watch: of a key that was Set, or one that was dropped.
+// Event is a change that a watch returns: either the key Set got a value, or the key Drop was
+// deleted.
 type Event struct {
 	Set      string          `json:"set"`
 	Drop     string          `json:"drop"`
@@ -53,7 +53,7 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// Changes is a watch's response.
+// Changes is the response to a watch request.
 type Changes struct {
 	Revision uint64  `json:"epoch"`
 	Events   []Event `json:"events"`
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -2,27 +2,29 @@
 
 import "woadweir/internal/core/model"
 
-// NodeRecord is the value of a controller's own key, attached to its session lease.
+// NodeRecord is a controller's record of itself. Its key is attached to the controller's session
+// lease.
 type NodeRecord struct {
 	Session      uint64 `json:"session"`
 	ServeAddress string `json:"serve"`
-	// Layout is the newest record layout that the process can read, see Layout.
+	// Layout is the newest record layout that the process can read; see the function Layout.
 	Layout int `json:"layout,omitempty"`
-	// MayHoldDuties is set if the process may hold single-holder duties without leading.
+	// MayHoldDuties is set if the process may hold single-holder duties without being the
+	// leader.
 	MayHoldDuties bool `json:"duties,omitempty"`
 }
 
-// Versions of the record layout. They are stored in NodeRecord, so that mixed versions
-// write only what all of them can read.
+// Versions of the record layout. Each controller announces one in its NodeRecord, so that
+// controllers of different versions write only what all of them can read.
 const (
 	LayoutDense  = 2 // dense bundles
-	LayoutDuties = 3 // leases of duties, and intents; bundles may be removed
-	LayoutSpill  = 4 // jobs lent to other cells, and by them
+	LayoutDuties = 3 // duty leases and intents; bundles may be removed
+	LayoutSpill  = 4 // records of lent and borrowed jobs
 )
 
-// Layout is the record layout that a controller announces: the newest it reads, where
-// LayoutSpill counts only if the controller is configured to spill. No controller writes
-// records beyond the layout that all controllers have announced.
+// Layout returns the record layout that a controller announces: the newest that it reads, where
+// LayoutSpill counts only if spilling is configured (spills). No controller writes records of a
+// newer layout than all controllers have announced.
 func Layout(spills bool) int {
 	if spills {
 		return LayoutSpill
@@ -30,7 +32,7 @@
 	return LayoutDuties
 }
 
-// LeaderRecord is the value of the leader key, attached to the leader's session lease.
+// LeaderRecord says which controller leads. Its key is attached to the leader's session lease.
 type LeaderRecord struct {
 	Node    string `json:"node"`
 	Session uint64 `json:"session"`
@@ -39,15 +41,16 @@
 	UsesIntents bool `json:"duties,omitempty"`
 }
 
-// GrantRecord says which controller may schedule a shard, and with what team credit.
+// GrantRecord says which controller may schedule a shard, and how much of each team's limit it may
+// use (Credit, by team).
 type GrantRecord struct {
 	Holder  string                     `json:"holder"`
 	Session uint64                     `json:"session"`
 	Credit  map[string]model.Resources `json:"credit"`
 }
 
-// MachineTypesRecord holds the machine types that the cloud last offered. On the wire
-// they are called builds.
+// MachineTypesRecord holds the machine types that the cloud last offered. They are stored under
+// the name builds.
 type MachineTypesRecord struct {
 	MachineTypes []model.MachineType `json:"builds"`
 }
--- a/internal/state/spill_status.go
+++ b/internal/state/spill_status.go
@@ -8,17 +8,17 @@
 	"woadweir/internal/spill"
 )
 
-// SpillStatus describes a job that is or was lent.
+// SpillStatus describes a job that is or was lent or borrowed.
 type SpillStatus struct {
 	Job   string
-	Out   bool   // a job of this cell; else one of Cell that runs here
-	Cell  string // the other cell
+	Out   bool   // set for a lent job of this cell, not set for a borrowed job
+	Cell  string // the other cell: the execution cell of a lent job, the home cell of a borrowed one
 	State string
 	Token uint64
 	Since time.Time
 }
 
-// Spills reads which jobs are lent to other cells and by them.
+// Spills reads from the state service which jobs are lent and which are borrowed.
 func (c *Client) Spills(timeout model.Micros) ([]SpillStatus, error) {
 	var list []SpillStatus
 	_, err := c.listPrefix(SpillPrefix, timeout, func(entry Entry) error {
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -12,28 +12,29 @@
 	"woadweir/internal/core/shard"
 )
 
-// An older event never replaces what a newer one, or our own commit, has set.
+// Events may arrive late. An older event must not replace what a newer one or a commit of this
+// controller has set.
 func TestViewKeepsTheNewest(t *testing.T) {
 	view := NewView()
 	view.Put("job/j-1", shard.JobRecord{Spec: &model.Submission{ID: "j-1", Tasks: 3}}, 10)
 	view.Put("job/j-1", shard.JobRecord{End: "done", Tasks: 3}, 20)
 	if set, err := view.Set("job/j-1", json.RawMessage(`{"end":"withdrawn"}`), 15); set || err != nil {
-		t.Errorf("an older event is applied: %v, %v", set, err)
+		t.Errorf("older event: applied is %v, error %v; want false and no error", set, err)
 	}
 	if status, done, _, known := view.Status("j-1"); status != "done" || done != 3 || !known {
-		t.Errorf("status %s, %d done, known %v", status, done, known)
+		t.Errorf("got status %s, %d done, known %v; want done, 3, true", status, done, known)
 	}
 	view.Put("leader", LeaderRecord{Node: "a"}, 30)
 	if view.Drop("leader", 25); view.Leader == nil {
-		t.Error("an old removal undid a newer value")
+		t.Error("an older deletion removed a newer value")
 	}
 	if view.Drop("leader", 31); view.Leader != nil {
-		t.Error("a removal is not applied")
+		t.Error("a newer deletion was not applied")
 	}
 }
 
-// Of a machine that stands in several bundles the latest counts, in whatever
-// order they are read; and what its bundle no longer has is gone.
+// A machine may have entries in several bundles. The latest one must count whatever the order in
+// which the bundles are read, and an entry that its bundle no longer has must be dropped.
 func TestViewOfBundles(t *testing.T) {
 	newer := json.RawMessage(`{"hosts":{"h1":{"pieces":{"j-1":[[0,5],[1,6]]}}},"done":{"j-1":"AQ=="}}`)
 	older := json.RawMessage(`{"hosts":{"h1":{"pieces":{"j-1":[[2,4]]}},"h2":{"pieces":{"j-2":[[0,4]]}}},"done":{"j-1":""}}`)
@@ -47,33 +48,33 @@
 		view.Put("job/j-1", shard.JobRecord{Spec: &model.Submission{ID: "j-1", Tasks: 3}}, 2)
 		view.Put("job/j-2", shard.JobRecord{Spec: &model.Submission{ID: "j-2", Tasks: 1}}, 2)
 		if status, done, running, _ := view.Status("j-1"); status != "running" || running != 2 || done != 1 {
-			t.Errorf("%v: %s with %d running, %d done", order, status, running, done)
+			t.Errorf("order %v: j-1 is %s with %d running, %d done; want running, 2, 1", order, status, running, done)
 		}
 		if slots, _ := view.Bundles("b0"); len(slots) != 2 || slots[0] != 1 {
-			t.Errorf("bundles in the order %v", slots)
+			t.Errorf("got slots %v, want the older bundle's slot 1 first", slots)
 		}
 		view.Put(BundleKey("b0", 1), shard.BundleRecord{}, 9)
 		if status, _, _, _ := view.Status("j-2"); status != "pending" {
-			t.Errorf("%v: %s though nothing is bound", order, status)
+			t.Errorf("order %v: j-2 is %s, want pending as nothing is bound", order, status)
 		}
 		if _, done, running, _ := view.Status("j-1"); running != 2 || done != 1 {
-			t.Errorf("%v: an older copy took the newer one with it: %d running, %d done", order, running, done)
+			t.Errorf("order %v: dropping an older entry changed the newer one: %d running, %d done; want 2, 1", order, running, done)
 		}
-		// A machine that is gone, while an older version of it stands elsewhere.
+		// The machine is gone, while another bundle still has an older version of it.
 		view.Put(BundleKey("b0", 2), shard.BundleRecord{Machines: map[string]*shard.MachineRecord{"h1": nil}}, 10)
 		if status, _, _, _ := view.Status("j-1"); status != "pending" {
-			t.Errorf("%v: %s on a machine that is gone", order, status)
+			t.Errorf("order %v: j-1 is %s on a machine that is gone, want pending", order, status)
 		}
 	}
 }
 
-// A record laid down by a version with another layout is refused, not misread.
+// A record that a version with another layout has written must be rejected, not misread.
 func TestViewRefusesOtherLayouts(t *testing.T) {
 	for path, value := range map[string]string{"job/j-1/spec": `{"ref":"j-1"}`, "job/j-1": `{"ref":"j-1","pieces":3}`,
 		"host/h1": `{"pieces":{}}`, "bound/b0/1": `{"hosts":[]}`, "else": `1`,
 		"duty/cooking": `{"holder":"x"}`, "duty/renting": `{"holder":7}`, "intent/rent/0": `[]`, "intent/lend/0": `{}`} {
 		if _, err := NewView().Set(path, json.RawMessage(value), 5); !errors.Is(err, ErrLayout) {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("%s: got error %v, want ErrLayout", path, err)
 		}
 	}
 }
@@ -81,34 +82,35 @@
 func TestBudget(t *testing.T) {
 	budget := NewBudget(10, 10)
 	if left := budget.Left(0); left != 10 {
-		t.Errorf("%d at first, want a second's worth", left)
+		t.Errorf("%d left at first, want 10, the requests of one second", left)
 	}
 	budget.Spend(12, 0)
 	if left := budget.Left(0); left != 0 {
-		t.Errorf("%d left of a spent budget", left)
+		t.Errorf("%d left of an overspent budget, want 0", left)
 	}
 	if left := budget.Left(model.Second); left != 8 {
-		t.Errorf("%d after a second, want 8", left)
+		t.Errorf("%d left after a second, want 8", left)
 	}
 	budget.Drain(model.Second)
 	if left := budget.Left(model.Second + model.Second/2); left != 5 {
-		t.Errorf("%d half a second after a refusal, want 5", left)
+		t.Errorf("%d left half a second after a rejection, want 5", left)
 	}
-	// What others leave may be taken, until the service refuses it.
+	// A budget may use what other controllers leave, until the service rejects requests.
 	budget = NewBudget(2, 10)
 	for range 6 {
 		budget.Drain(0)
 	}
 	if rate := budget.Rate(); rate < 2 || rate > 2.5 {
-		t.Errorf("rate %v after refusals, want about its share", rate)
+		t.Errorf("rate %v after rejections, want about the share of 2", rate)
 	}
 	budget.Left(20 * model.Second)
 	if rate := budget.Rate(); rate != 10 {
-		t.Errorf("rate %v long after, want the most", rate)
+		t.Errorf("rate %v 20 s after the rejections, want the maximum rate of 10", rate)
 	}
 }
 
-// What the client sends and how it reads the service's answers.
+// The client sends requests as the state service's protocol defines them, and turns its responses
+// into results and errors.
 func TestClient(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -140,12 +142,12 @@
 	}
 	status, response = 400, `{"error":"no such lease"}`
 	if _, err = client.Commit(&Txn{}, timeout); !errors.Is(err, ErrNoLease) {
-		t.Errorf("expired lease: %v", err)
+		t.Errorf("expired lease: got error %v, want ErrNoLease", err)
 	}
 	for errorStatus, want := range map[int]error{429: ErrBusy, 503: ErrRefused, 410: ErrCompacted} {
 		status = errorStatus
 		if _, err := client.Watch(5, timeout); !errors.Is(err, want) {
-			t.Errorf("%d: %v", errorStatus, err)
+			t.Errorf("status %d: got error %v, want %v", errorStatus, err, want)
 		}
 	}
 	if gotRequest != "GET /watch?starts=&from=5&blockMs=0 " {
@@ -157,14 +159,14 @@
 	}
 	response = `{"tenancy":7}`
 	if leaseID, err := client.GrantLease(2500*model.Millisecond, timeout); err != nil || leaseID != 7 || gotRequest != `POST /grants {"ttlMs":2500}` {
-		t.Errorf("grant: %d, %v, sent %s", leaseID, err, gotRequest)
+		t.Errorf("grant: lease %d, error %v, sent %s", leaseID, err, gotRequest)
 	}
 	status = 404
 	if err := client.RenewLease(7, timeout); !errors.Is(err, ErrMissing) || gotRequest != "POST /grants/7/touch " {
-		t.Errorf("touch: %v, sent %s", err, gotRequest)
+		t.Errorf("renewal of an expired lease: error %v, sent %s", err, gotRequest)
 	}
 	if err := client.RevokeLease(7, timeout); err != nil {
-		t.Errorf("ending a lease that is over: %v", err)
+		t.Errorf("revoking an expired lease: %v", err)
 	}
 	if _, err := client.Get("node/a", timeout); !errors.Is(err, ErrMissing) || gotRequest != "GET /keys/node/a " {
 		t.Errorf("get: %v, sent %s", err, gotRequest)
@@ -172,6 +174,6 @@
 	listener.Close()
 	server.Shutdown() //nolint:errcheck // connections are dropped
 	if err := NewClient("127.0.0.1:1").RenewLease(7, model.Second); !errors.Is(err, ErrLost) {
-		t.Errorf("unreachable: %v", err)
+		t.Errorf("unreachable service: got error %v, want ErrLost", err)
 	}
 }
--- a/internal/state/view.go
+++ b/internal/state/view.go
@@ -9,16 +9,16 @@
 	"woadweir/internal/spill"
 )
 
-// JobView is what the view knows of a job.
+// JobView is the view's information on a job.
 type JobView struct {
-	Submission *model.Submission // nil once it is done
-	Revision   uint64            // of its acceptance
-	End        string            // as it is written; see Final
-	DoneTasks  int
+	Submission *model.Submission // nil once the job is done
+	Revision   uint64            // revision at which its acceptance was written
+	End        string            // the stored end; see View.EffectiveEnd
+	DoneTasks  int               // number of finished tasks, set once the job is done
 	dependencies
 }
 
-// View is a replica of the state service's keys as of Revision, or newer for single keys.
+// View is a replica of the keys in the state service as of Revision; single keys may be newer.
 type View struct {
 	Revision     uint64
 	Revisions    map[string]uint64 // of every key
@@ -26,30 +26,32 @@
 	Leader       *LeaderRecord
 	Grants       map[string]*GrantRecord
 	MachineTypes []model.MachineType
-	// Layouts are the record layouts that the controllers have announced. Newest is the
-	// layout of the newest record seen: all controllers could read it when it was written.
+	// Layouts are the record layouts that the controllers have announced, by node. NewestLayout
+	// is the newest layout of any record seen: all controllers could read it when that record
+	// was written.
 	Layouts      map[string]int
 	NewestLayout int
-	// Nodes are the live controllers, Duties the leases of duties, Rentals and Returns
-	// the intents, by key.
+	// Nodes are the live controllers by name, Duties the duty leases by duty, and Rentals and
+	// Returns the intents by key.
 	Nodes   map[string]*NodeRecord
 	Duties  map[duty.Name]*duty.Lease
 	Rentals map[string]*duty.Rental
 	Returns map[string]*duty.Return
 	// LentJobs are the records of jobs that are or were lent to other cells, by job, and
-	// LentIn those of jobs that others have lent to this one, by key. UnreadableSpill
-	// is a key of these that this version can't read: spilling stops then.
+	// BorrowedJobs those of jobs that other cells have lent to this one, by key.
+	// UnreadableSpill is the key of such a record that this version can't read, "" if there is
+	// none: with one, spilling is disabled.
 	LentJobs        map[string]*spill.OutRecord
 	BorrowedJobs    map[string]*spill.InRecord
 	UnreadableSpill string
 
-	entries     map[string]*entryView // by name, see shard.BundleRecord.Names
-	boundTasks  map[string]int        // number of bound tasks by job
-	bundles     map[string]*bundleView
-	changedJobs []string // see TakeChangedJobs
+	entries     map[string]*entryView  // by name, see shard.BundleRecord.Names
+	boundTasks  map[string]int         // number of bound tasks by job
+	bundles     map[string]*bundleView // by key
+	changedJobs []string               // see TakeChangedJobs
 }
 
-// NewView makes an empty view.
+// NewView returns an empty view.
 func NewView() *View {
 	return &View{
 		Revisions:    map[string]uint64{},
@@ -68,8 +70,8 @@
 	}
 }
 
-// Set applies a key's encoded value, unless a newer one is known. It tells whether the
-// value was applied.
+// Set decodes and applies a key's value, unless a newer one is known. It reports whether the value
+// was applied.
 func (v *View) Set(key string, value json.RawMessage, revision uint64) (bool, error) {
 	if revision <= v.Revisions[key] {
 		return false, nil
@@ -92,8 +94,7 @@
 	return true, nil
 }
 
-// setNode applies a controller's own record. One that can't be read is skipped: no
-// decision depends on it.
+// setNode applies a node record. One that can't be decoded is skipped: no decision depends on it.
 func (v *View) setNode(node string, value json.RawMessage) {
 	var record NodeRecord
 	if json.Unmarshal(value, &record) == nil {
@@ -102,9 +103,9 @@
 	}
 }
 
-// putUnreadableSpill notes a spill record that can't be read. If it is of a job of this
-// cell, the job may be lent, so none of its tasks may be started here. Without a record a
-// guest cell has no right to run the job, so there nothing else has to be kept.
+// putUnreadableSpill records that a spill record can't be decoded. If it is the record of a job of
+// this cell, the job may be lent, so none of its tasks may be started here. An execution cell may
+// not run a borrowed job without a record, so nothing else has to be kept for those.
 func (v *View) putUnreadableSpill(key string, revision uint64) {
 	v.UnreadableSpill = key
 	if isSpillOutKey(key) {
@@ -113,7 +114,7 @@
 	v.Revisions[key] = revision
 }
 
-// Apply applies a transaction that was committed at a revision.
+// Apply applies a transaction that was committed at the given revision.
 func (v *View) Apply(txn *Txn, revision uint64) {
 	for _, op := range txn.Then {
 		if op.Drop != "" {
@@ -124,8 +125,8 @@
 	}
 }
 
-// Put applies a typed record, unless a newer one is known. The record must be of the
-// type that belongs to the key, as decode returns it.
+// Put applies a decoded record, unless a newer one is known. The record must be of the type that
+// belongs to the key, as decode returns it.
 func (v *View) Put(key string, value any, revision uint64) {
 	if revision <= v.Revisions[key] {
 		return
@@ -153,13 +154,12 @@
 	case spill.InRecord:
 		v.BorrowedJobs[key] = &record
 	default:
-		panic("state: no such record: " + key)
+		panic("state: value of unknown type for key " + key)
 	}
 	v.Revisions[key] = revision
 }
 
-// putJob applies a job's submission or its end, with what follows for the jobs that
-// depend on it.
+// putJob applies a job's submission or its end, and the consequences for its dependents.
 func (v *View) putJob(jobID string, record shard.JobRecord, revision uint64) {
 	job := v.job(jobID)
 	isNew := job.Submission == nil && job.End == ""
@@ -189,7 +189,7 @@
 	v.dropDoneEntries(jobID, tasks)
 }
 
-// job is the view of a job, which is made if nothing is known of the job yet.
+// job returns the view of a job. It adds an empty one if nothing is known of the job yet.
 func (v *View) job(jobID string) *JobView {
 	job := v.Jobs[jobID]
 	if job == nil {
@@ -199,9 +199,9 @@
 	return job
 }
 
-// Drop applies a key's removal, unless a newer value is known. Only keys that are
-// attached to a session lease, intents, unused bundles and spill records are ever
-// removed.
+// Drop applies the deletion of a key, unless a newer value is known. It reports whether the
+// deletion was applied. Only keys attached to a session lease, intents, unused bundles and spill
+// records are ever deleted.
 func (v *View) Drop(key string, revision uint64) bool {
 	if old, ok := v.Revisions[key]; !ok || revision < old {
 		return false
@@ -233,13 +233,14 @@
 	}
 }
 
-// Known tells whether a job was accepted.
+// Known reports whether a job was accepted.
 func (v *View) Known(jobID string) bool {
 	job := v.Jobs[jobID]
 	return job != nil && (job.Submission != nil || job.End != "")
 }
 
-// Status is the answer to a poll for a job, as far as the stored state tells.
+// Status returns a job's status and its numbers of finished and running tasks, as far as they
+// follow from the stored state. known is false if the job was not accepted.
 func (v *View) Status(jobID string) (status string, done, running int, known bool) {
 	if !v.Known(jobID) {
 		return "", 0, 0, false
@@ -258,8 +259,8 @@
 	return model.JobPending, done, 0, true
 }
 
-// EffectiveEnd tells a job's end if it is known: the recorded one, or that it is cancelled
-// because a job that it depends on was.
+// EffectiveEnd returns a job's end if there is one: the stored end, or model.JobCancelled if a
+// direct or indirect dependency was cancelled.
 func (v *View) EffectiveEnd(jobID string) (end string, ended bool) {
 	job := v.Jobs[jobID]
 	switch {
