--- a/internal/duty/cleaner.go
+++ b/internal/duty/cleaner.go
@@ -56,14 +56,14 @@
 func (c *Cleaner) Plan(now model.Micros, unneeded []UnneededKey, limit int) []Removal {
 	seen := make(map[string]firstSeen, len(unneeded))
 	var removals []Removal
-	for _, u := range unneeded {
-		first, known := c.firstSeen[u.Key]
-		if !known || first.revision != u.Revision {
-			first = firstSeen{u.Revision, now}
+	for _, candidate := range unneeded {
+		first, known := c.firstSeen[candidate.Key]
+		if !known || first.revision != candidate.Revision {
+			first = firstSeen{candidate.Revision, now}
 		}
-		seen[u.Key] = first
-		if now-first.at >= u.Retain {
-			removals = append(removals, u.Removal)
+		seen[candidate.Key] = first
+		if now-first.at >= candidate.Retain {
+			removals = append(removals, candidate.Removal)
 		}
 	}
 	c.firstSeen = seen
--- a/internal/duty/planner.go
+++ b/internal/duty/planner.go
@@ -92,36 +92,36 @@
 
 // Decide proposes the next write, if any is due. At most one is proposed, as its outcome
 // may change what else is to be done.
-func (k *LeasePlanner) Decide(s *Snapshot) (Action, bool) {
-	var found Action
-	ok := false
+func (p *LeasePlanner) Decide(snapshot *Snapshot) (Action, bool) {
+	var action Action
+	due := false
 	for _, name := range Movable {
-		k.observe(s, name)
-		if ok {
+		p.observe(snapshot, name)
+		if due {
 			continue
 		}
-		if s.Leases[name].Token == 0 {
-			found, ok = k.acquire(s, name)
-		} else if _, mine := s.Holds(name); mine {
-			found, ok = k.handOver(s, name)
+		if snapshot.Leases[name].Token == 0 {
+			action, due = p.acquire(snapshot, name)
+		} else if _, held := snapshot.Holds(name); held {
+			action, due = p.handOver(snapshot, name)
 		}
 	}
-	return found, ok
+	return action, due
 }
 
 // observe notes since when a duty is vacant or held.
-func (k *LeasePlanner) observe(s *Snapshot, name Name) {
-	held := s.Leases[name]
+func (p *LeasePlanner) observe(snapshot *Snapshot, name Name) {
+	held := snapshot.Leases[name]
 	if held.Token == 0 {
-		if _, known := k.vacantSince[name]; !known {
-			k.vacantSince[name] = s.Now
+		if _, known := p.vacantSince[name]; !known {
+			p.vacantSince[name] = snapshot.Now
 		}
 		return
 	}
-	delete(k.vacantSince, name)
-	k.lastLeases[name] = held
-	if k.heldToken[name] != held.Token {
-		k.heldToken[name], k.heldSince[name] = held.Token, s.Now
+	delete(p.vacantSince, name)
+	p.lastLeases[name] = held
+	if p.heldToken[name] != held.Token {
+		p.heldToken[name], p.heldSince[name] = held.Token, snapshot.Now
 	}
 }
 
@@ -137,28 +137,28 @@
 }
 
 // candidateOrder lists the candidates for a duty; those to be avoided come last.
-func (k *LeasePlanner) candidateOrder(s *Snapshot, name Name, avoid map[string]Avoidance) []string {
-	order := k.policy.Order(name, s.candidates(), s.Leader)
-	slices.SortStableFunc(order, func(a, b string) int { return avoidanceRank(s, avoid, a) - avoidanceRank(s, avoid, b) })
+func (p *LeasePlanner) candidateOrder(snapshot *Snapshot, name Name, avoid map[string]Avoidance) []string {
+	order := p.policy.Order(name, snapshot.candidates(), snapshot.Leader)
+	slices.SortStableFunc(order, func(a, b string) int { return avoidanceRank(snapshot, avoid, a) - avoidanceRank(snapshot, avoid, b) })
 	return order
 }
 
 // avoidanceRank ranks controllers: 1 if one is to be avoided now, else 0.
-func avoidanceRank(s *Snapshot, avoid map[string]Avoidance, node string) int {
-	if s.WallMs < avoid[node].UntilMs {
+func avoidanceRank(snapshot *Snapshot, avoid map[string]Avoidance, node string) int {
+	if snapshot.WallMs < avoid[node].UntilMs {
 		return 1
 	}
 	return 0
 }
 
 // acquire proposes to take a vacant duty when it is this controller's turn.
-func (k *LeasePlanner) acquire(s *Snapshot, name Name) (Action, bool) {
-	last := k.lastLeases[name]
-	rank := slices.Index(k.candidateOrder(s, name, last.Avoid), s.Self)
-	if s.Session == 0 || rank < 0 || s.Now-k.vacantSince[name] < model.Micros(rank)*acquireStagger {
+func (p *LeasePlanner) acquire(snapshot *Snapshot, name Name) (Action, bool) {
+	last := p.lastLeases[name]
+	rank := slices.Index(p.candidateOrder(snapshot, name, last.Avoid), snapshot.Self)
+	if snapshot.Session == 0 || rank < 0 || snapshot.Now-p.vacantSince[name] < model.Micros(rank)*acquireStagger {
 		return Action{}, false
 	}
-	lease := Lease{Holder: s.Self, Session: s.Session, SinceMs: s.WallMs, Avoid: k.relevantAvoidances(s, last.Avoid)}
+	lease := Lease{Holder: snapshot.Self, Session: snapshot.Session, SinceMs: snapshot.WallMs, Avoid: p.relevantAvoidances(snapshot, last.Avoid)}
 	if last.Token != 0 {
 		lease.Previous, lease.PreviousToken, lease.Why = last.Holder, last.Token, ReasonSessionOver
 	}
@@ -166,72 +166,72 @@
 }
 
 // unfitReason is why this controller can't perform a duty that it holds, ReasonNone if it can.
-func (k *LeasePlanner) unfitReason(s *Snapshot, name Name) Reason {
-	if name.NeedsCloud() && s.CloudFailingSince != 0 {
-		failing := s.Now - max(s.CloudFailingSince, k.heldSince[name])
-		if failing >= k.cloudTimeout(s, s.Leases[name].Avoid) {
+func (p *LeasePlanner) unfitReason(snapshot *Snapshot, name Name) Reason {
+	if name.NeedsCloud() && snapshot.CloudFailingSince != 0 {
+		failing := snapshot.Now - max(snapshot.CloudFailingSince, p.heldSince[name])
+		if failing >= p.cloudTimeout(snapshot, snapshot.Leases[name].Avoid) {
 			return ReasonNoCloud
 		}
 	}
-	if s.Overloaded {
+	if snapshot.Overloaded {
 		return ReasonOverloaded
 	}
 	return ReasonNone
 }
 
 // handOver proposes to pass a duty on to a controller that can or should hold it.
-func (k *LeasePlanner) handOver(s *Snapshot, name Name) (Action, bool) {
-	held := s.Leases[name]
-	why := k.unfitReason(s, name)
-	for _, node := range k.candidateOrder(s, name, held.Avoid) {
-		if avoidanceRank(s, held.Avoid, node) != 0 {
+func (p *LeasePlanner) handOver(snapshot *Snapshot, name Name) (Action, bool) {
+	held := snapshot.Leases[name]
+	why := p.unfitReason(snapshot, name)
+	for _, node := range p.candidateOrder(snapshot, name, held.Avoid) {
+		if avoidanceRank(snapshot, held.Avoid, node) != 0 {
 			break
 		}
-		if node == s.Self {
+		if node == snapshot.Self {
 			if why != ReasonNone {
 				continue
 			}
 			break
 		}
-		settled := s.Now-s.Nodes[node].Since >= k.policy.Settle && s.Now-k.heldSince[name] >= k.policy.Settle
+		settled := snapshot.Now-snapshot.Nodes[node].Since >= p.policy.Settle && snapshot.Now-p.heldSince[name] >= p.policy.Settle
 		if why == ReasonNone && !settled {
 			continue
 		}
-		return k.handOverTo(s, name, s.Nodes[node], why), true
+		return p.handOverTo(snapshot, name, snapshot.Nodes[node], why), true
 	}
 	return Action{}, false
 }
 
 // cloudTimeout is how long a holder waits for the cloud before it hands over: longer
 // with each hand-over not long ago, as it may be that the cloud answers nobody.
-func (k *LeasePlanner) cloudTimeout(s *Snapshot, avoid map[string]Avoidance) model.Micros {
+func (p *LeasePlanner) cloudTimeout(snapshot *Snapshot, avoid map[string]Avoidance) model.Micros {
 	times := 0
-	for _, a := range k.relevantAvoidances(s, avoid) {
-		times += a.Times
+	for _, avoidance := range p.relevantAvoidances(snapshot, avoid) {
+		times += avoidance.Times
 	}
 	return cloudFailureTimeout << min(times, maxDoublings)
 }
 
 // handOverTo is the hand-over to a successor. A holder that could not perform the duty is
 // avoided for a while.
-func (k *LeasePlanner) handOverTo(s *Snapshot, name Name, successor Node, why Reason) Action {
-	held := s.Leases[name]
-	avoid := k.relevantAvoidances(s, held.Avoid)
+func (p *LeasePlanner) handOverTo(snapshot *Snapshot, name Name, successor Node, why Reason) Action {
+	held := snapshot.Leases[name]
+	avoid := p.relevantAvoidances(snapshot, held.Avoid)
 	if why == ReasonNone {
 		why = ReasonPreferred
 	} else {
 		if avoid == nil {
 			avoid = map[string]Avoidance{}
 		}
-		times := avoid[s.Self].Times + 1
-		pause := k.policy.Cooldown << min(times-1, maxDoublings)
-		avoid[s.Self] = Avoidance{UntilMs: s.WallMs + int64(pause/model.Millisecond), Times: times}
+		times := avoid[snapshot.Self].Times + 1
+		pause := p.policy.Cooldown << min(times-1, maxDoublings)
+		avoid[snapshot.Self] = Avoidance{UntilMs: snapshot.WallMs + int64(pause/model.Millisecond), Times: times}
 	}
 	lease := Lease{
 		Holder:        successor.Name,
 		Session:       successor.Session,
-		SinceMs:       s.WallMs,
-		Previous:      s.Self,
+		SinceMs:       snapshot.WallMs,
+		Previous:      snapshot.Self,
 		PreviousToken: held.Token,
 		Why:           why,
 		Avoid:         avoid,
@@ -241,9 +241,9 @@
 
 // relevantAvoidances are the avoidances that still matter: those in force, and those so recent
 // that another failure is to be avoided for longer.
-func (k *LeasePlanner) relevantAvoidances(s *Snapshot, avoid map[string]Avoidance) map[string]Avoidance {
-	memory := avoidanceRetentionCooldowns * int64(k.policy.Cooldown/model.Millisecond)
-	left := maps.Clone(avoid)
-	maps.DeleteFunc(left, func(_ string, a Avoidance) bool { return s.WallMs > a.UntilMs+memory })
-	return left
+func (p *LeasePlanner) relevantAvoidances(snapshot *Snapshot, avoid map[string]Avoidance) map[string]Avoidance {
+	retentionMs := avoidanceRetentionCooldowns * int64(p.policy.Cooldown/model.Millisecond)
+	relevant := maps.Clone(avoid)
+	maps.DeleteFunc(relevant, func(_ string, a Avoidance) bool { return snapshot.WallMs > a.UntilMs+retentionMs })
+	return relevant
 }
--- a/internal/duty/planner_test.go
+++ b/internal/duty/planner_test.go
@@ -21,19 +21,19 @@
 		policy.Places[name] = PlaceListed
 		policy.Listed[name] = []string{"c", "a", "b"}
 	}
-	s := Snapshot{Now: 100 * model.Second, WallMs: 1_000_000, Self: "a", Session: 7, Leader: "b", Nodes: map[string]Node{}, Leases: map[Name]StoredLease{}}
+	snapshot := Snapshot{Now: 100 * model.Second, WallMs: 1_000_000, Self: "a", Session: 7, Leader: "b", Nodes: map[string]Node{}, Leases: map[Name]StoredLease{}}
 	for i, name := range []string{"a", "b", "c"} {
-		s.Nodes[name] = Node{Name: name, Session: uint64(7 + i), Revision: uint64(20 + i), Since: s.Now, Candidate: true}
+		snapshot.Nodes[name] = Node{Name: name, Session: uint64(7 + i), Revision: uint64(20 + i), Since: snapshot.Now, Candidate: true}
 	}
 	for _, name := range []Name{Returning, Cleanup} {
-		s.Leases[name] = StoredLease{Lease: Lease{Holder: "b", Session: 8}, Token: 30}
+		snapshot.Leases[name] = StoredLease{Lease: Lease{Holder: "b", Session: 8}, Token: 30}
 	}
-	return &plannerTest{t, NewLeasePlanner(policy), s}
+	return &plannerTest{t, NewLeasePlanner(policy), snapshot}
 }
 
-func (t *plannerTest) advance(d model.Micros) {
-	t.snapshot.Now += d
-	t.snapshot.WallMs += int64(d / model.Millisecond)
+func (t *plannerTest) advance(duration model.Micros) {
+	t.snapshot.Now += duration
+	t.snapshot.WallMs += int64(duration / model.Millisecond)
 }
 
 func (t *plannerTest) setHolder(holder string, session, token uint64) {
@@ -44,43 +44,43 @@
 
 func (t *plannerTest) expectNoAction(when string) {
 	t.Helper()
-	if a, ok := t.planner.Decide(&t.snapshot); ok {
-		t.Errorf("%s: %+v", when, a)
+	if action, ok := t.planner.Decide(&t.snapshot); ok {
+		t.Errorf("%s: %+v", when, action)
 	}
 }
 
 // A vacant duty is left to the controllers before this one for a while each; without
 // authority nothing is acquired.
 func TestAcquireInTurn(t *testing.T) {
-	kt := newPlannerTest(t)
-	kt.expectNoAction("at once, as c is preferred")
-	kt.advance(acquireStagger)
-	kt.snapshot.Session = 0
-	kt.expectNoAction("without a session")
-	kt.snapshot.Session = 7
-	a, ok := kt.planner.Decide(&kt.snapshot)
-	if !ok || a.Kind != Acquire || a.Name != Renting || a.Token != 0 || a.Lease.Holder != "a" || a.Lease.Session != 7 {
-		t.Errorf("%+v", a)
+	test := newPlannerTest(t)
+	test.expectNoAction("at once, as c is preferred")
+	test.advance(acquireStagger)
+	test.snapshot.Session = 0
+	test.expectNoAction("without a session")
+	test.snapshot.Session = 7
+	action, ok := test.planner.Decide(&test.snapshot)
+	if !ok || action.Kind != Acquire || action.Name != Renting || action.Token != 0 || action.Lease.Holder != "a" || action.Lease.Session != 7 {
+		t.Errorf("%+v", action)
 	}
-	kt.setHolder("c", 9, 40)
-	kt.expectNoAction("held by another")
-	delete(kt.snapshot.Leases, Renting)
-	delete(kt.snapshot.Nodes, "c")
-	a, ok = kt.planner.Decide(&kt.snapshot)
-	if !ok || a.Lease.Previous != "c" || a.Lease.PreviousToken != 40 || a.Lease.Why != ReasonSessionOver {
-		t.Errorf("after c's end: %+v", a)
+	test.setHolder("c", 9, 40)
+	test.expectNoAction("held by another")
+	delete(test.snapshot.Leases, Renting)
+	delete(test.snapshot.Nodes, "c")
+	action, ok = test.planner.Decide(&test.snapshot)
+	if !ok || action.Lease.Previous != "c" || action.Lease.PreviousToken != 40 || action.Lease.Why != ReasonSessionOver {
+		t.Errorf("after c's end: %+v", action)
 	}
 }
 
 // A preferred controller gets the duty once both it and the present holder have settled.
 func TestHandOverToPreferred(t *testing.T) {
-	kt := newPlannerTest(t)
-	kt.setHolder("a", 7, 50)
-	kt.expectNoAction("at once")
-	kt.advance(defaultSettleS * model.Second)
-	a, ok := kt.planner.Decide(&kt.snapshot)
-	if !ok || a.Kind != HandOver || a.Successor.Name != "c" || a.Lease.Session != 9 || a.Token != 50 || a.Lease.Why != ReasonPreferred || len(a.Lease.Avoid) != 0 {
-		t.Errorf("%+v", a)
+	test := newPlannerTest(t)
+	test.setHolder("a", 7, 50)
+	test.expectNoAction("at once")
+	test.advance(defaultSettleS * model.Second)
+	action, ok := test.planner.Decide(&test.snapshot)
+	if !ok || action.Kind != HandOver || action.Successor.Name != "c" || action.Lease.Session != 9 || action.Token != 50 || action.Lease.Why != ReasonPreferred || len(action.Lease.Avoid) != 0 {
+		t.Errorf("%+v", action)
 	}
 }
 
@@ -88,62 +88,62 @@
 // longer and after a longer wait, as the cloud may answer nobody; with nobody left it
 // keeps it.
 func TestHandOverAfterFailure(t *testing.T) {
-	kt := newPlannerTest(t)
-	kt.planner.policy.Settle = maxSettleS * model.Second // no controller is preferred meanwhile
-	pause := int64(0)
+	test := newPlannerTest(t)
+	test.planner.policy.Settle = maxSettleS * model.Second // no controller is preferred meanwhile
+	pauseMs := int64(0)
 	for round := range 3 {
-		kt.setHolder("a", 7, uint64(50+round))
-		kt.expectNoAction("while the cloud answers")
-		kt.snapshot.CloudFailingSince = kt.snapshot.Now
-		kt.advance(cloudFailureTimeout<<round - 1)
-		kt.expectNoAction("too soon")
-		kt.advance(1)
-		a, ok := kt.planner.Decide(&kt.snapshot)
-		if !ok || a.Kind != HandOver || a.Lease.Why != ReasonNoCloud {
-			t.Fatalf("round %d: %+v", round, a)
+		test.setHolder("a", 7, uint64(50+round))
+		test.expectNoAction("while the cloud answers")
+		test.snapshot.CloudFailingSince = test.snapshot.Now
+		test.advance(cloudFailureTimeout<<round - 1)
+		test.expectNoAction("too soon")
+		test.advance(1)
+		action, ok := test.planner.Decide(&test.snapshot)
+		if !ok || action.Kind != HandOver || action.Lease.Why != ReasonNoCloud {
+			t.Fatalf("round %d: %+v", round, action)
 		}
-		longer := a.Lease.Avoid["a"].UntilMs - kt.snapshot.WallMs
-		if longer <= pause || a.Lease.Avoid["a"].Times != round+1 {
-			t.Errorf("round %d: avoided for %d ms after %d", round, longer, pause)
+		newPauseMs := action.Lease.Avoid["a"].UntilMs - test.snapshot.WallMs
+		if newPauseMs <= pauseMs || action.Lease.Avoid["a"].Times != round+1 {
+			t.Errorf("round %d: avoided for %d ms after %d", round, newPauseMs, pauseMs)
 		}
-		pause = longer
-		kt.snapshot.Leases[Renting] = StoredLease{Lease: a.Lease, Token: uint64(60 + round)}
-		kt.snapshot.CloudFailingSince = 0
-		kt.expectNoAction("held by another")
-		kt.advance(model.Micros(longer) * model.Millisecond)
+		pauseMs = newPauseMs
+		test.snapshot.Leases[Renting] = StoredLease{Lease: action.Lease, Token: uint64(60 + round)}
+		test.snapshot.CloudFailingSince = 0
+		test.expectNoAction("held by another")
+		test.advance(model.Micros(newPauseMs) * model.Millisecond)
 	}
-	kt.setHolder("a", 7, 90)
-	lease := kt.snapshot.Leases[Renting]
-	lease.Avoid = map[string]Avoidance{"b": {UntilMs: kt.snapshot.WallMs + 1e9, Times: 1}, "c": {UntilMs: kt.snapshot.WallMs + 1e9, Times: 1}}
-	kt.snapshot.Leases[Renting] = lease
-	kt.expectNoAction("observed")
-	kt.snapshot.CloudFailingSince = kt.snapshot.Now
-	kt.advance(cloudFailureTimeout << maxDoublings)
-	kt.expectNoAction("with nobody left")
-	kt.snapshot.Overloaded = true
-	kt.expectNoAction("overloaded, with nobody left")
+	test.setHolder("a", 7, 90)
+	lease := test.snapshot.Leases[Renting]
+	lease.Avoid = map[string]Avoidance{"b": {UntilMs: test.snapshot.WallMs + 1e9, Times: 1}, "c": {UntilMs: test.snapshot.WallMs + 1e9, Times: 1}}
+	test.snapshot.Leases[Renting] = lease
+	test.expectNoAction("observed")
+	test.snapshot.CloudFailingSince = test.snapshot.Now
+	test.advance(cloudFailureTimeout << maxDoublings)
+	test.expectNoAction("with nobody left")
+	test.snapshot.Overloaded = true
+	test.expectNoAction("overloaded, with nobody left")
 	delete(lease.Avoid, "b")
-	if a, ok := kt.planner.Decide(&kt.snapshot); !ok || a.Successor.Name != "b" {
-		t.Errorf("with b left: %+v", a)
+	if action, ok := test.planner.Decide(&test.snapshot); !ok || action.Successor.Name != "b" {
+		t.Errorf("with b left: %+v", action)
 	}
 }
 
 // The cleaner removes what has stood unneeded for long enough in one revision.
 func TestCleanerPlan(t *testing.T) {
-	c := NewCleaner()
-	list := []UnneededKey{UnneededBundle("x", 4), UnneededIntent("y", 5), UnneededBundle("z", 6)}
-	if got := c.Plan(0, list, 10); len(got) != 0 {
+	cleaner := NewCleaner()
+	unneeded := []UnneededKey{UnneededBundle("x", 4), UnneededIntent("y", 5), UnneededBundle("z", 6)}
+	if got := cleaner.Plan(0, unneeded, 10); len(got) != 0 {
 		t.Fatalf("at once: %v", got)
 	}
-	list[2].Revision = 7
-	if got := c.Plan(retainBundle, list, 10); len(got) != 1 || got[0] != (Removal{"x", 4}) {
+	unneeded[2].Revision = 7
+	if got := cleaner.Plan(retainBundle, unneeded, 10); len(got) != 1 || got[0] != (Removal{"x", 4}) {
 		t.Errorf("after a while: %v", got)
 	}
-	if got := c.Plan(retainIntent+retainBundle, list, 1); len(got) != 1 || got[0].Key != "x" {
+	if got := cleaner.Plan(retainIntent+retainBundle, unneeded, 1); len(got) != 1 || got[0].Key != "x" {
 		t.Errorf("at most one: %v", got)
 	}
-	c.Plan(retainIntent+retainBundle, nil, 1)
-	if got := c.Plan(retainIntent+retainBundle+1, list, 10); len(got) != 0 {
+	cleaner.Plan(retainIntent+retainBundle, nil, 1)
+	if got := cleaner.Plan(retainIntent+retainBundle+1, unneeded, 10); len(got) != 0 {
 		t.Errorf("needed in between: %v", got)
 	}
 }
@@ -155,11 +155,11 @@
 	for _, valueBytes := range []int{960, 2 * 960, 32 * 960} {
 		rental := Rental{Request: "w1234567890-123456", MachineType: "a-rather-long-type", Zone: "a-rather-long-zone-name", Spot: true, Count: 50, Grant: 1 << 40,
 			State: Filled, Token: 1 << 40, Trace: trace, Machines: slices.Repeat([]string{longest}, RentAtMost(valueBytes))}
-		ret := Return{Grant: 1 << 40, State: Gone, Token: 1 << 40, Trace: trace, Machines: slices.Repeat([]string{longest}, ReturnAtMost(valueBytes))}
-		for _, record := range []any{rental, ret} {
-			raw, err := json.Marshal(record)
-			if err != nil || len(raw) > valueBytes {
-				t.Errorf("%T of %d bytes in a value of %d, %v", record, len(raw), valueBytes, err)
+		returnRecord := Return{Grant: 1 << 40, State: Gone, Token: 1 << 40, Trace: trace, Machines: slices.Repeat([]string{longest}, ReturnAtMost(valueBytes))}
+		for _, record := range []any{rental, returnRecord} {
+			value, err := json.Marshal(record)
+			if err != nil || len(value) > valueBytes {
+				t.Errorf("%T of %d bytes in a value of %d, %v", record, len(value), valueBytes, err)
 			}
 		}
 	}
--- a/internal/duty/policy.go
+++ b/internal/duty/policy.go
@@ -63,34 +63,34 @@
 
 // LeaderOnly is the policy without a duties file: the leader holds everything.
 func LeaderOnly() *Policy {
-	p := &Policy{Places: map[Name]Place{}, Listed: map[Name][]string{}, Settle: model.Seconds(defaultSettleS), Cooldown: model.Seconds(defaultCooldownS)}
+	policy := &Policy{Places: map[Name]Place{}, Listed: map[Name][]string{}, Settle: model.Seconds(defaultSettleS), Cooldown: model.Seconds(defaultCooldownS)}
 	for _, name := range Movable {
-		p.Places[name] = PlaceLeader
+		policy.Places[name] = PlaceLeader
 	}
-	return p
+	return policy
 }
 
 // ParseSettings reads and checks a duties file. Nodes are the controllers of the
-// deployment, and longest is the longest session that is safe there.
-func ParseSettings(raw []byte, nodes []string, longest model.Micros) (*Policy, error) {
-	s := Settings{SettleS: defaultSettleS, CooldownS: defaultCooldownS}
-	if err := xml.Unmarshal(raw, &s); err != nil {
+// deployment, and maxLease is the longest session that is safe there.
+func ParseSettings(raw []byte, nodes []string, maxLease model.Micros) (*Policy, error) {
+	settings := Settings{SettleS: defaultSettleS, CooldownS: defaultCooldownS}
+	if err := xml.Unmarshal(raw, &settings); err != nil {
 		return nil, &FieldError{"duties", err.Error()}
 	}
 	policy := LeaderOnly()
-	policy.TraceEndpoint = strings.TrimSpace(s.TraceEndpoint)
-	if err := s.checkDurations(longest); err != nil {
+	policy.TraceEndpoint = strings.TrimSpace(settings.TraceEndpoint)
+	if err := settings.checkDurations(maxLease); err != nil {
 		return nil, err
 	}
-	policy.Settle, policy.Cooldown, policy.Lease = model.Seconds(s.SettleS), model.Seconds(s.CooldownS), model.Seconds(s.LeaseS)
+	policy.Settle, policy.Cooldown, policy.Lease = model.Seconds(settings.SettleS), model.Seconds(settings.CooldownS), model.Seconds(settings.LeaseS)
 	seen := map[Name]bool{}
-	for i := range s.Duties {
-		entry := &s.Duties[i]
-		if seen[Name(entry.Name)] {
-			return nil, &FieldError{"duty " + entry.Name, "named twice"}
+	for i := range settings.Duties {
+		placement := &settings.Duties[i]
+		if seen[Name(placement.Name)] {
+			return nil, &FieldError{"duty " + placement.Name, "named twice"}
 		}
-		seen[Name(entry.Name)] = true
-		if err := policy.add(entry, nodes); err != nil {
+		seen[Name(placement.Name)] = true
+		if err := policy.add(placement, nodes); err != nil {
 			return nil, err
 		}
 	}
@@ -98,7 +98,7 @@
 }
 
 // checkDurations checks the times of the file.
-func (s *Settings) checkDurations(longest model.Micros) error {
+func (s *Settings) checkDurations(maxLease model.Micros) error {
 	switch {
 	case !(s.SettleS >= 1 && s.SettleS <= maxSettleS):
 		return &FieldError{"settle-s", fmt.Sprintf("%v is not between 1 and %v", s.SettleS, maxSettleS)}
@@ -108,27 +108,27 @@
 		return nil
 	case !(s.LeaseS >= minLeaseS):
 		return &FieldError{"lease-s", fmt.Sprintf("%v is shorter than is useful: one lost request would end it; at least %v", s.LeaseS, minLeaseS)}
-	case model.Seconds(s.LeaseS) > longest:
-		return &FieldError{"lease-s", fmt.Sprintf("%v is longer than is safe with these settings; at most %v", s.LeaseS, longest.Seconds())}
+	case model.Seconds(s.LeaseS) > maxLease:
+		return &FieldError{"lease-s", fmt.Sprintf("%v is longer than is safe with these settings; at most %v", s.LeaseS, maxLease.Seconds())}
 	}
 	return nil
 }
 
 // add checks what the file says of a duty and adds it to the policy.
-func (p *Policy) add(entry *Placement, nodes []string) error {
-	field, name := "duty "+entry.Name, Name(entry.Name)
+func (p *Policy) add(placement *Placement, nodes []string) error {
+	field, name := "duty "+placement.Name, Name(placement.Name)
 	if name == Reclaiming {
 		return &FieldError{field, "stays with the holder of the machines' block and can't be placed"}
 	}
 	if !slices.Contains(Movable, name) {
 		return &FieldError{field, "unknown duty"}
 	}
-	place := entry.place()
-	if err := entry.checkPlace(field, place); err != nil {
+	place := placement.place()
+	if err := placement.checkPlace(field, place); err != nil {
 		return err
 	}
-	for _, prefer := range entry.Prefer {
-		node := strings.TrimSpace(prefer)
+	for _, preferred := range placement.Prefer {
+		node := strings.TrimSpace(preferred)
 		if !slices.Contains(nodes, node) {
 			return &FieldError{field, fmt.Sprintf("unknown controller %q", node)}
 		}
@@ -142,29 +142,29 @@
 }
 
 // place is the place that the file gives or implies.
-func (e *Placement) place() Place {
+func (p *Placement) place() Place {
 	switch {
-	case e.Place != "":
-		return Place(e.Place)
-	case len(e.Prefer) > 0:
+	case p.Place != "":
+		return Place(p.Place)
+	case len(p.Prefer) > 0:
 		return PlaceListed
 	}
 	return PlaceLeader
 }
 
 // checkPlace checks that a duty's place is known and agrees with the preferred controllers.
-func (e *Placement) checkPlace(field string, place Place) error {
+func (p *Placement) checkPlace(field string, place Place) error {
 	switch place {
 	case PlaceLeader, PlaceSpread:
-		if len(e.Prefer) > 0 {
+		if len(p.Prefer) > 0 {
 			return &FieldError{field, fmt.Sprintf("place %q names no controllers, but some are preferred", place)}
 		}
 	case PlaceListed:
-		if len(e.Prefer) == 0 {
+		if len(p.Prefer) == 0 {
 			return &FieldError{field, "nobody may hold it: place \"listed\" without a preferred controller"}
 		}
 	default:
-		return &FieldError{field, fmt.Sprintf("unknown place %q", e.Place)}
+		return &FieldError{field, fmt.Sprintf("unknown place %q", p.Place)}
 	}
 	return nil
 }
@@ -172,8 +172,8 @@
 // Order lists the candidates for a duty, the preferred ones first. The leader comes last
 // where it is not preferred, as it has the most to do.
 func (p *Policy) Order(name Name, candidates []string, leader string) []string {
-	all := slices.Clone(candidates)
-	slices.Sort(all)
+	sorted := slices.Clone(candidates)
+	slices.Sort(sorted)
 	var order []string
 	add := func(node string) {
 		if slices.Contains(candidates, node) && !slices.Contains(order, node) {
@@ -189,10 +189,10 @@
 	default:
 		add(leader)
 	}
-	others := slices.DeleteFunc(all, func(node string) bool { return node == leader })
-	turn := slices.Index(Movable, name)
+	others := slices.DeleteFunc(sorted, func(node string) bool { return node == leader })
+	offset := slices.Index(Movable, name)
 	for i := range others {
-		add(others[(i+turn)%len(others)])
+		add(others[(i+offset)%len(others)])
 	}
 	add(leader)
 	return order
--- a/internal/duty/policy_test.go
+++ b/internal/duty/policy_test.go
@@ -12,7 +12,7 @@
 var threeNodes = []string{"c", "a", "b"}
 
 // What is wrong in a duties file is refused with its field and the reason.
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for file, want := range map[string][2]string{
 		`<duties`: {"duties", "XML"},
 		`<duties><duty name="cooking"/></duties>`:                                             {"duty cooking", "unknown duty"},
@@ -30,8 +30,8 @@
 		`<duties><lease-s>11</lease-s></duties>`:                                              {"lease-s", "longer than is safe"},
 	} {
 		_, err := ParseSettings([]byte(file), threeNodes, 10*model.Second)
-		var field *FieldError
-		if !errors.As(err, &field) || field.Field != want[0] || !strings.Contains(field.Reason, want[1]) {
+		var fieldError *FieldError
+		if !errors.As(err, &fieldError) || fieldError.Field != want[0] || !strings.Contains(fieldError.Reason, want[1]) {
 			t.Errorf("%s: %v", file, err)
 		}
 	}
@@ -40,20 +40,20 @@
 // The order of candidates follows the place; the leader comes last where it is not
 // preferred, and duties that are spread begin with different controllers.
 func TestOrder(t *testing.T) {
-	p, err := ParseSettings([]byte(`<duties><duty name="renting" place="spread"/><duty name="returning" place="spread"/>
+	policy, err := ParseSettings([]byte(`<duties><duty name="renting" place="spread"/><duty name="returning" place="spread"/>
 		<duty name="cleanup"><prefer>b</prefer></duty><lease-s>4</lease-s></duties>`), threeNodes, 10*model.Second)
-	if err != nil || p.Lease != 4*model.Second {
-		t.Fatal(p, err)
+	if err != nil || policy.Lease != 4*model.Second {
+		t.Fatal(policy, err)
 	}
 	for name, want := range map[Name][]string{Renting: {"b", "c", "a"}, Returning: {"c", "b", "a"}, Cleanup: {"b", "c", "a"}} {
-		if got := p.Order(name, threeNodes, "a"); !slices.Equal(got, want) {
+		if got := policy.Order(name, threeNodes, "a"); !slices.Equal(got, want) {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 	if got := LeaderOnly().Order(Renting, threeNodes, "b"); got[0] != "b" {
 		t.Errorf("leader's duty: %v", got)
 	}
-	if got := p.Order(Cleanup, []string{"a"}, "a"); !slices.Equal(got, []string{"a"}) {
+	if got := policy.Order(Cleanup, []string{"a"}, "a"); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("alone: %v", got)
 	}
 }
