--- a/internal/duty/cleaner.go
+++ b/internal/duty/cleaner.go
@@ -7,52 +7,53 @@
 	"woadweir/internal/core/model"
 )
 
-// How long something has to stand unneeded before it is removed.
+// How long a key has to be unneeded before it is removed.
 const (
-	// The shard's holder writes unused bundles anew before it adds others.
+	// The shard's holder reuses the slots of unused bundles before it adds others.
 	retainBundle = 120 * model.Second
-	// A removed slot could be created once more by a late copy of a write, so it stays
-	// for longer than any message is late.
+	// A delayed duplicate of a write could create a removed slot again, so the slot is kept for
+	// longer than any message is delayed.
 	retainIntent = 1800 * model.Second
 )
 
-// Removal is a key that nobody needs, with the revision that was looked at.
+// Removal is a key to be removed, at the revision at which it was found unneeded.
 type Removal struct {
 	Key      string
 	Revision uint64
 }
 
-// UnneededKey is a key that could be removed, were it to stay as it is.
+// UnneededKey is a key that may be removed once it has stayed unneeded at the same revision for the
+// time Retain.
 type UnneededKey struct {
 	Removal
 	Retain model.Micros
 }
 
-// UnneededIntent makes the slot of a finished intent a candidate for removal.
+// UnneededIntent returns the key of a finished intent's slot as a candidate for removal.
 func UnneededIntent(key string, revision uint64) UnneededKey {
 	return UnneededKey{Removal{key, revision}, retainIntent}
 }
 
-// UnneededBundle makes an unused bundle a candidate for removal.
+// UnneededBundle returns the key of an unused bundle as a candidate for removal.
 func UnneededBundle(key string, revision uint64) UnneededKey {
 	return UnneededKey{Removal{key, revision}, retainBundle}
 }
 
-// firstSeen is when a candidate was first seen in its present revision.
+// firstSeen says when a candidate was first seen at its present revision.
 type firstSeen struct {
 	revision uint64
 	at       model.Micros
 }
 
-// Cleaner chooses which keys to remove. It remembers only what it has seen itself, so a
-// new holder of the duty begins to count anew.
+// Cleaner chooses which keys to remove. It counts only the time since it has first seen a key
+// itself, so with a new holder of the duty the time starts from zero.
 type Cleaner struct{ firstSeen map[string]firstSeen }
 
-// NewCleaner makes a cleaner that has seen nothing.
+// NewCleaner returns a cleaner that has seen no keys.
 func NewCleaner() *Cleaner { return &Cleaner{firstSeen: map[string]firstSeen{}} }
 
-// Plan chooses at most so many of the keys that have stood unneeded for long enough, the
-// longest known first.
+// Plan returns up to limit keys that have been unneeded for long enough, those that were seen first
+// at the front.
 func (c *Cleaner) Plan(now model.Micros, unneeded []UnneededKey, limit int) []Removal {
 	seen := make(map[string]firstSeen, len(unneeded))
 	var removals []Removal
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,7 +1,7 @@
-// Package duty decides which controller holds which single-holder duty: a task of the
-// deployment that at most one controller performs at a time. It does no input or output;
-// it is given what is known of leases and controllers, and proposes writes to the state
-// service. docs/duties.md has the design.
+// Package duty decides which controller holds which single-holder duty: a task of the deployment
+// that at most one controller performs at a time. It does no input or output: its input is what is
+// known about leases and controllers, and its output are proposed writes to the state service.
+// docs/duties.md has the design.
 package duty
 
 import (
@@ -10,10 +10,11 @@
 	"woadweir/internal/core/model"
 )
 
-// Name names a duty.
+// Name is the name of a duty.
 type Name string
 
-// The duties. Reclaiming is held with the shard's grant and has no lease of its own.
+// The duties: renting machines, returning machines, removing unneeded keys, and reclaiming work from
+// lost machines. Reclaiming goes with the shard's grant and has no lease of its own.
 const (
 	Renting    Name = "renting"
 	Returning  Name = "returning"
@@ -24,19 +25,19 @@
 // Movable lists the duties that have a lease of their own.
 var Movable = []Name{Renting, Returning, Cleanup}
 
-// NeedsCloud tells whether a duty cannot be performed without the cloud.
+// NeedsCloud reports whether a duty cannot be performed without the cloud.
 func (n Name) NeedsCloud() bool { return n == Renting || n == Returning }
 
-// KeyPrefix begins the key of every duty's lease.
+// KeyPrefix is the prefix of the keys of duty leases.
 const KeyPrefix = "duty/"
 
-// Key is the state service's key of a duty's lease.
+// Key returns the key of a duty's lease in the state service.
 func (n Name) Key() string { return KeyPrefix + string(n) }
 
-// Reason tells why a holder lost a duty.
+// Reason says why a holder lost a duty.
 type Reason string
 
-// The reasons for which a duty changes hands.
+// The reasons for which a holder loses a duty.
 const (
 	ReasonNone        Reason = ""
 	ReasonSessionOver Reason = "session over"
@@ -45,18 +46,18 @@
 	ReasonPreferred   Reason = "another controller is preferred"
 )
 
-// Avoidance keeps a duty away from a controller that could not perform it.
+// Avoidance says that a controller which could not perform a duty should not hold it for some time.
 type Avoidance struct {
-	UntilMs int64 `json:"untilMs"` // time of day
-	Times   int   `json:"times"`   // in a row; each one doubles the pause
+	UntilMs int64 `json:"untilMs"` // wall-clock time
+	Times   int   `json:"times"`   // consecutive failures; each one doubles the time
 }
 
-// Lease is the record of a duty's lease. Its key is attached to the holder's session, and
-// its revision is the fencing token.
+// Lease is the record of a duty's lease. Its key is attached to the holder's session lease, and the
+// key's revision is the fencing token.
 type Lease struct {
 	Holder        string               `json:"holder"`
 	Session       uint64               `json:"session"`
-	SinceMs       int64                `json:"sinceMs"` // time of day
+	SinceMs       int64                `json:"sinceMs"` // wall-clock time
 	Previous      string               `json:"previous,omitempty"`
 	PreviousToken uint64               `json:"previousToken,omitempty"`
 	Why           Reason               `json:"why,omitempty"` // why the previous holder lost it
@@ -64,40 +65,40 @@
 	Trace         string               `json:"trace,omitempty"` // trace context, see package tracing
 }
 
-// StoredLease is a lease as it stands in the state service.
+// StoredLease is a duty's lease together with its fencing token, as read from the state service.
 type StoredLease struct {
 	Lease
-	Token uint64 // the revision of its key, 0: vacant
+	Token uint64 // revision of the lease's key, 0: the duty is vacant
 }
 
-// IntentState tells what has become of an intent.
+// IntentState is the state of an intent.
 type IntentState string
 
 // The states of an intent.
 const (
-	Open    IntentState = "open"    // decided, and to be carried out
+	Open    IntentState = "open"    // decided, but not executed yet
 	Filled  IntentState = "filled"  // a rental: the machines are rented
 	Refused IntentState = "refused" // a rental: the cloud has no capacity
 	Gone    IntentState = "gone"    // a return: the cloud has confirmed that the machines are gone
 )
 
-// Rental is the record of a rental intent: a decision of the leader to rent, and its
+// Rental is the record of a rental intent: a decision of the leader to rent machines, and its
 // outcome.
 type Rental struct {
-	Request     string      `json:"request"` // the name of the request, made of the grant's token and a counter
+	Request     string      `json:"request"` // ID of the request to the cloud, made of the grant's token and a counter
 	MachineType string      `json:"machineType"`
 	Zone        string      `json:"zone"`
 	Spot        bool        `json:"spot,omitempty"`
 	Count       int         `json:"count"`
-	Grant       uint64      `json:"grant"` // fencing token of the leader that decided
+	Grant       uint64      `json:"grant"` // fencing token of the leader that made the decision
 	State       IntentState `json:"state"`
 	Machines    []string    `json:"machines,omitempty"`
-	Token       uint64      `json:"token,omitempty"` // of the duty, under which the outcome was written
+	Token       uint64      `json:"token,omitempty"` // fencing token of the duty under which the outcome was written
 	Trace       string      `json:"trace,omitempty"`
 }
 
-// Return is the record of a return intent: machines that are to be deleted and that
-// nothing may be bound to any more.
+// Return is the record of a return intent: machines to be deleted, to which no more tasks may be
+// bound.
 type Return struct {
 	Machines []string    `json:"machines"`
 	Grant    uint64      `json:"grant"`
@@ -106,41 +107,40 @@
 	Trace    string      `json:"trace,omitempty"`
 }
 
-// Prefixes of the keys of intents. The rest of the key is the number of a slot: a
-// finished intent's key is written anew for another decision, not removed, so that a
-// late copy of the write finds another revision.
+// Prefixes of the keys of intents. The rest of the key is a slot number. The key of a finished
+// intent is reused for another decision rather than removed, so that a delayed duplicate of the
+// write finds another revision and fails.
 const (
 	RentalPrefix = "intent/rent/"
 	ReturnPrefix = "intent/return/"
 )
 
-// RentalKey is the key of a slot for rental intents.
+// RentalKey returns the key of a slot for rental intents.
 func RentalKey(slot int) string { return RentalPrefix + strconv.Itoa(slot) }
 
-// ReturnKey is the key of a slot for return intents.
+// ReturnKey returns the key of a slot for return intents.
 func ReturnKey(slot int) string { return ReturnPrefix + strconv.Itoa(slot) }
 
-// Limits of what an intent's record may hold: the bytes that all fields but the machines
-// take, and the bytes that a machine's name takes at most.
+// Limits on the number of machines in an intent.
 const (
-	intentOverhead   = 320
-	machineNameBytes = 26  // with quotes and a comma
-	maxRental        = 50  // the cloud's limit of a rental
-	maxReturn        = 100 // the cloud's limit of a deletion
+	intentOverhead   = 320 // upper bound for the bytes of all fields but the machines
+	machineNameBytes = 26  // upper bound for the bytes of a machine's name, with quotes and a comma
+	maxRental        = 50  // the cloud's limit for one rental
+	maxReturn        = 100 // the cloud's limit for one deletion
 )
 
-// RentAtMost is how many machines a rental intent may ask for, so that their names fit
-// into a value of the state service.
+// RentAtMost returns how many machines a rental intent may ask for, so that their names fit into a
+// value of the state service.
 func RentAtMost(valueBytes int) int { return maxMachineNames(valueBytes, maxRental) }
 
-// ReturnAtMost is how many machines a return intent may name.
+// ReturnAtMost returns how many machines a return intent may name.
 func ReturnAtMost(valueBytes int) int { return maxMachineNames(valueBytes, maxReturn) }
 
-// maxMachineNames is how many machines' names fit into a value, one at least.
+// maxMachineNames returns how many machine names fit into a value: at least one, and at most limit.
 func maxMachineNames(valueBytes, limit int) int {
 	return max(1, min(limit, (valueBytes-intentOverhead)/machineNameBytes))
 }
 
-// RetainRental is how long the record of a finished rental intent is kept before its slot
-// is used again, so that a new leader knows of its machines until the cloud lists them.
+// RetainRental is how long the record of a finished rental intent is kept before its slot is reused,
+// so that a new leader knows about its machines until the cloud lists them.
 const RetainRental = 30 * model.Second
--- a/internal/duty/planner.go
+++ b/internal/duty/planner.go
@@ -7,51 +7,53 @@
 	"woadweir/internal/core/model"
 )
 
-// Times of a keeper.
+// Timing of a planner's decisions.
 const (
-	acquireStagger              = 500 * model.Millisecond // each further controller of the order waits so much longer
-	cloudFailureTimeout         = 10 * model.Second       // without an answer of the cloud before a first hand-over
-	maxDoublings                = 5                       // of cloudFailure and of the policy's cooldown
-	avoidanceRetentionCooldowns = 10                      // in cooldowns: failures after that count from one again
+	acquireStagger      = 500 * model.Millisecond // extra delay before acquiring, for each candidate in front
+	cloudFailureTimeout = 10 * model.Second       // without an answer of the cloud, before the first hand-over
+	maxDoublings        = 5                       // of cloudFailureTimeout and of the policy's cooldown
+	// avoidanceRetentionCooldowns is how many cooldowns an avoidance is remembered after its end.
+	// A failure after that counts as the first one again.
+	avoidanceRetentionCooldowns = 10
 )
 
 // Node is a live controller.
 type Node struct {
 	Name     string
 	Session  uint64
-	Revision uint64       // revision of its key
+	Revision uint64       // revision of its node key
 	Since    model.Micros // when this process first saw it live
-	// Candidate tells that it may hold duties without being the leader.
+	// Candidate is set if it may hold duties without being the leader.
 	Candidate bool
 }
 
-// Snapshot is what a keeper looks at.
+// Snapshot is the input of a planner's decision.
 type Snapshot struct {
 	Now    model.Micros
-	WallMs int64 // time of day
-	Self   string
-	// Session is this process's, 0 if it has none or may not act.
+	WallMs int64  // wall-clock time
+	Self   string // name of this process's node
+	// Session is this process's session, 0 if it has none or may not act.
 	Session    uint64
 	Leader     string
 	Overloaded bool
-	// CloudFailingSince is when the cloud began not to answer this process, 0: it
-	// answers, or was not asked.
+	// CloudFailingSince is the time since when the cloud has not answered this process, 0 if it
+	// answers or was not called.
 	CloudFailingSince model.Micros
 	Nodes             map[string]Node
 	Leases            map[Name]StoredLease
 }
 
-// ActionKind tells what a keeper proposes.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// What a keeper proposes.
+// The kinds of actions.
 const (
 	Acquire ActionKind = iota
 	HandOver
 )
 
-// Action is a write to a duty's lease. It must be guarded by the revision of the lease's
-// key (Token), and a hand-over also by that of the successor's node key.
+// Action is a proposed write to a duty's lease. The write must be conditional on the revision of the
+// lease's key (Token), and for a hand-over also on the revision of the successor's node key.
 type Action struct {
 	Kind  ActionKind
 	Name  Name
@@ -61,16 +63,16 @@
 	Successor Node
 }
 
-// LeasePlanner proposes, for one controller, when to acquire duties and when to hand them over.
+// LeasePlanner decides, for one controller, when to acquire duties and when to hand them over.
 type LeasePlanner struct {
 	policy      *Policy
 	vacantSince map[Name]model.Micros
 	heldSince   map[Name]model.Micros
 	heldToken   map[Name]uint64
-	lastLeases  map[Name]StoredLease // the last lease that was seen of each duty
+	lastLeases  map[Name]StoredLease // the last lease seen of each duty
 }
 
-// NewLeasePlanner makes a keeper that holds nothing.
+// NewLeasePlanner returns a planner that has seen no leases.
 func NewLeasePlanner(policy *Policy) *LeasePlanner {
 	return &LeasePlanner{
 		policy:      policy,
@@ -81,7 +83,7 @@
 	}
 }
 
-// Holds tells whether this controller holds a duty, and under which token.
+// Holds reports whether this controller holds a duty, and returns the lease's fencing token.
 func (s *Snapshot) Holds(name Name) (token uint64, ok bool) {
 	held := s.Leases[name]
 	if held.Token == 0 || s.Session == 0 || held.Holder != s.Self || held.Session != s.Session {
@@ -90,8 +92,8 @@
 	return held.Token, true
 }
 
-// Decide proposes the next write, if any is due. At most one is proposed, as its outcome
-// may change what else is to be done.
+// Decide returns the next write, if any is due. It proposes only one write at a time, as the outcome
+// may change what else has to be done.
 func (p *LeasePlanner) Decide(snapshot *Snapshot) (Action, bool) {
 	var action Action
 	due := false
@@ -109,7 +111,7 @@
 	return action, due
 }
 
-// observe notes since when a duty is vacant or held.
+// observe records since when a duty is vacant or held.
 func (p *LeasePlanner) observe(snapshot *Snapshot, name Name) {
 	held := snapshot.Leases[name]
 	if held.Token == 0 {
@@ -125,7 +127,7 @@
 	}
 }
 
-// candidates are the live controllers that may hold a duty.
+// candidates returns the names of the live controllers that may hold a duty.
 func (s *Snapshot) candidates() []string {
 	var names []string
 	for name, node := range s.Nodes {
@@ -136,14 +138,15 @@
 	return names
 }
 
-// candidateOrder lists the candidates for a duty; those to be avoided come last.
+// candidateOrder returns the candidates for a duty in the policy's order, with those to be avoided
+// last.
 func (p *LeasePlanner) candidateOrder(snapshot *Snapshot, name Name, avoid map[string]Avoidance) []string {
 	order := p.policy.Order(name, snapshot.candidates(), snapshot.Leader)
 	slices.SortStableFunc(order, func(a, b string) int { return avoidanceRank(snapshot, avoid, a) - avoidanceRank(snapshot, avoid, b) })
 	return order
 }
 
-// avoidanceRank ranks controllers: 1 if one is to be avoided now, else 0.
+// avoidanceRank returns 1 if a controller is to be avoided now, else 0.
 func avoidanceRank(snapshot *Snapshot, avoid map[string]Avoidance, node string) int {
 	if snapshot.WallMs < avoid[node].UntilMs {
 		return 1
@@ -151,7 +154,8 @@
 	return 0
 }
 
-// acquire proposes to take a vacant duty when it is this controller's turn.
+// acquire proposes to acquire a vacant duty when the candidates in front of this controller have had
+// their time.
 func (p *LeasePlanner) acquire(snapshot *Snapshot, name Name) (Action, bool) {
 	last := p.lastLeases[name]
 	rank := slices.Index(p.candidateOrder(snapshot, name, last.Avoid), snapshot.Self)
@@ -165,7 +169,7 @@
 	return Action{Kind: Acquire, Name: name, Lease: lease}, true
 }
 
-// unfitReason is why this controller can't perform a duty that it holds, ReasonNone if it can.
+// unfitReason returns why this controller can't perform a duty that it holds, ReasonNone if it can.
 func (p *LeasePlanner) unfitReason(snapshot *Snapshot, name Name) Reason {
 	if name.NeedsCloud() && snapshot.CloudFailingSince != 0 {
 		failing := snapshot.Now - max(snapshot.CloudFailingSince, p.heldSince[name])
@@ -179,7 +183,8 @@
 	return ReasonNone
 }
 
-// handOver proposes to pass a duty on to a controller that can or should hold it.
+// handOver proposes to hand a duty over to a controller that is preferred, or that may hold it if
+// this one can't perform it.
 func (p *LeasePlanner) handOver(snapshot *Snapshot, name Name) (Action, bool) {
 	held := snapshot.Leases[name]
 	why := p.unfitReason(snapshot, name)
@@ -202,8 +207,8 @@
 	return Action{}, false
 }
 
-// cloudTimeout is how long a holder waits for the cloud before it hands over: longer
-// with each hand-over not long ago, as it may be that the cloud answers nobody.
+// cloudTimeout returns how long a holder waits for an answer of the cloud before it hands the duty
+// over. The time doubles with each recent hand-over, as the cloud may not answer any controller.
 func (p *LeasePlanner) cloudTimeout(snapshot *Snapshot, avoid map[string]Avoidance) model.Micros {
 	times := 0
 	for _, avoidance := range p.relevantAvoidances(snapshot, avoid) {
@@ -212,8 +217,8 @@
 	return cloudFailureTimeout << min(times, maxDoublings)
 }
 
-// handOverTo is the hand-over to a successor. A holder that could not perform the duty is
-// avoided for a while.
+// handOverTo returns the hand-over of a duty to a successor. If this holder could not perform the
+// duty, the new lease says that it is to be avoided for some time.
 func (p *LeasePlanner) handOverTo(snapshot *Snapshot, name Name, successor Node, why Reason) Action {
 	held := snapshot.Leases[name]
 	avoid := p.relevantAvoidances(snapshot, held.Avoid)
@@ -239,8 +244,8 @@
 	return Action{Kind: HandOver, Name: name, Token: held.Token, Successor: successor, Lease: lease}
 }
 
-// relevantAvoidances are the avoidances that still matter: those in force, and those so recent
-// that another failure is to be avoided for longer.
+// relevantAvoidances returns the avoidances that are in force, and those that ended so recently that
+// another failure of the same controller has to count as a further one.
 func (p *LeasePlanner) relevantAvoidances(snapshot *Snapshot, avoid map[string]Avoidance) map[string]Avoidance {
 	retentionMs := avoidanceRetentionCooldowns * int64(p.policy.Cooldown/model.Millisecond)
 	relevant := maps.Clone(avoid)
--- a/internal/duty/policy.go
+++ b/internal/duty/policy.go
@@ -9,24 +9,24 @@
 	"woadweir/internal/core/model"
 )
 
-// Place tells which controllers are to hold a duty.
+// Place says which controllers are to hold a duty.
 type Place string
 
 // The places of a duty.
 const (
-	PlaceLeader Place = "leader" // the leader, others only if it cannot
-	PlaceSpread Place = "spread" // all controllers, each duty beginning with another one
-	PlaceListed Place = "listed" // as listed, then all others
+	PlaceLeader Place = "leader" // the leader; others only if it cannot
+	PlaceSpread Place = "spread" // all controllers, starting with a different one for each duty
+	PlaceListed Place = "listed" // the preferred controllers in their order, then all others
 )
 
-// Placement is what the operators say of one duty.
+// Placement is the operators' setting for one duty.
 type Placement struct {
 	Name   string   `xml:"name,attr"`
 	Place  string   `xml:"place,attr"`
 	Prefer []string `xml:"prefer"`
 }
 
-// Settings is the operators' duties file.
+// Settings is the duties settings file as operators write it.
 type Settings struct {
 	XMLName       xml.Name    `xml:"duties"`
 	Duties        []Placement `xml:"duty"`
@@ -36,32 +36,34 @@
 	TraceEndpoint string      `xml:"trace-endpoint"`
 }
 
-// Defaults and bounds of the duties file.
+// Defaults and limits of the duties settings file.
 const (
 	defaultSettleS   = 30
 	defaultCooldownS = 60
 	maxSettleS       = 3600
 	maxCooldownS     = 3600
-	minLeaseS        = 2 // a shorter session does not outlive one lost request
+	minLeaseS        = 2 // a shorter session would expire after one lost request
 )
 
-// FieldError is a setting that is wrong.
+// FieldError reports an invalid setting.
 type FieldError struct{ Field, Reason string }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// Policy is a checked duties file.
+// Policy holds the validated duties settings.
 type Policy struct {
-	Places   map[Name]Place
-	Listed   map[Name][]string
-	Settle   model.Micros // how long a preferred controller has to be live
-	Cooldown model.Micros // how long a controller that failed is avoided
-	Lease    model.Micros // upper bound of the session, 0: none
-	// TraceEndpoint is where spans are sent, "": nowhere.
+	Places map[Name]Place
+	Listed map[Name][]string // preferred controllers, in order
+	// Settle is how long a preferred controller has to be live, and the present holder to have held
+	// the duty, before the duty is handed over to the preferred controller.
+	Settle   model.Micros
+	Cooldown model.Micros // how long a controller is avoided after its first failure
+	Lease    model.Micros // upper bound for the length of the session lease, 0: none
+	// TraceEndpoint is the address to which spans are sent, "" for none.
 	TraceEndpoint string
 }
 
-// LeaderOnly is the policy without a duties file: the leader holds everything.
+// LeaderOnly returns the policy without a duties settings file: the leader holds all duties.
 func LeaderOnly() *Policy {
 	policy := &Policy{Places: map[Name]Place{}, Listed: map[Name][]string{}, Settle: model.Seconds(defaultSettleS), Cooldown: model.Seconds(defaultCooldownS)}
 	for _, name := range Movable {
@@ -70,8 +72,8 @@
 	return policy
 }
 
-// ParseSettings reads and checks a duties file. Nodes are the controllers of the
-// deployment, and maxLease is the longest session that is safe there.
+// ParseSettings parses and validates a duties settings file. nodes are the controllers of the
+// deployment, and maxLease is the longest session lease that is safe there.
 func ParseSettings(raw []byte, nodes []string, maxLease model.Micros) (*Policy, error) {
 	settings := Settings{SettleS: defaultSettleS, CooldownS: defaultCooldownS}
 	if err := xml.Unmarshal(raw, &settings); err != nil {
@@ -97,7 +99,7 @@
 	return policy, nil
 }
 
-// checkDurations checks the times of the file.
+// checkDurations checks the durations of the file.
 func (s *Settings) checkDurations(maxLease model.Micros) error {
 	switch {
 	case !(s.SettleS >= 1 && s.SettleS <= maxSettleS):
@@ -107,18 +109,18 @@
 	case s.LeaseS == 0:
 		return nil
 	case !(s.LeaseS >= minLeaseS):
-		return &FieldError{"lease-s", fmt.Sprintf("%v is shorter than is useful: one lost request would end it; at least %v", s.LeaseS, minLeaseS)}
+		return &FieldError{"lease-s", fmt.Sprintf("%v is shorter than is useful: one lost request would let the session expire; at least %v", s.LeaseS, minLeaseS)}
 	case model.Seconds(s.LeaseS) > maxLease:
 		return &FieldError{"lease-s", fmt.Sprintf("%v is longer than is safe with these settings; at most %v", s.LeaseS, maxLease.Seconds())}
 	}
 	return nil
 }
 
-// add checks what the file says of a duty and adds it to the policy.
+// add validates the setting for one duty and adds it to the policy.
 func (p *Policy) add(placement *Placement, nodes []string) error {
 	field, name := "duty "+placement.Name, Name(placement.Name)
 	if name == Reclaiming {
-		return &FieldError{field, "stays with the holder of the machines' block and can't be placed"}
+		return &FieldError{field, "stays with the shard's holder and can't be placed"}
 	}
 	if !slices.Contains(Movable, name) {
 		return &FieldError{field, "unknown duty"}
@@ -141,7 +143,7 @@
 	return nil
 }
 
-// place is the place that the file gives or implies.
+// place returns the place that the file gives or implies.
 func (p *Placement) place() Place {
 	switch {
 	case p.Place != "":
@@ -152,16 +154,16 @@
 	return PlaceLeader
 }
 
-// checkPlace checks that a duty's place is known and agrees with the preferred controllers.
+// checkPlace checks that a duty's place is known and consistent with the preferred controllers.
 func (p *Placement) checkPlace(field string, place Place) error {
 	switch place {
 	case PlaceLeader, PlaceSpread:
 		if len(p.Prefer) > 0 {
-			return &FieldError{field, fmt.Sprintf("place %q names no controllers, but some are preferred", place)}
+			return &FieldError{field, fmt.Sprintf("place %q names no controllers, but <prefer> elements are given", place)}
 		}
 	case PlaceListed:
 		if len(p.Prefer) == 0 {
-			return &FieldError{field, "nobody may hold it: place \"listed\" without a preferred controller"}
+			return &FieldError{field, "place \"listed\" without a preferred controller"}
 		}
 	default:
 		return &FieldError{field, fmt.Sprintf("unknown place %q", p.Place)}
@@ -169,8 +171,8 @@
 	return nil
 }
 
-// Order lists the candidates for a duty, the preferred ones first. The leader comes last
-// where it is not preferred, as it has the most to do.
+// Order returns the candidates for a duty, the preferred ones first. The leader comes last unless it
+// is preferred, as it has the highest load.
 func (p *Policy) Order(name Name, candidates []string, leader string) []string {
 	sorted := slices.Clone(candidates)
 	slices.Sort(sorted)
--- a/internal/duty/status.go
+++ b/internal/duty/status.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Status is what can be told of a duty.
+// Status describes who holds a duty.
 type Status struct {
 	Name   Name
-	Holder string // "": vacant
+	Holder string // "" if the duty is vacant
 	Token  uint64
 	Since  time.Time
-	// Previous is the holder before, with its token, and Why the reason for which it
-	// lost the duty.
+	// Previous is the previous holder, PreviousToken its fencing token, and Why the reason for
+	// which it lost the duty.
 	Previous      string
 	PreviousToken uint64
 	Why           Reason
 }
 
-// StatusOf describes a lease.
+// StatusOf returns the status of a duty from its stored lease.
 func StatusOf(name Name, held StoredLease) Status {
 	if held.Token == 0 {
 		return Status{Name: name}
