--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -60,47 +60,47 @@
 	duties          *dutyManager
 }
 
-func newController(set *config.Settings, op *config.OperatorSettings, leaseTimes leadership.LeaseTimes, clock Clock, io effects) *controller {
-	limits := set.StateLimits()
+func newController(settings *config.Settings, operator *config.OperatorSettings, leaseTimes leadership.LeaseTimes, clock Clock, io effects) *controller {
+	limits := settings.StateLimits()
 	c := &controller{
-		settings:    set,
-		operator:    op,
-		teams:       set.Teams(),
+		settings:    settings,
+		operator:    operator,
+		teams:       settings.Teams(),
 		clock:       clock,
 		wallClockMs: func() int64 { return time.Now().UnixMilli() },
 		jitter:      rand.Float64,
 		io:          io,
 		view:        state.NewView(),
-		sync:        newViewSync(len(set.Siblings)+1, limits.RPS),
+		sync:        newViewSync(len(settings.Siblings)+1, limits.RPS),
 		layouts:     map[string]int{},
 		limits:      limits,
-		relay:       newHeartbeatRelay(set),
+		relay:       newHeartbeatRelay(settings),
 		authority:   leadership.Authority{Times: leaseTimes},
 	}
 	c.writeBudget = state.NewBudget(c.writeShare(false))
-	c.duties = newDutyManager(c, op.Duties)
+	c.duties = newDutyManager(c, operator.Duties)
 	return c
 }
 
 // run takes messages until the context ends.
-func (c *controller) run(ctx context.Context, mail <-chan any) error {
+func (c *controller) run(ctx context.Context, mailbox <-chan any) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case m := <-mail:
+		case m := <-mailbox:
 			c.handle(m)
-			c.handleQueued(mail)
+			c.handleQueued(mailbox)
 		}
 		c.step()
 	}
 }
 
 // handleQueued takes the messages that wait already, up to a batch.
-func (c *controller) handleQueued(mail <-chan any) {
+func (c *controller) handleQueued(mailbox <-chan any) {
 	for range messageBatch {
 		select {
-		case m := <-mail:
+		case m := <-mailbox:
 			c.handle(m)
 		default:
 			return
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -64,84 +64,84 @@
 }
 
 // send sends the outcome of an effect to the controller actor.
-func (io *asyncEffects) send(m any) {
+func (e *asyncEffects) send(m any) {
 	select {
-	case io.mailbox <- m:
-	case <-io.ctx.Done():
+	case e.mailbox <- m:
+	case <-e.ctx.Done():
 	}
 }
 
-func (io *asyncEffects) sync(from uint64, list bool) {
+func (e *asyncEffects) sync(from uint64, list bool) {
 	go func() {
-		m := msgSynced{sentAt: io.clock()}
+		m := msgSynced{sentAt: e.clock()}
 		if list {
-			v := state.NewView()
-			m.view = v
-			v.Revision, m.err = io.state.List(2*syncTimeout, func(e state.Entry) error {
-				_, err := v.Set(e.Path, e.Value, e.Revision)
+			view := state.NewView()
+			m.view = view
+			view.Revision, m.err = e.state.List(2*syncTimeout, func(entry state.Entry) error {
+				_, err := view.Set(entry.Path, entry.Value, entry.Revision)
 				return err
 			})
 		} else {
-			m.changes, m.err = io.state.Watch(from, syncTimeout)
+			m.changes, m.err = e.state.Watch(from, syncTimeout)
 		}
-		io.send(m)
+		e.send(m)
 	}()
 }
 
-func (io *asyncEffects) commit(m msgCommitted) {
+func (e *asyncEffects) commit(m msgCommitted) {
 	go func() {
-		m.result, m.err = io.state.Commit(m.txn, commitTimeout)
-		io.send(m)
+		m.result, m.err = e.state.Commit(m.txn, commitTimeout)
+		e.send(m)
 	}()
 }
 
-func (io *asyncEffects) fetchMachineTypes() {
+func (e *asyncEffects) fetchMachineTypes() {
 	go func() {
-		machineTypes, err := io.cloud.MachineTypes(cloudTimeout)
-		io.send(msgMachineTypes{machineTypes, err})
+		machineTypes, err := e.cloud.MachineTypes(cloudTimeout)
+		e.send(msgMachineTypes{machineTypes, err})
 	}()
 }
 
-func (io *asyncEffects) listMachines() {
+func (e *asyncEffects) listMachines() {
 	go func() {
-		sent := io.clock()
-		machines, err := io.cloud.List(cloudTimeout)
-		io.send(msgListed{sent, machines, err})
+		sentAt := e.clock()
+		machines, err := e.cloud.List(cloudTimeout)
+		e.send(msgListed{sentAt, machines, err})
 	}()
 }
 
 // tooLate reports whether a call must not be sent any more.
-func (io *asyncEffects) tooLate(call intentRef) bool {
-	return call.intentKey != "" && io.clock() >= call.sendBefore
+func (e *asyncEffects) tooLate(call intentRef) bool {
+	return call.intentKey != "" && e.clock() >= call.sendBefore
 }
 
 // rentMachines repeats a rental without an answer under its own name, which rents
 // nothing twice. A rental that carries out an intent is repeated by whoever holds it.
-func (io *asyncEffects) rentMachines(m msgRented) {
+func (e *asyncEffects) rentMachines(m msgRented) {
 	go func() {
 		for attempt := 1; ; attempt++ {
-			if io.tooLate(m.intentRef) {
+			if e.tooLate(m.intentRef) {
 				m.err = errTooLate
 				break
 			}
-			m.machines, m.err = io.cloud.Rent(&m.rental, cloudTimeout)
+			m.machines, m.err = e.cloud.Rent(&m.rental, cloudTimeout)
 			if m.err == nil || errors.Is(m.err, cloud.ErrNoCapacity) || attempt == rentAttempts || m.intentKey != "" {
 				break
 			}
-			if !sleep(io.ctx, rentRetryPause) {
+			if !sleep(e.ctx, rentRetryPause) {
 				break
 			}
 		}
-		io.send(m)
+		e.send(m)
 	}()
 }
 
-func (io *asyncEffects) deleteMachines(m msgDeleted) {
+func (e *asyncEffects) deleteMachines(m msgDeleted) {
 	go func() {
-		if m.err = errTooLate; !io.tooLate(m.intentRef) {
-			m.err = io.cloud.Delete(m.machineIDs, cloudTimeout)
+		if m.err = errTooLate; !e.tooLate(m.intentRef) {
+			m.err = e.cloud.Delete(m.machineIDs, cloudTimeout)
 		}
-		io.send(m)
+		e.send(m)
 	}()
 }
 
@@ -152,18 +152,18 @@
 	peer.Status
 }
 
-func (io *asyncEffects) ping() {
+func (e *asyncEffects) ping() {
 	go func() {
-		ctx, cancel := context.WithTimeout(io.ctx, pingTimeout.Duration())
+		ctx, cancel := context.WithTimeout(e.ctx, pingTimeout.Duration())
 		defer cancel()
-		results := make(chan pingResult, len(io.peers))
-		for _, p := range io.peers {
+		results := make(chan pingResult, len(e.peers))
+		for _, sibling := range e.peers {
 			go func() {
-				answer, err := p.Ping(ctx, io.name)
-				results <- pingResult{p.Name, err == nil, answer}
+				status, err := sibling.Ping(ctx, e.name)
+				results <- pingResult{sibling.Name, err == nil, status}
 			}()
 		}
-		io.send(collectPings(results, len(io.peers)))
+		e.send(collectPings(results, len(e.peers)))
 	}()
 }
 
@@ -172,48 +172,48 @@
 	var m msgPinged
 	workers := map[string]int{}
 	for range pings {
-		r := <-results
-		if r.alive {
+		result := <-results
+		if result.alive {
 			m.alive++
 		}
-		m.workers += r.Workers
-		if r.ReachesState {
-			m.serving = append(m.serving, r.name)
+		m.workers += result.Workers
+		if result.ReachesState {
+			m.serving = append(m.serving, result.name)
 		}
-		if r.RelaysHeartbeats {
-			m.relays = append(m.relays, r.name)
-			workers[r.name] = r.Workers
+		if result.RelaysHeartbeats {
+			m.relays = append(m.relays, result.name)
+			workers[result.name] = result.Workers
 		}
 	}
 	slices.SortFunc(m.relays, func(a, b string) int { return cmp.Or(workers[a]-workers[b], strings.Compare(a, b)) })
 	return m
 }
 
-func (io *asyncEffects) resign(session uint64, sibling string) {
+func (e *asyncEffects) resign(session uint64, sibling string) {
 	select {
-	case io.abandon <- session:
+	case e.abandon <- session:
 	default: // too many wait to be ended; they expire
 	}
 	go func() {
 		if sibling == "" {
-			if err := io.state.RevokeLease(session, endSessionTimeout); err != nil {
+			if err := e.state.RevokeLease(session, endSessionTimeout); err != nil {
 				slog.Info("resign", "err", err)
 			}
 			return
 		}
-		io.resignThrough(session, sibling)
+		e.resignThrough(session, sibling)
 	}()
 }
 
 // resignThrough has a sibling end a session.
-func (io *asyncEffects) resignThrough(session uint64, sibling string) {
-	ctx, cancel := context.WithTimeout(io.ctx, resignCallTimeout)
+func (e *asyncEffects) resignThrough(session uint64, sibling string) {
+	ctx, cancel := context.WithTimeout(e.ctx, resignCallTimeout)
 	defer cancel()
-	for _, p := range io.peers {
-		if p.Name != sibling {
+	for _, client := range e.peers {
+		if client.Name != sibling {
 			continue
 		}
-		if err := p.Resign(ctx, session); err != nil {
+		if err := client.Resign(ctx, session); err != nil {
 			slog.Info("resign", "helper", sibling, "err", err)
 		}
 	}
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -126,8 +126,8 @@
 		return false
 	}
 	up := 0
-	for _, m := range l.shard.Machines {
-		if m.Up && !m.Lost && !m.Deleting {
+	for _, machine := range l.shard.Machines {
+		if machine.Up && !machine.Lost && !machine.Deleting {
 			up++
 		}
 	}
@@ -139,8 +139,8 @@
 func (c *controller) considerResigning(m msgPinged) {
 	stateLost := c.sync.suspectsOutage(c.now) && c.now-c.sync.succeededAt > minUnreachableBeforeResigning && len(m.serving) > 0
 	workersLost := c.hasNoHeartbeats() && m.workers > 0
-	holds := c.leading != nil || len(c.duties.held) > 0
-	if !holds || c.session == 0 || !stateLost && !workersLost {
+	hasRole := c.leading != nil || len(c.duties.held) > 0
+	if !hasRole || c.session == 0 || !stateLost && !workersLost {
 		c.siblings.resignRounds = 0
 		return
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -145,11 +145,11 @@
 }
 
 // due reports whether something is to be done again, and notes that it is done now.
-func (l *leader) due(at *model.Micros, interval model.Micros) bool {
-	if *at != 0 && l.controller.now-*at < interval {
+func (l *leader) due(lastAt *model.Micros, interval model.Micros) bool {
+	if *lastAt != 0 && l.controller.now-*lastAt < interval {
 		return false
 	}
-	*at = l.controller.now
+	*lastAt = l.controller.now
 	return true
 }
 
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -41,36 +41,36 @@
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d.Duration())
-	defer t.Stop()
+	timer := time.NewTimer(d.Duration())
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
 
 // run keeps the session until the context ends, and tells the controller actor of it.
 func (s *session) run(ctx context.Context) error {
-	core := leadership.NewSession(s.ttl)
+	protocol := leadership.NewSession(s.ttl)
 	for {
-		call := core.Next()
+		call := protocol.Next()
 		if !sleep(ctx, call.After) {
 			return nil
 		}
 		select {
 		case id := <-s.abandon:
-			core.Abandon(id)
+			protocol.Abandon(id)
 			continue
 		default:
 		}
-		core.Sending(s.clock())
+		protocol.Sending(s.clock())
 		reply, err := s.execute(call)
 		if err != nil {
 			slog.Debug("session", "err", err)
 		}
-		change := core.HandleReply(reply)
+		change := protocol.HandleReply(reply)
 		if !change.Changed {
 			continue
 		}
--- a/internal/controller/view_sync.go
+++ b/internal/controller/view_sync.go
@@ -120,8 +120,8 @@
 	} else {
 		c.syncSucceeded(m.sentAt)
 	}
-	for _, f := range waiters {
-		f(err == nil)
+	for _, callback := range waiters {
+		callback(err == nil)
 	}
 }
 
@@ -146,9 +146,9 @@
 
 // syncSucceeded renews the authority, and compares the leadership with what the state
 // service says.
-func (c *controller) syncSucceeded(sent model.Micros) {
-	c.sync.succeededAt = sent
-	c.authority.ViewSynced(sent)
+func (c *controller) syncSucceeded(sentAt model.Micros) {
+	c.sync.succeededAt = sentAt
+	c.authority.ViewSynced(sentAt)
 	if l := c.leading; l != nil {
 		if c.view.Leader == nil || c.view.Leader.Session != c.session || c.view.Revisions[grantKey] != l.token {
 			c.stepDown(reasonOtherLeader)
@@ -178,19 +178,19 @@
 }
 
 // applyEvent takes a change into the view, and tells the leader's scheduler what concerns it.
-func (c *controller) applyEvent(e *state.Event) error {
-	if e.Drop != "" {
-		c.view.Drop(e.Drop, e.Revision)
-		c.spillRecordChanged(e.Drop)
+func (c *controller) applyEvent(event *state.Event) error {
+	if event.Drop != "" {
+		c.view.Drop(event.Drop, event.Revision)
+		c.spillRecordChanged(event.Drop)
 		return nil
 	}
-	if set, err := c.view.Set(e.Set, e.Value, e.Revision); !set || err != nil {
+	if set, err := c.view.Set(event.Set, event.Value, event.Revision); !set || err != nil {
 		return err
 	}
-	if jobID, ok := strings.CutPrefix(e.Set, state.JobPrefix); ok {
+	if jobID, ok := strings.CutPrefix(event.Set, state.JobPrefix); ok {
 		c.jobChanged(jobID)
 	}
-	c.spillRecordChanged(e.Set)
+	c.spillRecordChanged(event.Set)
 	return nil
 }
 
