--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"math/rand/v2"
 	"time"
 
@@ -11,42 +12,41 @@
 	"woadweir/internal/state"
 )
 
-// messageBatch is how many messages are taken before what is due is looked for, beyond
-// the first.
+// messageBatch is the maximum number of queued messages that are handled after the first
+// before due work is checked.
 const messageBatch = 64
 
-// controller is the actor that owns all state of a controller. Its methods run in the
-// goroutine of run only. The concerns that need little of each other are kept in structs
-// of their own.
+// controller is the actor that owns all state of a controller. Its methods run only in
+// the goroutine of run. Largely independent parts are kept in separate structs.
 type controller struct {
 	settings *config.Settings
 	operator *config.OperatorSettings
 	teams    map[string]*model.Team
 
-	// What reaches the world outside the actor.
+	// Access to everything outside the actor.
 	clock       Clock
-	wallClockMs func() int64   // the time of day in ms
+	wallClockMs func() int64   // Unix time in milliseconds
 	jitter      func() float64 // random numbers from 0 to 1
 	io          effects
-	cells       cellCalls // nil: there are no other cells
+	cells       cellCalls // nil if there are no other cells
 
-	// now is when the present message or step was begun.
+	// now is the time at which handling of the current message or step started.
 	now model.Micros
 
-	// The view of the state service's records, and what its records allow to rely on.
+	// The local view of the state service's records and its synchronization.
 	view       *state.View
-	viewLoaded bool // the view has been listed
+	viewLoaded bool // the view has been listed completely
 	sync       viewSync
-	layouts    map[string]int // by controller: the newest layout of records that it was seen to read
+	layouts    map[string]int // by controller: the newest record layout that it was ever seen to read
 
 	// Writes to the state service.
-	limits      config.Limits // of the state service
+	limits      config.Limits // of the state service's requests and values
 	writeBudget *state.Budget
 	lanes       transactionLanes
 
 	// Users' requests.
 	userWrites   userWriteQueue
-	waitingReads int // status reads that wait for a read barrier
+	waitingReads int // status reads waiting for a read barrier
 
 	// The other controllers and the workers.
 	siblings siblingProbe
@@ -54,9 +54,9 @@
 
 	// Leadership and duties.
 	authority       leadership.Authority
-	session         uint64  // 0: none
-	resignedSession uint64  // the session given up last, whatever is heard of it later
-	leading         *leader // nil: this controller does not lead
+	session         uint64  // 0 if there is none
+	resignedSession uint64  // the session given up last; later renewals of it are ignored
+	leading         *leader // nil while this controller is not the leader
 	duties          *dutyManager
 }
 
@@ -82,7 +82,7 @@
 	return c
 }
 
-// run takes messages until the context ends.
+// run handles messages from the mailbox until the context ends.
 func (c *controller) run(ctx context.Context, mailbox <-chan any) error {
 	for {
 		select {
@@ -96,7 +96,7 @@
 	}
 }
 
-// handleQueued takes the messages that wait already, up to a batch.
+// handleQueued handles the messages that are already queued, up to a batch.
 func (c *controller) handleQueued(mailbox <-chan any) {
 	for range messageBatch {
 		select {
@@ -108,15 +108,16 @@
 	}
 }
 
-// handle handles a message.
+// handle handles one message. It panics if the message's type is unknown.
 func (c *controller) handle(m any) {
 	c.now = c.clock()
 	if !c.handleRequest(m) && !c.handleOutcome(m) {
-		panic("node: unknown message")
+		panic(fmt.Sprintf("controller: unknown message type %T", m))
 	}
 }
 
-// handleRequest handles a message if it asks this controller for something.
+// handleRequest handles a message if it is a request to this controller, and reports
+// whether it was one.
 func (c *controller) handleRequest(m any) bool {
 	switch m := m.(type) {
 	case msgTick:
@@ -141,8 +142,8 @@
 	return true
 }
 
-// handleOutcome handles a message if it is the outcome of what this controller has asked
-// for.
+// handleOutcome handles a message if it is the outcome of an operation that this
+// controller started, and reports whether it was one.
 func (c *controller) handleOutcome(m any) bool {
 	switch m := m.(type) {
 	case msgSynced:
@@ -171,7 +172,7 @@
 	return true
 }
 
-// step does what is due.
+// step runs all periodic work that is due.
 func (c *controller) step() {
 	c.now = c.clock()
 	c.notifyDependents()
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -15,10 +15,10 @@
 	"woadweir/internal/state"
 )
 
-// effects is what the controller actor may ask of the world. Every outcome comes back
-// as a message; tests put simulated services in its place.
+// effects are the operations that the controller actor starts outside of itself. Every
+// outcome comes back as a message. Tests replace them by simulated services.
 type effects interface {
-	// sync reads the changes of records after a revision, or lists all records.
+	// sync reads the changes of records since a revision, or lists all records.
 	sync(from uint64, list bool)
 	// commit sends a transaction to the state service.
 	commit(m msgCommitted)
@@ -27,15 +27,15 @@
 	listMachines()
 	rentMachines(m msgRented)
 	deleteMachines(m msgDeleted)
-	// ping asks the siblings what they reach.
+	// ping asks the siblings whether they reach the state service and the workers.
 	ping()
-	// resign has a session ended, by a sibling if one is named.
+	// resign ends a session, through a sibling if one is named.
 	resign(session uint64, sibling string)
 }
 
-// How long a call may take.
+// Timeouts of calls.
 const (
-	syncTimeout       = 800 * model.Millisecond // of changes; a listing may take twice as long
+	syncTimeout       = 800 * model.Millisecond // for changes; a listing may take twice as long
 	commitTimeout     = 1500 * model.Millisecond
 	cloudTimeout      = 5 * model.Second
 	pingTimeout       = 400 * model.Millisecond
@@ -43,14 +43,14 @@
 )
 
 const (
-	rentAttempts   = 5 // of a rental without an answer
+	rentAttempts   = 5 // maximum attempts at a rental that gets no answer
 	rentRetryPause = model.Second
 )
 
-// errTooLate means that a call was not sent, as its authority was over.
-var errTooLate = errors.New("the authority for this call is over")
+// errTooLate means that a call was not sent because its authority had expired.
+var errTooLate = errors.New("request to the cloud not sent: the authority for it has expired")
 
-// asyncEffects executes the effects, each in a goroutine of its own.
+// asyncEffects implements effects. It runs each operation in a goroutine of its own.
 type asyncEffects struct {
 	mailbox chan<- any
 	clock   Clock
@@ -59,7 +59,7 @@
 	peers   []*peer.Client
 	name    string
 	ctx     context.Context
-	// abandon tells the session actor of sessions that are given up.
+	// abandon passes sessions that are given up to the session actor.
 	abandon chan<- uint64
 }
 
@@ -110,13 +110,15 @@
 	}()
 }
 
-// tooLate reports whether a call must not be sent any more.
+// tooLate reports whether the authority for a call has expired, so that it must not be
+// sent.
 func (e *asyncEffects) tooLate(call intentRef) bool {
 	return call.intentKey != "" && e.clock() >= call.sendBefore
 }
 
-// rentMachines repeats a rental without an answer under its own name, which rents
-// nothing twice. A rental that carries out an intent is repeated by whoever holds it.
+// rentMachines retries a rental that gets no answer with the same request ID, so that
+// nothing is rented twice. A rental that carries out an intent is not retried here but by
+// the holder of the duty that executes the intent.
 func (e *asyncEffects) rentMachines(m msgRented) {
 	go func() {
 		for attempt := 1; ; attempt++ {
@@ -167,7 +169,7 @@
 	}()
 }
 
-// collectPings sums up the answers to a round of pings.
+// collectPings combines the answers to a round of pings.
 func collectPings(results <-chan pingResult, pings int) msgPinged {
 	var m msgPinged
 	workers := map[string]int{}
@@ -192,12 +194,12 @@
 func (e *asyncEffects) resign(session uint64, sibling string) {
 	select {
 	case e.abandon <- session:
-	default: // too many wait to be ended; they expire
+	default: // too many sessions are queued to be ended; this one expires by itself
 	}
 	go func() {
 		if sibling == "" {
 			if err := e.state.RevokeLease(session, endSessionTimeout); err != nil {
-				slog.Info("resign", "err", err)
+				slog.Info("could not end the own session after resigning", "err", err)
 			}
 			return
 		}
@@ -205,7 +207,7 @@
 	}()
 }
 
-// resignThrough has a sibling end a session.
+// resignThrough asks a sibling to end a session.
 func (e *asyncEffects) resignThrough(session uint64, sibling string) {
 	ctx, cancel := context.WithTimeout(e.ctx, resignCallTimeout)
 	defer cancel()
@@ -214,7 +216,7 @@
 			continue
 		}
 		if err := client.Resign(ctx, session); err != nil {
-			slog.Info("resign", "helper", sibling, "err", err)
+			slog.Info("could not end the own session through a sibling after resigning", "helper", sibling, "err", err)
 		}
 	}
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -8,20 +8,20 @@
 	"woadweir/internal/core/shard"
 )
 
-// leader is what a controller has only while it leads: the scheduler of tasks, the
-// provisioner of machines, and what spills to other cells. It is part of the controller
-// actor.
+// leader is the state that a controller has only while it is the leader: the scheduler of
+// tasks, the provisioner of machines, and the exchange of jobs with other cells. It is part
+// of the controller actor.
 type leader struct {
 	controller *controller
 	token      uint64 // the fencing token: the revision of the leader's grant
-	ready      bool   // it has taken over what former leaders wrote
-	resync     bool   // a transaction failed: none before a synchronization of the view
+	ready      bool   // the state that former leaders wrote has been loaded
+	resync     bool   // a transaction failed: the view must be synchronized before the next one
 
 	// Scheduling.
 	shard            *shard.State // the scheduler
 	placement        placementRounds
 	pendingResponses []pendingResponse
-	lastSweepAt      model.Micros // when timeouts were last looked for
+	lastSweepAt      model.Micros // when timeouts were last checked
 	spill            *spillManager
 
 	// Provisioning.
@@ -30,7 +30,7 @@
 	recentSizes  recentTaskSizes
 	intents      intentLog
 
-	// The cloud's machines, and whether it answers.
+	// The machines in the cloud, and whether the cloud answers.
 	inventory   machineInventory
 	polling     cloudPolling
 	cloudHealth cloudHealth
@@ -53,8 +53,8 @@
 	return l
 }
 
-// takeOver builds the scheduler from a view that has everything that former leaders
-// wrote: the new grant has fenced off their transactions.
+// takeOver builds the scheduler from a view that includes everything that former leaders
+// wrote: the new grant fences off any later transactions of theirs.
 func (l *leader) takeOver() {
 	c := l.controller
 	l.shard = shard.New(l.schedulerParams(), l.token)
@@ -73,7 +73,7 @@
 	l.spill.suspendRestored()
 	l.takeOverIntents()
 	l.ready = true
-	slog.Info("took over", "token", l.token, "machines", len(l.shard.Machines), "jobs", len(l.shard.Jobs))
+	slog.Info("took over leadership: loaded the state of former leaders", "token", l.token, "machines", len(l.shard.Machines), "jobs", len(l.shard.Jobs))
 }
 
 func (l *leader) schedulerParams() shard.Params {
@@ -101,7 +101,7 @@
 	for jobID, tasks := range record.Tasks {
 		job := l.shard.Jobs[jobID]
 		if job == nil {
-			continue // it has ended, so none of its tasks is on any machine
+			continue // the job has ended, so none of its tasks is on any machine
 		}
 		for _, task := range tasks {
 			l.shard.Restore(job, int(task[0]), task[1], machine)
@@ -109,7 +109,7 @@
 	}
 }
 
-// reload tells the scheduler of everything that a new listing has.
+// reload passes every job of a newly listed view to the scheduler.
 func (l *leader) reload() {
 	if !l.ready {
 		return
@@ -120,11 +120,11 @@
 	l.spill.reload()
 }
 
-// jobChanged tells the scheduler what the view says of a job.
+// jobChanged passes the view's state of a job to the scheduler.
 func (l *leader) jobChanged(jobID string) {
 	job := l.controller.view.Jobs[jobID]
 	if job == nil || l.spill.isBorrowed(jobID) {
-		return // unknown, or it begins once the job of that name lent by another cell is gone
+		return // unknown, or it starts only after the job with this ID that another cell lent is gone
 	}
 	if scheduled := l.shard.Jobs[jobID]; scheduled != nil {
 		if job.End != "" {
@@ -135,7 +135,7 @@
 		return
 	}
 	if job.Submission == nil || !job.Ready() || job.End != "" && l.ready {
-		// No task of a job that has ended, or not begun, is on any machine.
+		// No task of a job that has ended or has not started yet is on any machine.
 		return
 	}
 	age := model.Micros(max(0, l.controller.wallClockMs()-job.ReadyMs())) * model.Millisecond
@@ -144,7 +144,8 @@
 	l.provisioning.runSoon()
 }
 
-// due reports whether something is to be done again, and notes that it is done now.
+// due reports whether periodic work is due, and if so, sets the time of its last run to
+// now.
 func (l *leader) due(lastAt *model.Micros, interval model.Micros) bool {
 	if *lastAt != 0 && l.controller.now-*lastAt < interval {
 		return false
@@ -153,7 +154,7 @@
 	return true
 }
 
-// lead does what is due for a leader.
+// lead runs all periodic work of the leader that is due.
 func (c *controller) lead() {
 	l := c.leading
 	if !l.ready || !c.authority.IsValid(c.now) {
@@ -177,7 +178,7 @@
 	}
 }
 
-// committed handles the outcome of a transaction that this leader has sent.
+// committed handles the outcome of a transaction that this leader sent.
 func (l *leader) committed(m msgCommitted) {
 	switch m.lane {
 	case laneMisc:
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -9,10 +9,10 @@
 	"woadweir/internal/userapi"
 )
 
-// Requests to the controller actor. Whoever sends one with a reply channel gives it a
-// buffer of one, so that the actor never blocks.
+// Requests to the controller actor. A reply channel must have a buffer of one, so that
+// the actor never blocks on the reply.
 type (
-	// msgTick has the controller look for what is due.
+	// msgTick makes the controller check for due work.
 	msgTick struct{}
 	// msgStatusRequest is a user's read of a job's status.
 	msgStatusRequest struct {
@@ -37,49 +37,49 @@
 	msgHeartbeat struct {
 		heartbeat *shard.Heartbeat
 		reply     chan<- workerAnswer
-		// relayed tells that a sibling has relayed it.
+		// relayed is set if a sibling relayed the heartbeat.
 		relayed bool
 	}
 	// msgPing is a sibling's ping.
 	msgPing struct{ reply chan<- pingReply }
 )
 
-// Outcomes of what the controller actor has asked for.
+// Outcomes of operations that the controller actor started.
 type (
-	// msgRelayFailed tells that a heartbeat could not be relayed to the leader.
+	// msgRelayFailed reports that a heartbeat could not be relayed to the leader.
 	msgRelayFailed struct{}
-	// msgSession tells of the session: a new one, a renewal, or its end (id 0).
+	// msgSession reports a new session, a renewal of the session, or its end (id 0).
 	msgSession struct {
 		id     uint64
 		sentAt model.Micros
 	}
-	// msgSynced is the end of a synchronization of the view.
+	// msgSynced is the outcome of a synchronization of the view.
 	msgSynced struct {
 		sentAt  model.Micros
 		changes *state.Changes
-		view    *state.View // after a listing
+		view    *state.View // the new view after a complete listing, nil otherwise
 		err     error
 	}
-	// msgCommitted is the outcome of a transaction.
+	// msgCommitted is a transaction with its outcome.
 	msgCommitted struct {
 		lane       lane
 		txn        *state.Txn
 		result     *state.Result
 		err        error
-		writes     []shard.Write // of the leader's scheduler
+		writes     []shard.Write // from the leader's scheduler
 		userWrites []userWrite   // in the order of the transaction's operations
-		// token is the fencing token that the transaction was sent under: the revision of
+		// token is the fencing token under which the transaction was sent: the revision of
 		// the leader's grant or of a duty's lease.
 		token uint64
-		// session is the session that an election binds the leader's key to.
+		// session is the session to which an election binds the leader's key.
 		session uint64
 	}
-	// msgMachineTypes has the cloud's machine types.
+	// msgMachineTypes contains the cloud's machine types.
 	msgMachineTypes struct {
 		machineTypes []model.MachineType
 		err          error
 	}
-	// msgListed has the cloud's list of machines.
+	// msgListed contains the cloud's list of machines.
 	msgListed struct {
 		sentAt   model.Micros
 		machines []cloud.Machine
@@ -101,12 +101,12 @@
 		token      uint64 // the leader's fencing token
 		intentRef
 	}
-	// msgPinged has the answers to a round of pings.
+	// msgPinged contains the answers to a round of pings.
 	msgPinged struct {
-		alive   int      // siblings that answered
+		alive   int      // number of siblings that answered
 		serving []string // siblings that reach the state service
-		workers int      // that have sent heartbeats to siblings lately
-		relays  []string // siblings that relay heartbeats, those with fewest workers first
+		workers int      // number of workers that recently sent heartbeats to siblings
+		relays  []string // siblings that relay heartbeats, those with the fewest workers first
 	}
 )
 
@@ -116,19 +116,19 @@
 	workers      int
 }
 
-// workerAnswer is a response to a worker. If relay is set, the heartbeat may be relayed
-// to that sibling, which leads: its answer then replaces this one.
+// workerAnswer is a response to a worker. If relayTo is set, the heartbeat may be relayed
+// to that sibling, which is the leader; its answer then replaces this one.
 type workerAnswer struct {
 	code    int
 	body    []byte
 	relayTo string
 }
 
-// intentRef marks a call of the cloud that carries out an intent.
+// intentRef identifies the intent that a call to the cloud carries out, if any.
 type intentRef struct {
-	intentKey      string // its key, "": none
-	intentRevision uint64 // its revision
-	// sendBefore is when the call must not be sent any more: the authority that it rests on
-	// is over then.
+	intentKey      string // the key of the intent's record, "" if there is no intent
+	intentRevision uint64 // the revision of that record
+	// sendBefore is the time from which the call must not be sent: the authority for the
+	// call expires then.
 	sendBefore model.Micros
 }
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -12,15 +12,16 @@
 	"woadweir/internal/state"
 )
 
-// Timeouts of the requests that keep the session: a part of its time to live, within a
-// maximum.
+// The timeout of a request that keeps the session is the session's time to live divided by
+// sessionTimeoutDivisor, but at most maxSessionTimeout.
 const (
 	sessionTimeoutDivisor = 5
 	maxSessionTimeout     = 2 * model.Second
 )
 
-// session is the actor that keeps this process's session with the state service, whose
-// end deletes the keys bound to it: it makes the requests that leadership.Session decides.
+// session is the actor that keeps this process's session with the state service alive. It
+// makes the requests that leadership.Session decides on. The end of the session deletes the
+// keys bound to it.
 type session struct {
 	state        *state.Client
 	clock        Clock
@@ -28,15 +29,15 @@
 	name         string
 	serveAddress string
 	ttl          model.Micros
-	// mayHoldDuties tells that this process may hold duties without leading.
+	// mayHoldDuties is set if this process may hold duties without leading.
 	mayHoldDuties bool
-	// spills tells that this process is set up to spill.
+	// spills is set if this process is configured to exchange jobs with other cells.
 	spills bool
-	// abandon takes sessions that are to be ended instead of renewed.
+	// abandon receives sessions that are to be ended instead of renewed.
 	abandon chan uint64
 }
 
-// sleep waits, and returns whether the context still stands.
+// sleep waits for a duration and reports whether the context was still active at its end.
 func sleep(ctx context.Context, d model.Micros) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -51,7 +52,8 @@
 	}
 }
 
-// run keeps the session until the context ends, and tells the controller actor of it.
+// run keeps the session until the context ends, and reports its changes to the controller
+// actor.
 func (s *session) run(ctx context.Context) error {
 	protocol := leadership.NewSession(s.ttl)
 	for {
@@ -68,14 +70,14 @@
 		protocol.Sending(s.clock())
 		reply, err := s.execute(call)
 		if err != nil {
-			slog.Debug("session", "err", err)
+			slog.Debug("session request to the state service failed", "err", err)
 		}
 		change := protocol.HandleReply(reply)
 		if !change.Changed {
 			continue
 		}
 		if call.Kind != leadership.CallRenew || change.LeaseID == 0 {
-			slog.Info("session", "id", change.LeaseID)
+			slog.Info("session with the state service changed; id 0 means none", "id", change.LeaseID)
 		}
 		select {
 		case s.mailbox <- msgSession{change.LeaseID, change.SentAt}:
@@ -85,7 +87,8 @@
 	}
 }
 
-// execute makes a request to the state service.
+// execute makes a request to the state service. The reply tells apart a missing lease or
+// key and an unclear outcome.
 func (s *session) execute(call leadership.Call) (r leadership.Reply, err error) {
 	timeout := min(s.ttl/sessionTimeoutDivisor, maxSessionTimeout)
 	switch call.Kind {
@@ -110,10 +113,10 @@
 	return r, err
 }
 
-// nodeKey is the key of this process's record, which is bound to its session.
+// nodeKey returns the key of this process's record, which is bound to its session.
 func (s *session) nodeKey() string { return state.NodeKey(s.name) }
 
-// readNode reads which session a former process of this name had.
+// readNode reads which session the former process with this name had.
 func (s *session) readNode(timeout model.Micros) (r leadership.Reply, err error) {
 	entry, err := s.state.Get(s.nodeKey(), timeout)
 	if err != nil {
@@ -121,13 +124,13 @@
 	}
 	var record state.NodeRecord
 	if err := json.Unmarshal(entry.Value, &record); err != nil {
-		slog.Error("node key is not readable", "err", err)
+		slog.Error("the record of this controller's former process is not readable", "err", err)
 	}
 	r.LeaseID, r.Revision = record.Session, entry.Revision
 	return r, nil
 }
 
-// putNode writes this process's record, unless another has written it meanwhile.
+// putNode writes this process's record, unless another process has written it meanwhile.
 func (s *session) putNode(call leadership.Call, timeout model.Micros) (r leadership.Reply, err error) {
 	record := state.NodeRecord{Session: call.LeaseID, ServeAddress: s.serveAddress, Layout: state.Layout(s.spills), MayHoldDuties: s.mayHoldDuties}
 	res, err := s.state.Commit(&state.Txn{
--- a/internal/controller/view_sync.go
+++ b/internal/controller/view_sync.go
@@ -11,49 +11,49 @@
 
 // Intervals of the view's synchronization with the state service.
 const (
-	minSyncInterval      = 60 * model.Millisecond  // between any two
-	leaderSyncInterval   = 200 * model.Millisecond // of the leader, if nothing waits for one
-	followerSyncInterval = 400 * model.Millisecond // of the others
-	noLeaderSyncInterval = 150 * model.Millisecond // while nobody leads
+	minSyncInterval      = 60 * model.Millisecond  // minimum between any two synchronizations
+	leaderSyncInterval   = 200 * model.Millisecond // on the leader, if nothing waits for one
+	followerSyncInterval = 400 * model.Millisecond // on the other controllers
+	noLeaderSyncInterval = 150 * model.Millisecond // while there is no leader
 	syncRetryPause       = 200 * model.Millisecond // after a failure
 	unreadableSyncPause  = 5 * model.Second        // after records that this version can't read
-	slowSync             = 300 * model.Millisecond // one in progress for longer may fail
+	slowSync             = 300 * model.Millisecond // after this time in progress, one is suspected to fail
 )
 
-// syncRequestShare is the share of the requests that the state service sustains which the
-// synchronizations of all controllers together may take; transactions and sessions need
-// the rest.
+// syncRequestShare is the share of the state service's sustainable request rate that the
+// synchronizations of all controllers together may use; transactions and sessions need the
+// rest.
 const syncRequestShare = 0.6
 
 // viewSync schedules the synchronization of the view with the state service. A
-// synchronization is a linearizable read barrier as well: once it has succeeded, the view
-// has every write that was committed before it started.
+// synchronization is also a linearizable read barrier: once it has succeeded, the view
+// includes every write that was committed before it started.
 type viewSync struct {
 	minInterval model.Micros
 	inProgress  bool
-	startedAt   model.Micros // when the last one was sent
-	succeededAt model.Micros // when the last that succeeded was sent
-	notBefore   model.Micros // pause after a failure
+	startedAt   model.Micros // when the last synchronization was sent
+	succeededAt model.Micros // when the last successful synchronization was sent
+	notBefore   model.Micros // end of the pause after a failure
 	failed      bool         // the last one failed: the state service is not reached
 	needsList   bool         // the next one lists everything instead of reading changes
-	// nextWaiters runs after a synchronization that is not started yet; current after the
-	// one in progress.
+	// nextWaiters are called after a synchronization that has not started yet,
+	// currentWaiters after the one in progress.
 	nextWaiters    []func(ok bool)
 	currentWaiters []func(ok bool)
 }
 
-// newViewSync limits synchronizations to this controller's part of the requests that
-// the state service sustains.
+// newViewSync returns a schedule that limits synchronizations to this controller's part of
+// the state service's sustainable request rate.
 func newViewSync(controllers int, requestsPerSecond float64) viewSync {
 	interval := model.Seconds(float64(controllers) / (syncRequestShare * requestsPerSecond))
 	return viewSync{minInterval: max(minSyncInterval, interval), needsList: true}
 }
 
-// afterReadBarrier runs f once a synchronization that starts after this call has ended.
-// It tells f whether that one succeeded.
+// afterReadBarrier calls f when a synchronization that starts after this call has ended.
+// ok reports whether the synchronization succeeded.
 func (s *viewSync) afterReadBarrier(f func(ok bool)) { s.nextWaiters = append(s.nextWaiters, f) }
 
-// request has a synchronization start as soon as possible.
+// request makes a synchronization start as soon as possible.
 func (s *viewSync) request() { s.afterReadBarrier(func(bool) {}) }
 
 // allowed reports whether a synchronization may start now.
@@ -69,7 +69,7 @@
 	s.currentWaiters, s.nextWaiters = s.nextWaiters, nil
 }
 
-// end ends the synchronization in progress, and returns who waited for it.
+// end ends the synchronization in progress, and returns the callbacks that wait for it.
 func (s *viewSync) end(err error) (waiters []func(ok bool)) {
 	s.inProgress = false
 	s.failed = err != nil && !errors.Is(err, state.ErrCompacted) && !errors.Is(err, state.ErrBusy)
@@ -78,13 +78,12 @@
 }
 
 // suspectsOutage reports whether the state service may be unreachable: the last
-// synchronization failed, or the one in progress takes long.
+// synchronization failed, or the one in progress takes longer than usual.
 func (s *viewSync) suspectsOutage(now model.Micros) bool {
 	return s.failed || s.inProgress && now-s.startedAt > slowSync
 }
 
-// syncInterval is how long the view may go without a synchronization that nobody waits
-// for.
+// syncInterval returns the maximum time between synchronizations if nothing waits for one.
 func (c *controller) syncInterval() model.Micros {
 	switch {
 	case c.leading != nil:
@@ -108,7 +107,7 @@
 	c.io.sync(c.view.Revision, c.sync.needsList)
 }
 
-// synced handles the end of a synchronization.
+// synced handles the outcome of a synchronization.
 func (c *controller) synced(m msgSynced) {
 	waiters := c.sync.end(m.err)
 	err := m.err
@@ -125,7 +124,7 @@
 	}
 }
 
-// applySynced takes a listing or changes into the view.
+// applySynced replaces the view by a new listing, or applies changes to it.
 func (c *controller) applySynced(m msgSynced) error {
 	if m.view == nil {
 		for i := range m.changes.Events {
@@ -144,8 +143,8 @@
 	return nil
 }
 
-// syncSucceeded renews the authority, and compares the leadership with what the state
-// service says.
+// syncSucceeded renews the authority, and checks the leadership against the records of the
+// state service.
 func (c *controller) syncSucceeded(sentAt model.Micros) {
 	c.sync.succeededAt = sentAt
 	c.authority.ViewSynced(sentAt)
@@ -160,13 +159,13 @@
 	c.duties.resync = false
 }
 
-// syncFailed decides what follows a synchronization that failed.
+// syncFailed handles the failure of a synchronization according to its error.
 func (c *controller) syncFailed(err error) {
-	slog.Debug("sync", "err", err)
+	slog.Debug("synchronization with the state service failed", "err", err)
 	switch {
 	case errors.Is(err, state.ErrLayout):
-		// Whoever wrote that knows of jobs or bindings that we would miss.
-		slog.Error("the state service holds what this version can't read; not serving", "err", err)
+		// A newer version may have written jobs or bindings that this version would miss.
+		slog.Error("the state service contains records that this version cannot read; not serving requests", "err", err)
 		c.viewLoaded, c.sync.needsList, c.sync.failed = false, true, true
 		c.sync.notBefore = c.now + unreadableSyncPause
 		c.stepDown(reasonUnreadable)
@@ -177,7 +176,8 @@
 	}
 }
 
-// applyEvent takes a change into the view, and tells the leader's scheduler what concerns it.
+// applyEvent applies a change to the view, and notifies the leader's scheduler and spill
+// manager if it concerns them.
 func (c *controller) applyEvent(event *state.Event) error {
 	if event.Drop != "" {
 		c.view.Drop(event.Drop, event.Revision)
@@ -194,23 +194,23 @@
 	return nil
 }
 
-// spillRecordChanged tells the leader's spiller of a changed record, if it is one of its.
+// spillRecordChanged notifies the leader's spill manager of a changed spill record.
 func (c *controller) spillRecordChanged(key string) {
 	if strings.HasPrefix(key, state.SpillPrefix) && c.leading != nil && c.leading.ready {
 		c.leading.spill.recordChanged(key)
 	}
 }
 
-// jobChanged tells the leader's scheduler what the view says of a job.
+// jobChanged passes the view's state of a job to the leader's scheduler.
 func (c *controller) jobChanged(jobID string) {
 	if c.leading != nil && c.leading.ready {
 		c.leading.jobChanged(jobID)
 	}
 }
 
-// notifyDependents tells the leader's scheduler of jobs whose status changed because of
-// other jobs. Those may have ended by a synchronization or by our own transactions, and
-// what depends on them may be all that is left to run.
+// notifyDependents passes jobs whose status changed because of other jobs to the leader's
+// scheduler. The other jobs may have ended through a synchronization or through our own
+// transactions, and the dependents may be the only work that is left to run.
 func (c *controller) notifyDependents() {
 	for _, jobID := range c.view.TakeChangedJobs() {
 		c.jobChanged(jobID)
