--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -28,9 +28,9 @@
 		return
 	}
 	for i := range writes {
-		if end, ok := writes[i].Value.(shard.JobRecord); ok {
-			end.EndedMs = c.wallClockMs()
-			writes[i].Value = end
+		if record, ok := writes[i].Value.(shard.JobRecord); ok {
+			record.EndedMs = c.wallClockMs()
+			writes[i].Value = record
 		}
 	}
 	c.send(laneBindings, msgCommitted{txn: l.bindingsTxn(writes), writes: writes, token: l.token})
@@ -41,13 +41,13 @@
 // changes nothing.
 func (l *leader) bindingsTxn(writes []shard.Write) *state.Txn {
 	txn := &state.Txn{Conditions: []state.Condition{{Path: grantKey, Revision: l.token}}}
-	for _, w := range writes {
-		key := w.Key
+	for _, write := range writes {
+		key := write.Key
 		if key == "" {
-			key = state.BundleKey(shardName, w.Slot)
+			key = state.BundleKey(shardName, write.Slot)
 		}
 		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: l.controller.view.Revisions[key]})
-		txn.Then = append(txn.Then, state.Op{Set: key, Value: w.Value})
+		txn.Then = append(txn.Then, state.Op{Set: key, Value: write.Value})
 	}
 	return txn
 }
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -48,11 +48,11 @@
 		f.serveHeartbeat(rc)
 		return
 	}
-	a := f.User(method, path, rc.PostBody())
-	if a.ForwardTo != "" {
-		a = f.forward(a, method, path, rc.PostBody())
+	answer := f.User(method, path, rc.PostBody())
+	if answer.ForwardTo != "" {
+		answer = f.forward(answer, method, path, rc.PostBody())
 	}
-	writeAnswer(rc, a)
+	writeAnswer(rc, answer)
 }
 
 // forward has a sibling answer a user's request. Without its answer, ours stands.
@@ -72,9 +72,9 @@
 
 // findPeer finds a sibling by its name; nil if there is none.
 func (f *frontend) findPeer(name string) *peer.Client {
-	for _, p := range f.peers {
-		if p.Name == name {
-			return p
+	for _, client := range f.peers {
+		if client.Name == name {
+			return client
 		}
 	}
 	return nil
@@ -83,8 +83,8 @@
 // Ping answers a sibling's ping.
 func (f *frontend) Ping() (stateReached bool, workers int) {
 	reply := make(chan pingReply, 1)
-	p, _ := ask(f.mailbox, msgPing{reply}, reply, healthCheckTimeout)
-	return p.stateReached, p.workers
+	answer, _ := ask(f.mailbox, msgPing{reply}, reply, healthCheckTimeout)
+	return answer.stateReached, answer.workers
 }
 
 // EndSession ends a sibling's session on its own request.
@@ -136,16 +136,16 @@
 		return
 	}
 	reply := make(chan workerAnswer, 1)
-	a, ok := ask(f.mailbox, msgHeartbeat{heartbeat: heartbeat, reply: reply}, reply, heartbeatTimeout)
+	answer, ok := ask(f.mailbox, msgHeartbeat{heartbeat: heartbeat, reply: reply}, reply, heartbeatTimeout)
 	if !ok {
 		writeAnswer(rc, userapi.Error(http.StatusServiceUnavailable, "busy", 1))
 		return
 	}
-	if a.relayTo != "" {
-		a = f.relay(a, body)
+	if answer.relayTo != "" {
+		answer = f.relay(answer, body)
 	}
-	rc.SetStatusCode(a.code)
-	rc.Response.SetBodyRaw(a.body)
+	rc.SetStatusCode(answer.code)
+	rc.Response.SetBodyRaw(answer.body)
 }
 
 // relay passes a heartbeat to the leader. Without its answer, ours stands.
@@ -166,9 +166,9 @@
 
 // ask sends a message to the controller actor and waits for its answer. When the mailbox
 // is full, the request is refused at once.
-func ask[T any](mail chan<- any, msg any, reply <-chan T, timeout time.Duration) (answer T, ok bool) {
+func ask[T any](mailbox chan<- any, msg any, reply <-chan T, timeout time.Duration) (answer T, ok bool) {
 	select {
-	case mail <- msg:
+	case mailbox <- msg:
 	default:
 		return answer, false
 	}
@@ -184,19 +184,19 @@
 
 // askUser asks the controller actor on behalf of a user, who may try again if there is
 // no answer.
-func askUser(mail chan<- any, msg any, reply <-chan userapi.Answer, timeout time.Duration) userapi.Answer {
-	a, ok := ask(mail, msg, reply, timeout)
+func askUser(mailbox chan<- any, msg any, reply <-chan userapi.Answer, timeout time.Duration) userapi.Answer {
+	answer, ok := ask(mailbox, msg, reply, timeout)
 	if !ok {
 		return userapi.Error(http.StatusServiceUnavailable, "try again", 1)
 	}
-	return a
+	return answer
 }
 
 // writeAnswer renders an answer as the HTTP response.
-func writeAnswer(rc *fasthttp.RequestCtx, a userapi.Answer) {
-	rc.SetStatusCode(a.Code)
-	if a.RetryAfter > 0 {
-		rc.Response.Header.Set("Retry-After", strconv.Itoa(a.RetryAfter))
+func writeAnswer(rc *fasthttp.RequestCtx, answer userapi.Answer) {
+	rc.SetStatusCode(answer.Code)
+	if answer.RetryAfter > 0 {
+		rc.Response.Header.Set("Retry-After", strconv.Itoa(answer.RetryAfter))
 	}
-	rc.Response.SetBodyRaw(a.Body)
+	rc.Response.SetBodyRaw(answer.Body)
 }
--- a/internal/controller/probing.go
+++ b/internal/controller/probing.go
@@ -43,15 +43,15 @@
 // none reaches this leader, or which of them relay heartbeats when this leader's
 // connections run short.
 func (c *controller) startProbe() {
-	p := &c.siblings
-	if p.inProgress || len(c.settings.Siblings) == 0 || p.startedAt != 0 && c.now-p.startedAt < probeInterval {
+	probe := &c.siblings
+	if probe.inProgress || len(c.settings.Siblings) == 0 || probe.startedAt != 0 && c.now-probe.startedAt < probeInterval {
 		return
 	}
-	needsRelays := c.leading != nil && c.now-p.startedAt >= relayProbeInterval && c.relay.connectionLoad(c.now) >= relayProbeWatermark
+	needsRelays := c.leading != nil && c.now-probe.startedAt >= relayProbeInterval && c.relay.connectionLoad(c.now) >= relayProbeWatermark
 	if !needsRelays && !c.sync.suspectsOutage(c.now) && !c.hasNoHeartbeats() {
 		return
 	}
-	p.inProgress, p.startedAt = true, c.now
+	probe.inProgress, probe.startedAt = true, c.now
 	c.io.ping()
 }
 
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -58,8 +58,8 @@
 	retryAt model.Micros
 }
 
-func newHeartbeatRelay(set *config.Settings) heartbeatRelay {
-	return heartbeatRelay{connectionLimit: set.Params.Quota.FDLimit, freshFor: 2 * model.Seconds(set.Params.Workers.ReportS),
+func newHeartbeatRelay(settings *config.Settings) heartbeatRelay {
+	return heartbeatRelay{connectionLimit: settings.Params.Quota.FDLimit, freshFor: 2 * model.Seconds(settings.Params.Workers.ReportS),
 		directAt: map[string]model.Micros{}, routes: map[string]route{}}
 }
 
@@ -156,15 +156,15 @@
 // redirectToLeader is a response that sends a worker to the leader, or has its
 // heartbeat relayed there.
 func (c *controller) redirectToLeader() workerAnswer {
-	l := c.view.Leader
-	if l == nil || l.Node == c.settings.NodeName || !c.authority.IsViewFresh(c.now) {
+	leader := c.view.Leader
+	if leader == nil || leader.Node == c.settings.NodeName || !c.authority.IsViewFresh(c.now) {
 		return redirectTo("")
 	}
-	a := redirectTo(l.Node)
+	answer := redirectTo(leader.Node)
 	if c.now >= c.relay.retryAt {
-		a.relayTo = l.Node
+		answer.relayTo = leader.Node
 	}
-	return a
+	return answer
 }
 
 // handleHeartbeat answers a worker's heartbeat, which the leader alone can take.
@@ -182,11 +182,11 @@
 	}
 	switch {
 	case !leads:
-		a := c.redirectToLeader()
+		answer := c.redirectToLeader()
 		if m.relayed {
-			a.relayTo = "" // a heartbeat is relayed once
+			answer.relayTo = "" // a heartbeat is relayed once
 		}
-		m.reply <- a
+		m.reply <- answer
 	case !c.leading.ready || !c.authority.IsValid(c.now):
 		m.reply <- workerUnavailable()
 	case m.relayed && c.relay.askToReturn(machineID, c.now):
@@ -197,15 +197,15 @@
 }
 
 // Report answers a heartbeat that a sibling relays.
-func (f *frontend) Report(body []byte) (code int, answer []byte) {
+func (f *frontend) Report(body []byte) (code int, responseBody []byte) {
 	heartbeat, err := workerapi.ParseHeartbeat(body)
 	if err != nil {
 		return http.StatusBadRequest, userapi.Error(http.StatusBadRequest, err.Error(), 0).Body
 	}
 	reply := make(chan workerAnswer, 1)
-	a, ok := ask(f.mailbox, msgHeartbeat{heartbeat: heartbeat, reply: reply, relayed: true}, reply, relayTimeout)
+	answer, ok := ask(f.mailbox, msgHeartbeat{heartbeat: heartbeat, reply: reply, relayed: true}, reply, relayTimeout)
 	if !ok {
-		a = workerUnavailable()
+		answer = workerUnavailable()
 	}
-	return a.code, a.body
+	return answer.code, answer.body
 }
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -59,22 +59,22 @@
 )
 
 // Run serves until the context ends or a listener fails.
-func Run(ctx context.Context, set *config.Settings, op *config.OperatorSettings) error {
-	listener, err := net.Listen("tcp4", set.ServeOn)
+func Run(ctx context.Context, settings *config.Settings, operator *config.OperatorSettings) error {
+	listener, err := net.Listen("tcp4", settings.ServeOn)
 	if err != nil {
 		return err
 	}
-	slog.Info("start", "node", set.NodeName, "session_s", set.LeaseTimes(op).TTL.Seconds())
+	slog.Info("start", "node", settings.NodeName, "session_s", settings.LeaseTimes(operator).TTL.Seconds())
 
-	if op.Duties != nil && op.Duties.TraceEndpoint != "" {
-		shutdown, err := tracing.Setup(ctx, op.Duties.TraceEndpoint, set.NodeName)
+	if operator.Duties != nil && operator.Duties.TraceEndpoint != "" {
+		shutdown, err := tracing.Setup(ctx, operator.Duties.TraceEndpoint, settings.NodeName)
 		if err != nil {
 			return err
 		}
 		defer func() { _ = shutdown(context.WithoutCancel(ctx)) }() // what is not sent by now is lost
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	p, err := newProcess(ctx, set, op)
+	p, err := newProcess(ctx, settings, operator)
 	if err != nil {
 		return err
 	}
@@ -97,29 +97,29 @@
 }
 
 // newProcess sets a controller up, without starting anything.
-func newProcess(ctx context.Context, set *config.Settings, op *config.OperatorSettings) (*process, error) {
-	clock, leaseTimes := SteadyClock(), set.LeaseTimes(op)
-	mail := make(chan any, mailboxSize)
-	stateClient := state.NewClient(set.Services.State)
-	peers, err := dialSiblings(set)
+func newProcess(ctx context.Context, settings *config.Settings, operator *config.OperatorSettings) (*process, error) {
+	clock, leaseTimes := SteadyClock(), settings.LeaseTimes(operator)
+	mailbox := make(chan any, mailboxSize)
+	stateClient := state.NewClient(settings.Services.State)
+	peers, err := dialSiblings(settings)
 	if err != nil {
 		return nil, err
 	}
-	p := &process{mailbox: mail, frontend: &frontend{mailbox: mail, peers: peers, state: stateClient, ctx: ctx}}
-	p.http = newHTTPServer(set, p.frontend)
-	if p.peerListener, err = net.Listen("tcp4", set.PeerAddress); err != nil {
+	p := &process{mailbox: mailbox, frontend: &frontend{mailbox: mailbox, peers: peers, state: stateClient, ctx: ctx}}
+	p.http = newHTTPServer(settings, p.frontend)
+	if p.peerListener, err = net.Listen("tcp4", settings.PeerAddress); err != nil {
 		return nil, err
 	}
 	abandon := make(chan uint64, maxAbandonedSessions)
-	io := &asyncEffects{mailbox: mail, clock: clock, state: stateClient, cloud: cloud.NewClient(set.Services.Cloud), peers: peers, name: set.NodeName, ctx: ctx,
+	io := &asyncEffects{mailbox: mailbox, clock: clock, state: stateClient, cloud: cloud.NewClient(settings.Services.Cloud), peers: peers, name: settings.NodeName, ctx: ctx,
 		abandon: abandon}
-	p.controller = newController(set, op, leaseTimes, clock, io)
-	p.session = &session{state: stateClient, clock: clock, mailbox: mail, name: set.NodeName, serveAddress: set.ServeOn, ttl: leaseTimes.TTL, mayHoldDuties: op.Duties != nil, spills: op.Spill != nil, abandon: abandon}
-	if op.Spill == nil {
+	p.controller = newController(settings, operator, leaseTimes, clock, io)
+	p.session = &session{state: stateClient, clock: clock, mailbox: mailbox, name: settings.NodeName, serveAddress: settings.ServeOn, ttl: leaseTimes.TTL, mayHoldDuties: operator.Duties != nil, spills: operator.Spill != nil, abandon: abandon}
+	if operator.Spill == nil {
 		return p, nil
 	}
 	p.peerServices = append(p.peerServices, func(s grpc.ServiceRegistrar) { cellrpc.Register(s, p.frontend) })
-	p.controller.cells, err = newCellIO(io, op.Spill)
+	p.controller.cells, err = newCellIO(io, operator.Spill)
 	return p, err
 }
 
@@ -134,23 +134,23 @@
 }
 
 // dialSiblings prepares the calls to the other controllers.
-func dialSiblings(set *config.Settings) (peers []*peer.Client, err error) {
-	for _, sibling := range set.Siblings {
-		p, err := peer.Dial(sibling.NodeName, sibling.Endpoint)
+func dialSiblings(settings *config.Settings) (peers []*peer.Client, err error) {
+	for _, sibling := range settings.Siblings {
+		client, err := peer.Dial(sibling.NodeName, sibling.Endpoint)
 		if err != nil {
 			return nil, err
 		}
-		peers = append(peers, p)
+		peers = append(peers, client)
 	}
 	return peers, nil
 }
 
 // newHTTPServer answers users and workers.
-func newHTTPServer(set *config.Settings, f *frontend) *fasthttp.Server {
+func newHTTPServer(settings *config.Settings, f *frontend) *fasthttp.Server {
 	server := &fasthttp.Server{Handler: f.serve, Name: "woadweir", MaxRequestBodySize: maxRequestBytes, NoDefaultDate: true,
-		ReadBufferSize: readBufferBytes, IdleTimeout: idleTimeout(set), ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
+		ReadBufferSize: readBufferBytes, IdleTimeout: idleTimeout(settings), ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
 		Logger: discardLogger{}, NoDefaultContentType: true, DisablePreParseMultipartForm: true}
-	if limit := set.Params.Quota.FDLimit; limit > 0 {
+	if limit := settings.Params.Quota.FDLimit; limit > 0 {
 		server.Concurrency = max(minConcurrency, limit*concurrencyTenths/10)
 	}
 	return server
@@ -159,8 +159,8 @@
 // idleTimeout is how long a connection may be idle. Workers whose machines were
 // partitioned off come back on new connections, hundreds at once, while nothing closes
 // their old ones: those must be closed before there are too many.
-func idleTimeout(set *config.Settings) time.Duration {
-	return max(minIdleTimeout, (idleHeartbeats * model.Seconds(set.Params.Workers.ReportS)).Duration())
+func idleTimeout(settings *config.Settings) time.Duration {
+	return max(minIdleTimeout, (idleHeartbeats * model.Seconds(settings.Params.Workers.ReportS)).Duration())
 }
 
 // discardLogger drops what the HTTP server logs about broken connections.
@@ -169,7 +169,7 @@
 func (discardLogger) Printf(string, ...any) {}
 
 // tick sends the controller actor a message at every interval.
-func tick(ctx context.Context, mail chan<- any) error {
+func tick(ctx context.Context, mailbox chan<- any) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -178,7 +178,7 @@
 			return nil
 		case <-ticker.C:
 			select {
-			case mail <- msgTick{}:
+			case mailbox <- msgTick{}:
 			default: // the mailbox is full, so the actor runs anyway
 			}
 		}
@@ -186,19 +186,19 @@
 }
 
 // logEvent logs an event of the leader's scheduler.
-func logEvent(e shard.Event) {
+func logEvent(event shard.Event) {
 	if !slog.Default().Enabled(context.Background(), slog.LevelInfo) {
 		return
 	}
 	args := make([]any, 0, 8)
-	if e.Machine != "" {
-		args = append(args, "machine", e.Machine)
+	if event.Machine != "" {
+		args = append(args, "machine", event.Machine)
 	}
-	if e.Task != "" {
-		args = append(args, "task", e.Task, "attempt", e.Attempt)
+	if event.Task != "" {
+		args = append(args, "task", event.Task, "attempt", event.Attempt)
 	}
-	if e.Reason != "" {
-		args = append(args, "why", e.Reason)
+	if event.Reason != "" {
+		args = append(args, "why", event.Reason)
 	}
-	slog.Info(string(e.Kind), args...)
+	slog.Info(string(event.Kind), args...)
 }
--- a/internal/controller/state_limits.go
+++ b/internal/controller/state_limits.go
@@ -15,7 +15,7 @@
 // sustains. Half of them are the leader's; the others share the rest. As long as no
 // write is refused, the leader may use three quarters and each of the others a third
 // (most): with a low limit, tasks would wait for their bindings to be written.
-func (c *controller) writeShare(leads bool) (share, most float64) {
+func (c *controller) writeShare(leads bool) (share, maxRate float64) {
 	total := c.limits.WriteRPS
 	if leads || len(c.settings.Siblings) == 0 {
 		return total / 2, total * 3 / 4
@@ -24,8 +24,8 @@
 }
 
 func (c *controller) setWriteShare(leads bool) {
-	share, most := c.writeShare(leads)
-	c.writeBudget.SetRate(share, most, c.now)
+	share, maxRate := c.writeShare(leads)
+	c.writeBudget.SetRate(share, maxRate, c.now)
 }
 
 // maxValueBytes is the maximum size of a value in bytes.
@@ -55,16 +55,16 @@
 // has once run a version that reads it never returns to an older one that does not, so
 // having seen each with such a version once is enough.
 func (c *controller) allControllersRead(layout int) bool {
-	for name, l := range c.view.Layouts {
-		c.layouts[name] = max(c.layouts[name], l)
+	for name, seen := range c.view.Layouts {
+		c.layouts[name] = max(c.layouts[name], seen)
 	}
 	return c.allControllersHave(c.layouts, layout)
 }
 
 // allControllersHave reports whether all controllers have at least a layout.
 func (c *controller) allControllersHave(layouts map[string]int, layout int) bool {
-	for _, s := range c.settings.Siblings {
-		if layouts[s.NodeName] < layout {
+	for _, sibling := range c.settings.Siblings {
+		if layouts[sibling.NodeName] < layout {
 			return false
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -32,9 +32,9 @@
 // stateUnreachable is the answer to a user when the state service is not reached. It
 // names a sibling that can answer instead, if one is known.
 func (c *controller) stateUnreachable() userapi.Answer {
-	a := userapi.Error(http.StatusServiceUnavailable, "state not reachable", 1)
-	a.ForwardTo = c.siblings.pickServing(c.now)
-	return a
+	answer := userapi.Error(http.StatusServiceUnavailable, "state not reachable", 1)
+	answer.ForwardTo = c.siblings.pickServing(c.now)
+	return answer
 }
 
 // withReadBarrier runs f after a linearizable read barrier, or answers that the state
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -46,13 +46,13 @@
 }
 
 // isFree reports whether a lane may send a transaction.
-func (t *transactionLanes) isFree(l lane, now model.Micros) bool {
-	return !t.busy[l] && now >= t.pausedUntil[l]
+func (t *transactionLanes) isFree(which lane, now model.Micros) bool {
+	return !t.busy[which] && now >= t.pausedUntil[which]
 }
 
 // pauseUntil keeps a lane from sending transactions for a while. The users' lanes share
 // the pause of the first of them.
-func (t *transactionLanes) pauseUntil(l lane, until model.Micros) { t.pausedUntil[l] = until }
+func (t *transactionLanes) pauseUntil(which lane, until model.Micros) { t.pausedUntil[which] = until }
 
 // findFreeUserLane finds a lane for users' writes.
 func (t *transactionLanes) findFreeUserLane(now model.Micros) (free lane, ok bool) {
@@ -64,9 +64,9 @@
 }
 
 // send starts a transaction in a lane. Its outcome arrives as a message.
-func (c *controller) send(on lane, m msgCommitted) {
-	m.lane = on
-	c.lanes.busy[on] = true
+func (c *controller) send(which lane, m msgCommitted) {
+	m.lane = which
+	c.lanes.busy[which] = true
 	c.writeBudget.Spend(len(m.txn.Then), c.now)
 	c.io.commit(m)
 }
--- a/internal/controller/user_writes.go
+++ b/internal/controller/user_writes.go
@@ -34,9 +34,9 @@
 
 func (w *userWrite) isCancellation() bool { return w.submission == nil }
 
-func (w *userWrite) answer(a userapi.Answer) {
+func (w *userWrite) answer(answer userapi.Answer) {
 	for _, reply := range w.replies {
-		reply <- a
+		reply <- answer
 	}
 	w.replies = nil
 }
@@ -55,8 +55,8 @@
 // joinSubmission adds a reply to a queued submission of the same job, if there is one.
 func (q *userWriteQueue) joinSubmission(jobID string, reply chan<- userapi.Answer) bool {
 	for i := range q.queue {
-		if w := &q.queue[i]; w.jobID == jobID && !w.isCancellation() {
-			w.replies = append(w.replies, reply)
+		if write := &q.queue[i]; write.jobID == jobID && !write.isCancellation() {
+			write.replies = append(write.replies, reply)
 			return true
 		}
 	}
@@ -65,11 +65,11 @@
 
 // expire answers and removes the writes whose deadline has passed.
 func (q *userWriteQueue) expire(now model.Micros) {
-	q.queue = slices.DeleteFunc(q.queue, func(w userWrite) bool {
-		if now < w.deadline {
+	q.queue = slices.DeleteFunc(q.queue, func(write userWrite) bool {
+		if now < write.deadline {
 			return false
 		}
-		w.answer(userapi.Error(http.StatusServiceUnavailable, "try again", 1))
+		write.answer(userapi.Error(http.StatusServiceUnavailable, "try again", 1))
 		return true
 	})
 }
@@ -94,12 +94,12 @@
 }
 
 // add adds a write under the condition that the job's record is at a revision.
-func (b *userBatch) add(w userWrite, record shard.JobRecord, size int, revision uint64) {
-	key := state.JobKey(w.jobID)
+func (b *userBatch) add(write userWrite, record shard.JobRecord, size int, revision uint64) {
+	key := state.JobKey(write.jobID)
 	b.txn.Conditions = append(b.txn.Conditions, state.Condition{Path: key, Revision: revision})
 	b.txn.Then = append(b.txn.Then, state.Op{Set: key, Value: record})
-	b.writes = append(b.writes, w)
-	b.jobIDs[w.jobID] = true
+	b.writes = append(b.writes, write)
+	b.jobIDs[write.jobID] = true
 	b.bytes += size + userWriteOverhead
 }
 
@@ -129,45 +129,45 @@
 func (c *controller) takeUserBatch(limit int) *userBatch {
 	batch := newUserBatch()
 	var rest []userWrite
-	for _, w := range c.userWrites.queue {
-		if end, ended := c.view.EffectiveEnd(w.jobID); ended && w.isCancellation() {
+	for _, write := range c.userWrites.queue {
+		if end, ended := c.view.EffectiveEnd(write.jobID); ended && write.isCancellation() {
 			// The job ended while its cancellation was queued. The condition would hold
 			// against the end, which the view has by now, and the end would be overwritten.
-			w.answer(userapi.Accepted(http.StatusOK, w.jobID, end))
+			write.answer(userapi.Accepted(http.StatusOK, write.jobID, end))
 			continue
 		}
-		record, size, err := c.userRecord(&w)
+		record, size, err := c.userRecord(&write)
 		if err != nil {
-			w.answer(userapi.Error(http.StatusBadRequest, err.Error(), 0))
+			write.answer(userapi.Error(http.StatusBadRequest, err.Error(), 0))
 			continue
 		}
-		if !batch.hasRoomFor(w.jobID, size, limit) {
-			rest = append(rest, w)
+		if !batch.hasRoomFor(write.jobID, size, limit) {
+			rest = append(rest, write)
 			continue
 		}
-		batch.add(w, record, size, c.expectedRevision(&w))
+		batch.add(write, record, size, c.expectedRevision(&write))
 	}
 	c.userWrites.queue = rest
 	return batch
 }
 
 // userRecord returns the job record that a write stores, and about its size in bytes.
-func (c *controller) userRecord(w *userWrite) (record shard.JobRecord, size int, err error) {
-	if w.isCancellation() {
-		return c.cancelledRecord(c.view.Jobs[w.jobID].Submission), cancellationBytes, nil
+func (c *controller) userRecord(write *userWrite) (record shard.JobRecord, size int, err error) {
+	if write.isCancellation() {
+		return c.cancelledRecord(c.view.Jobs[write.jobID].Submission), cancellationBytes, nil
 	}
-	raw, err := json.Marshal(w.submission)
+	raw, err := json.Marshal(write.submission)
 	if err != nil {
 		return shard.JobRecord{}, 0, err
 	}
-	return shard.JobRecord{Spec: w.submission}, len(raw), nil
+	return shard.JobRecord{Spec: write.submission}, len(raw), nil
 }
 
 // expectedRevision is the revision that a write requires of the job's record: an
 // acceptance requires that there is none.
-func (c *controller) expectedRevision(w *userWrite) uint64 {
-	if w.isCancellation() {
-		return c.view.Revisions[state.JobKey(w.jobID)]
+func (c *controller) expectedRevision(write *userWrite) uint64 {
+	if write.isCancellation() {
+		return c.view.Revisions[state.JobKey(write.jobID)]
 	}
 	return 0
 }
@@ -197,15 +197,15 @@
 // userWritesDurable takes durable writes into the view, and answers them.
 func (c *controller) userWritesDurable(m msgCommitted) {
 	for i := range m.userWrites {
-		w := &m.userWrites[i]
+		write := &m.userWrites[i]
 		op := m.txn.Then[i]
 		c.view.Put(op.Set, op.Value, m.result.Revision)
-		if w.isCancellation() {
-			w.answer(userapi.Accepted(http.StatusOK, w.jobID, model.JobCancelled))
+		if write.isCancellation() {
+			write.answer(userapi.Accepted(http.StatusOK, write.jobID, model.JobCancelled))
 		} else {
-			w.answer(userapi.Accepted(http.StatusCreated, w.jobID, model.JobPending))
+			write.answer(userapi.Accepted(http.StatusCreated, write.jobID, model.JobPending))
 		}
-		c.jobChanged(w.jobID)
+		c.jobChanged(write.jobID)
 	}
 }
 
@@ -217,26 +217,26 @@
 	for _, path := range m.result.Failed {
 		conflicted[strings.TrimPrefix(path, state.JobPrefix)] = true
 	}
-	for _, w := range m.userWrites {
-		if !conflicted[w.jobID] {
-			c.userWrites.append(w)
+	for _, write := range m.userWrites {
+		if !conflicted[write.jobID] {
+			c.userWrites.append(write)
 			continue
 		}
-		c.sync.afterReadBarrier(func(ok bool) { c.resolveConflict(w, ok) })
+		c.sync.afterReadBarrier(func(ok bool) { c.resolveConflict(write, ok) })
 	}
 }
 
 // resolveConflict answers a write whose job another write has changed first, or queues
 // it again if the change does not decide the answer.
-func (c *controller) resolveConflict(w userWrite, synced bool) {
-	status, _, _, known := c.view.Status(w.jobID)
-	_, ended := c.view.EffectiveEnd(w.jobID)
+func (c *controller) resolveConflict(write userWrite, synced bool) {
+	status, _, _, known := c.view.Status(write.jobID)
+	_, ended := c.view.EffectiveEnd(write.jobID)
 	switch {
 	case !synced:
-		w.answer(c.stateUnreachable())
-	case known && (!w.isCancellation() || ended):
-		w.answer(userapi.Accepted(http.StatusOK, w.jobID, status))
+		write.answer(c.stateUnreachable())
+	case known && (!write.isCancellation() || ended):
+		write.answer(userapi.Accepted(http.StatusOK, write.jobID, status))
 	default:
-		c.userWrites.append(w)
+		c.userWrites.append(write)
 	}
 }
