--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -8,11 +8,12 @@
 	"woadweir/internal/state"
 )
 
-// maxTxnBytes keeps a transaction within the state service's 64 KiB, with room for keys
-// and conditions.
+// maxTxnBytes limits the values of a transaction, so that it stays within the state
+// service's 64 KiB with room for keys and conditions.
 const maxTxnBytes = 48 << 10
 
-// writeBindings makes the scheduler's changes durable, one transaction at a time.
+// writeBindings writes the scheduler's changes to the state service, one transaction at a
+// time.
 func (l *leader) writeBindings() {
 	c := l.controller
 	if !c.lanes.isFree(laneBindings, c.now) || l.resync || l.shard.PendingWrites() == 0 {
@@ -36,8 +37,8 @@
 	c.send(laneBindings, msgCommitted{txn: l.bindingsTxn(writes), writes: writes, token: l.token})
 }
 
-// bindingsTxn makes a transaction of the scheduler's writes. Its conditions are the
-// grant, and the known revision of every key, so that a copy that is executed late
+// bindingsTxn returns the transaction for the scheduler's writes. It is conditional on the
+// grant and on the known revision of every key, so that a duplicate that is executed late
 // changes nothing.
 func (l *leader) bindingsTxn(writes []shard.Write) *state.Txn {
 	txn := &state.Txn{Conditions: []state.Condition{{Path: grantKey, Revision: l.token}}}
@@ -62,7 +63,7 @@
 		c.view.Apply(m.txn, m.result.Revision)
 		l.shard.Committed(m.writes, c.now)
 	default:
-		slog.Info("conflict", "keys", m.result.Failed)
+		slog.Info("transaction of bindings refused: records have changed since the view was read", "keys", m.result.Failed)
 		if m.lostGrant() {
 			c.stepDown(reasonGrantLost)
 			return
@@ -72,10 +73,10 @@
 	}
 }
 
-// bindingsFailed has the scheduler retry writes that were refused or got no answer, in
+// bindingsFailed makes the scheduler retry writes that were refused or got no answer, in
 // smaller pieces if they were too large.
 func (l *leader) bindingsFailed(m msgCommitted) {
-	slog.Debug("commit", "err", m.err)
+	slog.Debug("transaction of bindings failed", "err", m.err)
 	if errors.Is(m.err, state.ErrTooBig) {
 		l.controller.lowerStateLimits(m.err)
 		l.shard.Params.MaxValue = l.controller.maxValueBytes()
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -16,14 +16,14 @@
 	"woadweir/internal/workerapi"
 )
 
-// How long a request may wait for the controller actor, or for a sibling.
+// Timeouts of requests to the controller actor or to a sibling.
 const (
 	userWriteTimeout   = 4500 * time.Millisecond // a submission or a cancellation
 	statusTimeout      = 1800 * time.Millisecond // a status read
 	healthCheckTimeout = 900 * time.Millisecond
-	forwardTimeout     = 1200 * time.Millisecond // a user's request, by a sibling
+	forwardTimeout     = 1200 * time.Millisecond // a user's request forwarded to a sibling
 	heartbeatTimeout   = 3500 * time.Millisecond
-	relayTimeout       = 2500 * time.Millisecond // a heartbeat, by the leader
+	relayTimeout       = 2500 * time.Millisecond // a heartbeat relayed to the leader
 	// endSessionTimeout is how long the state service may take to end a session.
 	endSessionTimeout = 2 * model.Second
 )
@@ -31,8 +31,9 @@
 // heartbeatPath is the path of workers' heartbeats.
 const heartbeatPath = "/checkin"
 
-// frontend serves HTTP to users and workers, and calls of the other controllers. It
-// turns requests into messages to the controller actor, and its answers into responses.
+// frontend serves the HTTP requests of users and workers, and the calls of the other
+// controllers. It turns requests into messages to the controller actor, and the actor's
+// replies into responses.
 type frontend struct {
 	mailbox chan<- any
 	peers   []*peer.Client
@@ -55,7 +56,8 @@
 	writeAnswer(rc, answer)
 }
 
-// forward has a sibling answer a user's request. Without its answer, ours stands.
+// forward forwards a user's request to a sibling and returns its answer, or ours if the
+// sibling does not answer.
 func (f *frontend) forward(ours userapi.Answer, method, path string, body []byte) userapi.Answer {
 	sibling := f.findPeer(ours.ForwardTo)
 	if sibling == nil {
@@ -70,7 +72,7 @@
 	return theirs
 }
 
-// findPeer finds a sibling by its name; nil if there is none.
+// findPeer returns the client of the sibling with a name, or nil if there is none.
 func (f *frontend) findPeer(name string) *peer.Client {
 	for _, client := range f.peers {
 		if client.Name == name {
@@ -87,14 +89,14 @@
 	return answer.stateReached, answer.workers
 }
 
-// EndSession ends a sibling's session on its own request.
+// EndSession ends a sibling's session at the sibling's request.
 func (f *frontend) EndSession(id uint64) {
 	if err := f.state.RevokeLease(id, endSessionTimeout); err != nil {
-		slog.Info("a sibling's session could not be ended", "id", id, "err", err)
+		slog.Info("could not end a sibling's session at its request", "id", id, "err", err)
 	}
 }
 
-// User answers a user's request by what this controller itself knows.
+// User answers a user's request from this controller's own state, without forwarding it.
 func (f *frontend) User(method, path string, body []byte) userapi.Answer {
 	route, jobID := userapi.Parse(method, path)
 	if (route == userapi.Poll || route == userapi.Cancel) && !model.ValidJobID(jobID) {
@@ -118,7 +120,7 @@
 	return userapi.Error(http.StatusNotFound, "no such page", 0)
 }
 
-// healthCheck answers the load balancer.
+// healthCheck answers the load balancer's health check.
 func (f *frontend) healthCheck() userapi.Answer {
 	reply := make(chan bool, 1)
 	if healthy, ok := ask(f.mailbox, msgHealthCheck{reply}, reply, healthCheckTimeout); !ok || !healthy {
@@ -148,7 +150,8 @@
 	rc.Response.SetBodyRaw(answer.body)
 }
 
-// relay passes a heartbeat to the leader. Without its answer, ours stands.
+// relay relays a heartbeat to the leader and returns its answer, or ours if the leader does
+// not answer.
 func (f *frontend) relay(ours workerAnswer, body []byte) workerAnswer {
 	if leader := f.findPeer(ours.relayTo); leader != nil {
 		ctx, cancel := context.WithTimeout(f.ctx, relayTimeout)
@@ -159,13 +162,13 @@
 	}
 	select {
 	case f.mailbox <- msgRelayFailed{}:
-	default: // the next failure will tell
+	default: // the mailbox is full; the next failure will be reported
 	}
 	return ours
 }
 
-// ask sends a message to the controller actor and waits for its answer. When the mailbox
-// is full, the request is refused at once.
+// ask sends a message to the controller actor and waits for its reply. ok is false if there
+// is none in time, or at once if the mailbox is full.
 func ask[T any](mailbox chan<- any, msg any, reply <-chan T, timeout time.Duration) (answer T, ok bool) {
 	select {
 	case mailbox <- msg:
@@ -182,8 +185,8 @@
 	}
 }
 
-// askUser asks the controller actor on behalf of a user, who may try again if there is
-// no answer.
+// askUser sends a user's request to the controller actor. Without a reply, it answers that
+// the user may try again.
 func askUser(mailbox chan<- any, msg any, reply <-chan userapi.Answer, timeout time.Duration) userapi.Answer {
 	answer, ok := ask(mailbox, msg, reply, timeout)
 	if !ok {
@@ -192,7 +195,7 @@
 	return answer
 }
 
-// writeAnswer renders an answer as the HTTP response.
+// writeAnswer writes an answer to the HTTP response.
 func writeAnswer(rc *fasthttp.RequestCtx, answer userapi.Answer) {
 	rc.SetStatusCode(answer.Code)
 	if answer.RetryAfter > 0 {
--- a/internal/controller/placement_rounds.go
+++ b/internal/controller/placement_rounds.go
@@ -2,8 +2,9 @@
 
 import "woadweir/internal/core/model"
 
-// Intervals of placement rounds: these use a share of the processor time that the
-// settings grant, within bounds. Rounds that may preempt work take longer.
+// Limits of the intervals between placement rounds. The intervals follow from the share of
+// the configured CPU quota that rounds may use, within these bounds. Rounds that may
+// preempt tasks take longer, and so have limits of their own.
 const (
 	minPlacementInterval  = 40 * model.Millisecond
 	maxPlacementInterval  = 400 * model.Millisecond
@@ -17,10 +18,11 @@
 	lastAt             model.Micros
 	interval           model.Micros // until the next round
 	lastPreemptionAt   model.Micros
-	preemptionInterval model.Micros // until the next round that may preempt work
+	preemptionInterval model.Micros // until the next round that may preempt tasks
 }
 
-// recordDuration sets the interval until the next round of its kind from how long one has taken.
+// recordDuration sets the interval until the next round of the same kind from the duration
+// of a round. cores is the controller's CPU quota, 0 for none.
 func (p *placementRounds) recordDuration(duration model.Micros, preempted bool, cores float64) {
 	if preempted {
 		p.preemptionInterval = min(intervalFor(duration, preemptionCPUShare, cores), maxPreemptionInterval)
@@ -29,8 +31,8 @@
 	p.interval = min(max(minPlacementInterval, intervalFor(duration, placementCPUShare, cores)), maxPlacementInterval)
 }
 
-// intervalFor is the interval at which something that takes so long uses only a share
-// of the processor time of some cores. Placement uses one core at most.
+// intervalFor returns the interval at which work of the given duration uses only a share of
+// the CPU time of some cores. Placement uses one core at most.
 func intervalFor(duration model.Micros, share, cores float64) model.Micros {
 	if cores <= 0 || cores > 1 {
 		cores = 1
@@ -38,8 +40,8 @@
 	return model.Micros(float64(duration) / (share * cores))
 }
 
-// place runs a placement round if one is due. On a large fleet heartbeats come much
-// faster than rounds can be run: a round then serves many of them.
+// place runs a placement round if one is due. On a large fleet, heartbeats arrive much
+// faster than rounds can be run, so one round serves many of them.
 func (l *leader) place() {
 	c, rounds := l.controller, &l.placement
 	if !l.shard.NeedsPlacement || !l.due(&rounds.lastAt, rounds.interval) {
--- a/internal/controller/probing.go
+++ b/internal/controller/probing.go
@@ -3,29 +3,29 @@
 import "woadweir/internal/core/model"
 
 const (
-	probeInterval  = 500 * model.Millisecond // between rounds of pings, at least
-	probeFreshness = 2 * model.Second        // how long the answers of a round count
-	// relayProbeInterval is how often a leader with many connections looks for
-	// siblings that relay heartbeats.
+	probeInterval  = 500 * model.Millisecond // minimum between rounds of pings
+	probeFreshness = 2 * model.Second        // how long the answers of a round are used
+	// relayProbeInterval is the interval at which a leader with many connections pings
+	// siblings to find those that relay heartbeats.
 	relayProbeInterval = 2 * model.Second
 )
 
-// siblingProbe holds what the last round of pings to the other controllers has told.
+// siblingProbe contains the result of the last round of pings to the other controllers.
 type siblingProbe struct {
 	inProgress bool
 	startedAt  model.Micros // when the last round was sent
 	answeredAt model.Micros // when its answers were complete
-	alive      int          // siblings that answered
-	serving    []string     // siblings that reach the state service, and so can serve in our place
+	alive      int          // number of siblings that answered
+	serving    []string     // siblings that reach the state service and so can serve users instead
 	relays     []string     // siblings that relay heartbeats
-	// resignRounds counts the rounds in a row that spoke for resigning.
+	// resignRounds is the number of consecutive rounds that indicated that resigning helps.
 	resignRounds int
 }
 
 // isFresh reports whether the answers of the last round are recent.
 func (p *siblingProbe) isFresh(now model.Micros) bool { return now-p.answeredAt < probeFreshness }
 
-// pickServing returns a sibling that can serve users, or "" if none is known to.
+// pickServing returns a sibling that can serve users, or "" if none is known.
 func (p *siblingProbe) pickServing(now model.Micros) string {
 	if len(p.serving) == 0 || !p.isFresh(now) {
 		return ""
@@ -38,9 +38,9 @@
 	p.alive, p.serving, p.relays = m.alive, m.serving, m.relays
 }
 
-// startProbe pings the siblings if that may tell something of use: which of them reach
-// the state service while this controller may not, whether workers reach them while
-// none reaches this leader, or which of them relay heartbeats when this leader's
+// startProbe pings the siblings if the answers may be needed: to learn which siblings reach
+// the state service while this controller may not, whether workers reach siblings while
+// none reaches this leader, or which siblings relay heartbeats when this leader's
 // connections run short.
 func (c *controller) startProbe() {
 	probe := &c.siblings
--- a/internal/controller/recent_task_sizes.go
+++ b/internal/controller/recent_task_sizes.go
@@ -5,24 +5,26 @@
 	"woadweir/internal/core/model"
 )
 
-// taskSizeRetention is how long after its last job a task size still has placeholders.
+// taskSizeRetention is how long the autoscaler still gets a task size for placeholders
+// after the size was last requested.
 const taskSizeRetention = 180 * model.Second
 
-// taskSize is what a task requests, and whether it may use spot machines.
+// taskSize is the resource request of a task, and whether it may use spot machines.
 type taskSize struct {
 	request    model.Resources
 	allowsSpot bool
 }
 
-// recentTaskSizes are the sizes of tasks that were requested lately, with the time.
+// recentTaskSizes maps the recently requested task sizes to the time of the last request.
 type recentTaskSizes map[taskSize]model.Micros
 
-// record records that tasks of a job's size are requested now.
+// record notes that tasks of a job's size are requested now.
 func (r recentTaskSizes) record(job *model.JobState, now model.Micros) {
 	r[taskSize{job.Request, job.AllowsSpot}] = now
 }
 
-// addTo adds the sizes to the autoscaler's input, and forgets the old ones.
+// addTo adds the sizes to the autoscaler's input, and drops those whose retention has
+// ended.
 func (r recentTaskSizes) addTo(in *autoscaler.Input) {
 	for size, at := range r {
 		if in.Now-at > taskSizeRetention {
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -9,52 +9,54 @@
 	"woadweir/internal/workerapi"
 )
 
-// A leader has a connection to each worker, and a limit of connections. When they run
-// short, it redirects workers that come anew to siblings, which relay their heartbeats to
-// the leader and its responses back. The leader decides everything as if the worker had
-// come itself: how long a response may take, and what a late one does, depends on the
-// worker alone. The watermarks are parts of the connection limit.
+// A leader has a connection to each worker, and a limited number of connections. When these
+// run short, it redirects workers that connect anew to siblings, which relay the heartbeats
+// to the leader and its responses back to the workers. The leader decides everything as if
+// the worker had contacted it directly: how long a response may take, and the effect of a
+// late one, depends on the worker alone. The watermarks are fractions of the connection
+// limit.
 const (
-	relayHighWatermark  = 0.62 // from here on, workers that come anew are redirected
-	relayLowWatermark   = 0.55 // below, relayed workers are asked to return
-	relayProbeWatermark = 0.45 // from here on, the leader looks for siblings that relay
+	relayHighWatermark  = 0.62 // from this load on, workers that connect anew are redirected
+	relayLowWatermark   = 0.55 // below this load, relayed workers are asked to return
+	relayProbeWatermark = 0.45 // from this load on, the leader pings siblings to find relays
 )
 
 const (
 	pruneInterval   = 250 * model.Millisecond
-	relayRetryPause = 3 * model.Second // after a relay to the leader that failed
-	// returnWindow is how long a worker that was asked to return counts as on its way.
+	relayRetryPause = 3 * model.Second // after a failed relay to the leader
+	// returnWindow is how long the workers that were asked to return are counted as about
+	// to connect.
 	returnWindow = model.Second
 )
 
-// A worker whose heartbeat is relayed although it came to the leader itself not long
-// ago, or was asked to, can't reach the leader. It is not redirected to and fro, or its
-// lease would expire.
+// A worker whose heartbeat is relayed although it recently sent one to the leader directly,
+// or was recently asked to, can't reach the leader. It is not redirected back and forth,
+// because its lease would expire meanwhile.
 const (
-	recentlyDirect = 15 * model.Second
-	recentlyAsked  = 20 * model.Second
-	routeLifetime  = 60 * model.Second
+	recentlyDirect = 15 * model.Second // after a direct heartbeat
+	recentlyAsked  = 20 * model.Second // after the worker was asked to return
+	routeLifetime  = 60 * model.Second // how long a route is remembered
 )
 
-// route is how a worker's heartbeats reach this leader.
+// route records how a worker's heartbeats reach this leader.
 type route struct {
-	directAt model.Micros // when it last sent one itself
-	askedAt  model.Micros // when it was last asked to
+	directAt model.Micros // when the worker last sent a heartbeat directly
+	askedAt  model.Micros // when the worker was last asked to return
 }
 
-// heartbeatRelay decides which workers send their heartbeats to this controller itself
-// and which through siblings, within the limit of connections.
+// heartbeatRelay decides which workers send their heartbeats to this controller directly
+// and which through siblings, within the connection limit.
 type heartbeatRelay struct {
-	connectionLimit int // 0: no limit
+	connectionLimit int // 0 for no limit
 	// freshFor is how long a worker counts as connected after a heartbeat.
 	freshFor       model.Micros
-	directAt       map[string]model.Micros // by machine: the last heartbeat that came itself
+	directAt       map[string]model.Micros // by machine: the time of the last direct heartbeat
 	routes         map[string]route        // by machine, while this controller leads
 	prunedAt       model.Micros
-	askWindowStart model.Micros // when the window of asked began
-	askedInWindow  int          // workers asked to return in this window
-	nextRelay      int
-	// retryAt is before when no heartbeat is relayed to the leader.
+	askWindowStart model.Micros // when the current returnWindow started
+	askedInWindow  int          // workers asked to return in that window
+	nextRelay      int          // round-robin counter for redirections
+	// retryAt is the time until which no heartbeat is relayed to the leader.
 	retryAt model.Micros
 }
 
@@ -63,7 +65,7 @@
 		directAt: map[string]model.Micros{}, routes: map[string]route{}}
 }
 
-// recordDirect notes a heartbeat that a worker sent to this controller itself.
+// recordDirect records a heartbeat that a worker sent to this controller directly.
 func (r *heartbeatRelay) recordDirect(machineID string, leads bool, now model.Micros) {
 	r.directAt[machineID] = now
 	if leads {
@@ -73,8 +75,8 @@
 	}
 }
 
-// directWorkers is how many workers have sent heartbeats to this controller itself in
-// the last two heartbeat intervals.
+// directWorkers returns the number of workers that sent heartbeats to this controller
+// directly within the last two heartbeat intervals.
 func (r *heartbeatRelay) directWorkers(now model.Micros) int {
 	if r.prunedAt == 0 || now-r.prunedAt >= pruneInterval {
 		r.prune(now)
@@ -82,7 +84,7 @@
 	return len(r.directAt)
 }
 
-// prune forgets workers that do not come any more.
+// prune drops workers that no longer send heartbeats.
 func (r *heartbeatRelay) prune(now model.Micros) {
 	r.prunedAt = now
 	for machineID, at := range r.directAt {
@@ -97,8 +99,8 @@
 	}
 }
 
-// connectionLoad is about how many workers are connected to this controller, as a part
-// of the limit; 0 without a limit.
+// connectionLoad returns the approximate number of workers connected to this controller as
+// a fraction of the connection limit, or 0 without a limit.
 func (r *heartbeatRelay) connectionLoad(now model.Micros) float64 {
 	if r.connectionLimit <= 0 {
 		return 0
@@ -106,12 +108,13 @@
 	return float64(r.directWorkers(now)) / float64(r.connectionLimit)
 }
 
-// askToReturn decides whether a relayed worker is asked to come itself, and notes it.
+// askToReturn decides whether a relayed worker is asked to send its heartbeats directly
+// again. If so, it records that the worker was asked.
 func (r *heartbeatRelay) askToReturn(machineID string, now model.Micros) bool {
 	if now-r.askWindowStart >= returnWindow {
 		r.askWindowStart, r.askedInWindow = now, 0
 	}
-	// Those asked a moment ago are still on their way.
+	// Workers that were asked within the window have not connected yet.
 	if r.connectionLimit > 0 && float64(r.directWorkers(now)+r.askedInWindow) >= relayLowWatermark*float64(r.connectionLimit) {
 		return false
 	}
@@ -125,8 +128,8 @@
 	return true
 }
 
-// redirectTarget returns the sibling to which a worker that comes anew is redirected, or "" if
-// it may stay.
+// redirectTarget returns the sibling to which a worker that connects anew is redirected, or
+// "" if it may stay.
 func (r *heartbeatRelay) redirectTarget(machineID string, siblings *siblingProbe, now model.Micros) string {
 	if _, known := r.directAt[machineID]; known {
 		return ""
@@ -139,22 +142,22 @@
 	return relays[r.nextRelay%len(relays)]
 }
 
-// relayFailed pauses relaying to the leader after a relay that got no answer.
+// relayFailed pauses relaying to the leader after a relayed heartbeat got no answer.
 func (r *heartbeatRelay) relayFailed(now model.Micros) { r.retryAt = now + relayRetryPause }
 
-// redirectTo is a response that sends a worker to another controller, or to any if none
-// is named.
+// redirectTo returns a response that redirects a worker to a controller, or to any other
+// controller if none is named.
 func redirectTo(node string) workerAnswer {
 	return workerAnswer{code: http.StatusMisdirectedRequest, body: workerapi.Redirect(node)}
 }
 
-// workerUnavailable is a response that has a worker try again.
+// workerUnavailable returns a response that makes a worker try again.
 func workerUnavailable() workerAnswer {
 	return workerAnswer{code: http.StatusServiceUnavailable, body: []byte("{}")}
 }
 
-// redirectToLeader is a response that sends a worker to the leader, or has its
-// heartbeat relayed there.
+// redirectToLeader returns a response that redirects a worker to the leader. It allows the
+// frontend to relay the heartbeat there instead.
 func (c *controller) redirectToLeader() workerAnswer {
 	leader := c.view.Leader
 	if leader == nil || leader.Node == c.settings.NodeName || !c.authority.IsViewFresh(c.now) {
@@ -167,7 +170,7 @@
 	return answer
 }
 
-// handleHeartbeat answers a worker's heartbeat, which the leader alone can take.
+// handleHeartbeat answers a worker's heartbeat, which only the leader can process.
 func (c *controller) handleHeartbeat(m msgHeartbeat) {
 	leads := c.leading != nil
 	machineID := m.heartbeat.Machine
@@ -184,7 +187,7 @@
 	case !leads:
 		answer := c.redirectToLeader()
 		if m.relayed {
-			answer.relayTo = "" // a heartbeat is relayed once
+			answer.relayTo = "" // a heartbeat is relayed at most once
 		}
 		m.reply <- answer
 	case !c.leading.ready || !c.authority.IsValid(c.now):
--- a/internal/controller/responses.go
+++ b/internal/controller/responses.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// maxResponseDelay is how long a response waits for bindings to become durable.
+	// maxResponseDelay is the maximum time for which a response waits for bindings to be
+	// committed.
 	maxResponseDelay = 250 * model.Millisecond
-	// maxWithheldDelay is how long a response waits for the right to run a lent job.
+	// maxWithheldDelay is the maximum time for which a response waits for the execution
+	// lease of a job that another cell lent.
 	maxWithheldDelay = 1500 * model.Millisecond
 )
 
-// pendingResponse is a response to a worker that waits for bindings to become durable.
+// pendingResponse is a delayed response to a worker's heartbeat.
 type pendingResponse struct {
 	msg   msgHeartbeat
 	until model.Micros
 }
 
-// handleHeartbeat takes a worker's heartbeat. The response may wait a moment for
-// bindings that the heartbeat made possible.
+// handleHeartbeat processes a worker's heartbeat. The response may be delayed for bindings
+// that the heartbeat makes possible.
 func (l *leader) handleHeartbeat(m msgHeartbeat) {
 	machineID := m.heartbeat.Machine
 	if l.inventory.isDeleted(machineID) {
@@ -49,18 +51,18 @@
 	l.respond(m)
 }
 
-// responseDelay is how long a machine's response may wait at most.
+// responseDelay returns the maximum delay of the response to a machine.
 func (l *leader) responseDelay(machineID string) model.Micros {
 	if l.spill.withholdsAnswers(machineID) {
-		// A refused worker would try the next controller, and lose seconds of its lease.
+		// A refused worker would try the next controller and lose seconds of its lease.
 		return maxWithheldDelay
 	}
 	return maxResponseDelay
 }
 
-// shouldDelay reports whether the response to a machine's heartbeat should wait: for its
-// bindings to become durable, for the placement round that may give it some, or for the
-// right to run lent tasks.
+// shouldDelay reports whether the response to a machine's heartbeat should wait: for the
+// machine's bindings to be committed, for the placement round that may bind tasks to it, or
+// for the execution lease of lent tasks.
 func (l *leader) shouldDelay(machineID string) bool {
 	if l.shard.HasPendingWrite(machineID) || l.spill.withholdsAnswers(machineID) {
 		return true
@@ -69,8 +71,8 @@
 	return l.shard.NeedsPlacement && machine != nil && machine.HasNewCapacity
 }
 
-// respond sends a machine its commands, unless a newer heartbeat of it has come since or
-// this controller may not command it any more.
+// respond sends a machine its commands, unless a newer heartbeat from the machine has
+// arrived since or this controller may no longer command it.
 func (l *leader) respond(m msgHeartbeat) {
 	machine := l.shard.Machines[m.heartbeat.Machine]
 	l.spill.applyExecutionLeases()
@@ -85,7 +87,7 @@
 	m.reply <- workerAnswer{code: http.StatusOK, body: workerapi.Answer(l.token, l.shard.Commands(m.heartbeat, l.controller.now))}
 }
 
-// answerPending sends the responses that need not wait any more, or all of them.
+// answerPending sends the delayed responses that no longer need to wait, or all of them.
 func (l *leader) answerPending(all bool) {
 	if len(l.pendingResponses) == 0 {
 		return
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -1,9 +1,9 @@
-// Package controller runs a controller of the cluster scheduler. All of its state belongs
-// to one goroutine, the controller actor, which takes messages from a mailbox: users'
-// requests, workers' heartbeats, and the outcomes of what it has asked of the state
-// service, the cloud and the other controllers. One of the controllers is elected the
-// leader, which schedules tasks and provisions machines; the others serve users' requests
-// and single-holder duties, and relay heartbeats.
+// Package controller runs a controller of the cluster scheduler. All of its state is owned
+// by one goroutine, the controller actor, which receives messages from a mailbox: users'
+// requests, workers' heartbeats, and the outcomes of its requests to the state service, the
+// cloud and the other controllers. One of the controllers is elected the leader, which
+// schedules tasks and provisions machines; the others serve users' requests, hold duties
+// that have a single holder, and relay heartbeats.
 package controller
 
 import (
@@ -27,22 +27,23 @@
 	"woadweir/internal/tracing"
 )
 
-// Clock gives the monotonic time of this process.
+// Clock returns the monotonic time of this process.
 type Clock func() model.Micros
 
-// SteadyClock counts from its own start.
+// SteadyClock returns a monotonic clock that starts at 0.
 func SteadyClock() Clock {
 	start := time.Now()
 	return func() model.Micros { return model.Micros(time.Since(start) / time.Microsecond) }
 }
 
 const (
-	// mailboxSize is how many messages may wait for the controller actor. After a
-	// takeover all workers of some thousand machines send heartbeats within a second.
+	// mailboxSize is the maximum number of messages that wait for the controller actor.
+	// After a takeover, all workers of some thousand machines send heartbeats within a
+	// second.
 	mailboxSize = 16384
-	// tickInterval is how often the controller actor looks for what is due.
+	// tickInterval is the interval at which the controller actor checks for due work.
 	tickInterval = 50 * time.Millisecond
-	// maxAbandonedSessions is how many sessions may wait to be ended.
+	// maxAbandonedSessions is the maximum number of sessions that wait to be ended.
 	maxAbandonedSessions = 8
 )
 
@@ -53,25 +54,25 @@
 	readTimeout       = 30 * time.Second
 	writeTimeout      = 10 * time.Second
 	minIdleTimeout    = 30 * time.Second
-	idleHeartbeats    = 6  // heartbeat intervals after which a connection is idle
-	minConcurrency    = 64 // requests at a time, where connections are limited
-	concurrencyTenths = 9  // tenths of the connection limit
+	idleHeartbeats    = 6  // heartbeat intervals without a request after which a connection is closed
+	minConcurrency    = 64 // minimum of concurrent requests if the number of connections is limited
+	concurrencyTenths = 9  // tenths of the connection limit that may serve requests at a time
 )
 
-// Run serves until the context ends or a listener fails.
+// Run runs a controller until the context ends or a listener fails.
 func Run(ctx context.Context, settings *config.Settings, operator *config.OperatorSettings) error {
 	listener, err := net.Listen("tcp4", settings.ServeOn)
 	if err != nil {
 		return err
 	}
-	slog.Info("start", "node", settings.NodeName, "session_s", settings.LeaseTimes(operator).TTL.Seconds())
+	slog.Info("controller starting", "node", settings.NodeName, "session_s", settings.LeaseTimes(operator).TTL.Seconds())
 
 	if operator.Duties != nil && operator.Duties.TraceEndpoint != "" {
 		shutdown, err := tracing.Setup(ctx, operator.Duties.TraceEndpoint, settings.NodeName)
 		if err != nil {
 			return err
 		}
-		defer func() { _ = shutdown(context.WithoutCancel(ctx)) }() // what is not sent by now is lost
+		defer func() { _ = shutdown(context.WithoutCancel(ctx)) }() // spans that can't be sent any more are lost
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	p, err := newProcess(ctx, settings, operator)
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// process is a controller with all that it runs: the actors and the servers.
+// process contains the actors and servers of a controller.
 type process struct {
 	mailbox      chan any
 	controller   *controller
@@ -96,7 +97,7 @@
 	peerServices []func(grpc.ServiceRegistrar)
 }
 
-// newProcess sets a controller up, without starting anything.
+// newProcess creates the actors and servers of a controller without starting them.
 func newProcess(ctx context.Context, settings *config.Settings, operator *config.OperatorSettings) (*process, error) {
 	clock, leaseTimes := SteadyClock(), settings.LeaseTimes(operator)
 	mailbox := make(chan any, mailboxSize)
@@ -133,7 +134,7 @@
 	group.Go(func() error { <-ctx.Done(); return p.http.Shutdown() })
 }
 
-// dialSiblings prepares the calls to the other controllers.
+// dialSiblings creates the clients for the other controllers.
 func dialSiblings(settings *config.Settings) (peers []*peer.Client, err error) {
 	for _, sibling := range settings.Siblings {
 		client, err := peer.Dial(sibling.NodeName, sibling.Endpoint)
@@ -145,7 +146,7 @@
 	return peers, nil
 }
 
-// newHTTPServer answers users and workers.
+// newHTTPServer returns the HTTP server for users and workers.
 func newHTTPServer(settings *config.Settings, f *frontend) *fasthttp.Server {
 	server := &fasthttp.Server{Handler: f.serve, Name: "woadweir", MaxRequestBodySize: maxRequestBytes, NoDefaultDate: true,
 		ReadBufferSize: readBufferBytes, IdleTimeout: idleTimeout(settings), ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
@@ -156,14 +157,14 @@
 	return server
 }
 
-// idleTimeout is how long a connection may be idle. Workers whose machines were
-// partitioned off come back on new connections, hundreds at once, while nothing closes
-// their old ones: those must be closed before there are too many.
+// idleTimeout returns how long a connection may be idle. Workers whose machines were cut
+// off by a network partition return on new connections, hundreds at once, while nothing
+// closes their old connections. Those must be closed before there are too many.
 func idleTimeout(settings *config.Settings) time.Duration {
 	return max(minIdleTimeout, (idleHeartbeats * model.Seconds(settings.Params.Workers.ReportS)).Duration())
 }
 
-// discardLogger drops what the HTTP server logs about broken connections.
+// discardLogger discards what the HTTP server logs about broken connections.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
@@ -179,7 +180,7 @@
 		case <-ticker.C:
 			select {
 			case mailbox <- msgTick{}:
-			default: // the mailbox is full, so the actor runs anyway
+			default: // the mailbox is full, so the actor runs in any case
 			}
 		}
 	}
--- a/internal/controller/state_limits.go
+++ b/internal/controller/state_limits.go
@@ -7,14 +7,19 @@
 	"woadweir/internal/state"
 )
 
-// denseBelowBytes is the size of values from which on the plain layout of bundles is compact
-// enough.
-const denseBelowBytes = 8 << 10
+const (
+	// denseBelowBytes is the maximum size of a value below which bundles need the dense
+	// layout; for larger values the plain layout is compact enough.
+	denseBelowBytes = 8 << 10
+	// valueBytesPerKB is less than 1024, which leaves a margin to the limit on values.
+	valueBytesPerKB = 960
+)
 
-// writeShare is this controller's share of the writes per second that the state service
-// sustains. Half of them are the leader's; the others share the rest. As long as no
-// write is refused, the leader may use three quarters and each of the others a third
-// (most): with a low limit, tasks would wait for their bindings to be written.
+// writeShare returns this controller's share of the writes per second that the state
+// service sustains. The leader has half of them; the other controllers divide the rest
+// equally. As long as no write is refused, the leader may use up to three quarters and each
+// of the others a third (maxRate): with a lower maximum, tasks would wait for their bindings
+// to be written.
 func (c *controller) writeShare(leads bool) (share, maxRate float64) {
 	total := c.limits.WriteRPS
 	if leads || len(c.settings.Siblings) == 0 {
@@ -28,32 +33,33 @@
 	c.writeBudget.SetRate(share, maxRate, c.now)
 }
 
-// maxValueBytes is the maximum size of a value in bytes.
-func (c *controller) maxValueBytes() int { return int(c.limits.ValueKB * 960) }
+// maxValueBytes returns the maximum size of a value in bytes.
+func (c *controller) maxValueBytes() int { return int(c.limits.ValueKB * valueBytesPerKB) }
 
-// fitsValue reports whether a record can be written as one value.
+// fitsValue reports whether a record fits into one value.
 func (c *controller) fitsValue(record any) bool {
 	raw, err := json.Marshal(record)
 	return err == nil && len(raw) <= c.maxValueBytes()
 }
 
-// lowerStateLimits halves the sizes of transactions and values, after the state service
-// has refused as too large what the settings allow.
+// lowerStateLimits halves the limits on transactions and values after the state service
+// refused as too large what the settings allow.
 func (c *controller) lowerStateLimits(err error) {
 	c.limits.TxnOps = max(2, c.limits.TxnOps/2)
 	c.limits.ValueKB = max(1, c.limits.ValueKB/2)
-	slog.Error("the state service bears less than the settings say", "err", err, "txn_ops", c.limits.TxnOps, "value_kb", c.limits.ValueKB)
+	slog.Error("the state service refused a transaction as too large although the settings allow it; limits lowered", "err", err, "txn_ops", c.limits.TxnOps, "value_kb", c.limits.ValueKB)
 }
 
-// usesDenseLayout reports whether to write bundles in the dense layout: values are small, and all
-// controllers read it, or one that knew so has written it already.
+// usesDenseLayout reports whether to write bundles in the dense layout: the limit on values
+// is small, and either all controllers can read the layout, or a controller that knew this
+// has already written it.
 func (c *controller) usesDenseLayout() bool {
 	return c.maxValueBytes() < denseBelowBytes && (c.allControllersRead(state.LayoutDense) || c.view.NewestLayout >= state.LayoutDense)
 }
 
-// allControllersRead reports whether all controllers read a layout of records. A controller that
-// has once run a version that reads it never returns to an older one that does not, so
-// having seen each with such a version once is enough.
+// allControllersRead reports whether all controllers can read a layout of records. A
+// controller that once ran a version that reads the layout never returns to an older
+// version that does not, so it is enough to have seen each of them with such a version once.
 func (c *controller) allControllersRead(layout int) bool {
 	for name, seen := range c.view.Layouts {
 		c.layouts[name] = max(c.layouts[name], seen)
@@ -61,7 +67,7 @@
 	return c.allControllersHave(c.layouts, layout)
 }
 
-// allControllersHave reports whether all controllers have at least a layout.
+// allControllersHave reports whether every controller's entry in layouts is at least layout.
 func (c *controller) allControllersHave(layouts map[string]int, layout int) bool {
 	for _, sibling := range c.settings.Siblings {
 		if layouts[sibling.NodeName] < layout {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -7,21 +7,20 @@
 	"woadweir/internal/userapi"
 )
 
-// healthySyncAge is how old the last successful view synchronization of a healthy
-// controller may be.
+// healthySyncAge is the maximum age of the last successful synchronization of the view at
+// which a controller counts as healthy.
 const healthySyncAge = 3 * model.Second
 
-// The limit of status reads that wait for a read barrier: never below the minimum, and
-// the default where connections are not limited.
+// Limits on the status reads that wait for a read barrier.
 const (
-	minWaitingReads     = 64
-	defaultWaitingReads = 1024
+	minWaitingReads     = 64   // lower bound of the limit
+	defaultWaitingReads = 1024 // the limit if the number of connections is not limited
 )
 
-// isHealthy reports whether the load balancer should send users to this controller. A
-// controller that alone lost the state service can have siblings answer. When no
-// controller reaches the state service, leaving the load balancer would only delay the
-// return.
+// isHealthy reports whether the load balancer should send users' requests to this
+// controller. A controller that alone lost the state service can forward them to siblings.
+// If no controller reaches the state service, removing this one from the load balancer would
+// only delay its return.
 func (c *controller) isHealthy() bool {
 	if !c.viewLoaded {
 		return false
@@ -29,7 +28,7 @@
 	return c.now-c.sync.succeededAt < healthySyncAge || c.siblings.alive > 0 && c.siblings.isFresh(c.now)
 }
 
-// stateUnreachable is the answer to a user when the state service is not reached. It
+// stateUnreachable returns the answer to a user when the state service is not reached. It
 // names a sibling that can answer instead, if one is known.
 func (c *controller) stateUnreachable() userapi.Answer {
 	answer := userapi.Error(http.StatusServiceUnavailable, "state not reachable", 1)
@@ -37,7 +36,7 @@
 	return answer
 }
 
-// withReadBarrier runs f after a linearizable read barrier, or answers that the state
+// withReadBarrier calls f after a linearizable read barrier, or answers that the state
 // service is not reached.
 func (c *controller) withReadBarrier(reply chan<- userapi.Answer, f func()) {
 	if c.sync.failed {
@@ -53,9 +52,9 @@
 	})
 }
 
-// readStatus answers a read of a job's status. All waiting reads share one read barrier,
-// so reads stay linearizable at a cost that does not grow with their number. Reads
-// beyond the limit are refused at once.
+// readStatus answers a read of a job's status. All waiting reads share one read barrier, so
+// reads are linearizable at a cost that does not grow with their number. Reads beyond the
+// limit are refused at once.
 func (c *controller) readStatus(m msgStatusRequest) {
 	switch _, ended := c.view.EffectiveEnd(m.jobID); {
 	case ended:
@@ -80,9 +79,9 @@
 	})
 }
 
-// maxWaitingReads limits the status reads that wait for a read barrier: each holds a
-// connection, and while the state service is slow they must leave enough of them to the
-// workers' heartbeats.
+// maxWaitingReads returns the maximum number of status reads that wait for a read barrier.
+// Each of them holds a connection, and while the state service is slow they must leave
+// enough connections for the workers' heartbeats.
 func (c *controller) maxWaitingReads() int {
 	if limit := c.settings.Params.Quota.FDLimit; limit > 0 {
 		return max(minWaitingReads, limit/4)
@@ -90,8 +89,9 @@
 	return defaultWaitingReads
 }
 
-// statusAnswer renders the status of a job. While a job fails on every machine, the
-// leader adds on how many it has failed, as the submission may be mistaken.
+// statusAnswer returns the answer with the status of a job. While a job fails on every
+// machine, the leader adds the number of machines on which it has failed, as the submission
+// may be wrong.
 func (c *controller) statusAnswer(jobID string) userapi.Answer {
 	status, done, running, known := c.view.Status(jobID)
 	if !known {
@@ -102,8 +102,9 @@
 
 func noSuchJob() userapi.Answer { return userapi.Error(http.StatusNotFound, "no such job", 0) }
 
-// failedMachines returns on how many machines a job has failed that fails everywhere; 0
-// for any other job, and on a controller that does not lead.
+// failedMachines returns the number of machines on which a job has failed if it needs a
+// retry backoff because it fails everywhere. It returns 0 for any other job, and on a
+// controller that does not lead.
 func (c *controller) failedMachines(jobID string) int {
 	if c.leading == nil || !c.leading.ready {
 		return 0
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -8,11 +8,11 @@
 	"woadweir/internal/userapi"
 )
 
-// serviceKind is the kind of submissions of services, which never end.
+// serviceKind is the kind of a submission of a service. Services never end.
 const serviceKind = "service"
 
-// submit answers a submission, or queues it to be made durable. Submissions are
-// idempotent: one of a known job is answered with that job's status.
+// submit answers a submission, or queues it to be written to the state service. Submissions
+// are idempotent: one of a known job is answered with that job's status.
 func (c *controller) submit(m msgSubmit) {
 	if status, ended := c.view.EffectiveEnd(m.jobID); ended {
 		m.reply <- userapi.Accepted(http.StatusOK, m.jobID, status)
@@ -29,13 +29,13 @@
 	c.submitNew(m)
 }
 
-// repeatedSubmissionAnswer is the answer to a submission of a job that is known already.
+// repeatedSubmissionAnswer returns the answer to a submission of a job that is already known.
 func (c *controller) repeatedSubmissionAnswer(jobID string) userapi.Answer {
 	status, _, _, _ := c.view.Status(jobID)
 	return userapi.Accepted(http.StatusOK, jobID, status)
 }
 
-// submitNew validates a submission whose job the view does not know, and queues it.
+// submitNew validates a submission whose job is not in the view, and queues it.
 func (c *controller) submitNew(m msgSubmit) {
 	if m.err != nil {
 		c.refuseUnlessKnown(m, http.StatusBadRequest, m.err.Error())
@@ -67,8 +67,8 @@
 	})
 }
 
-// invalidDependency returns why a submission can't depend on the jobs that it names, or
-// "" if it can.
+// invalidDependency returns why a submission can't depend on one of the jobs that it names,
+// or "" if it can depend on all of them.
 func (c *controller) invalidDependency(submission *model.Submission) string {
 	for _, dependency := range submission.Awaits {
 		job := c.view.Jobs[dependency]
@@ -84,8 +84,8 @@
 	return ""
 }
 
-// enqueueSubmission queues an acceptance to be made durable. Concurrent submissions of
-// one job share a write.
+// enqueueSubmission queues an acceptance to be written to the state service. Concurrent
+// submissions of one job share a write.
 func (c *controller) enqueueSubmission(m msgSubmit) {
 	if len(c.userWrites.queue) >= c.maxQueuedSubmissions() {
 		m.reply <- userapi.Error(http.StatusTooManyRequests, "too many submissions", 2)
@@ -98,12 +98,12 @@
 	c.userWrites.append(userWrite{jobID: m.jobID, submission: m.submission, replies: []chan<- userapi.Answer{m.reply}, deadline: c.now + userWriteDeadline})
 }
 
-// maxQueuedSubmissions limits the queue to about a second's worth of writes: more could
-// not be written in time, and are refused at once.
+// maxQueuedSubmissions returns the maximum length of the queue, about one second's worth of
+// writes. More could not be written in time, and are refused at once.
 func (c *controller) maxQueuedSubmissions() int { return max(4, int(c.writeBudget.Rate())) }
 
-// refuseUnlessKnown refuses a submission, unless its job turns out to be known: a
-// repeated submission of a known job never gets a client error, whatever it says.
+// refuseUnlessKnown refuses a submission, unless a read barrier shows that its job is known:
+// a repeated submission of a known job never gets a client error, whatever it contains.
 func (c *controller) refuseUnlessKnown(m msgSubmit, code int, reason string) {
 	c.withReadBarrier(m.reply, func() {
 		if status, _, _, known := c.view.Status(m.jobID); known {
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -11,17 +11,17 @@
 // lane is a class of transactions of which at most one is in flight at a time.
 type lane int
 
-// The lanes. Users' writes have several, as the state service now and then takes very
-// long for one transaction: no two of them change the same job without a condition, and
-// they need no order.
+// The lanes. Users' writes have several, because the state service occasionally takes very
+// long for one transaction. This is safe: any two of them that change the same job carry
+// conditions, and they need no order.
 const (
 	laneElection lane = iota // the leader's key and grant
 	laneBindings             // the leader's bindings of tasks to machines, and ends of jobs
 	laneMisc                 // the leader's other records
 	laneIntent               // intents to rent or return machines
 	laneDuty                 // leases of duties, outcomes of intents, and cleanup
-	laneSpill                // jobs lent to other cells or by them
-	laneUsers                // the first of the userLanes lanes of users' writes
+	laneSpill                // jobs lent to or by other cells
+	laneUsers                // the first of the userLanes lanes for users' writes
 )
 
 const (
@@ -30,16 +30,16 @@
 )
 
 const (
-	// writeRetryPause is how long a lane waits after a transaction that failed.
+	// writeRetryPause is how long a lane waits after a failed transaction.
 	writeRetryPause = 100 * model.Millisecond
-	// shardName names the only shard: the leader owns it.
+	// shardName is the name of the only shard, which the leader owns.
 	shardName = state.FirstShard
 )
 
 // grantKey is the key of the grant whose revision is the leader's fencing token.
 var grantKey = state.GrantKey(shardName)
 
-// transactionLanes tracks which lanes have a transaction in flight or have to wait.
+// transactionLanes tracks which lanes have a transaction in flight or are paused.
 type transactionLanes struct {
 	busy        [laneCount]bool
 	pausedUntil [laneCount]model.Micros
@@ -50,11 +50,12 @@
 	return !t.busy[which] && now >= t.pausedUntil[which]
 }
 
-// pauseUntil keeps a lane from sending transactions for a while. The users' lanes share
+// pauseUntil keeps a lane from sending transactions until a time. All users' lanes share
 // the pause of the first of them.
 func (t *transactionLanes) pauseUntil(which lane, until model.Micros) { t.pausedUntil[which] = until }
 
-// findFreeUserLane finds a lane for users' writes.
+// findFreeUserLane returns a lane that may send a transaction of users' writes; ok is false
+// if there is none.
 func (t *transactionLanes) findFreeUserLane(now model.Micros) (free lane, ok bool) {
 	i := slices.Index(t.busy[laneUsers:], false)
 	if i < 0 || now < t.pausedUntil[laneUsers] {
@@ -63,7 +64,7 @@
 	return laneUsers + lane(i), true
 }
 
-// send starts a transaction in a lane. Its outcome arrives as a message.
+// send sends a transaction in a lane. Its outcome arrives as a message.
 func (c *controller) send(which lane, m msgCommitted) {
 	m.lane = which
 	c.lanes.busy[which] = true
@@ -89,9 +90,9 @@
 }
 
 // writeFailed pauses a lane after a transaction that was refused or got no answer. It
-// returns whether the view has to be synchronized before the lane's next transaction: a
+// reports whether the view must be synchronized before the lane's next transaction: a
 // transaction without an answer may have been executed, and one whose condition did not
-// hold was based on an outdated view.
+// hold was based on a stale view.
 func (c *controller) writeFailed(m msgCommitted) (syncFirst bool) {
 	c.lanes.pauseUntil(m.lane, c.now+writeRetryPause)
 	if errors.Is(m.err, state.ErrBusy) {
@@ -102,12 +103,12 @@
 }
 
 // lostGrant reports whether a transaction was refused because another controller has
-// the grant by now.
+// taken the grant.
 func (m *msgCommitted) lostGrant() bool {
 	return m.err == nil && slices.Contains(m.result.Failed, grantKey)
 }
 
-// needSync sets resync, which keeps a lane's owner from writing, and requests the
+// needSync sets resync, which keeps the owner of a lane from writing, and requests the
 // synchronization of the view that clears it.
 func (c *controller) needSync(resync *bool) {
 	*resync = true
--- a/internal/controller/user_writes.go
+++ b/internal/controller/user_writes.go
@@ -16,18 +16,20 @@
 const (
 	// userWriteDeadline is how long a user's write may wait in the queue.
 	userWriteDeadline = 4 * model.Second
-	// maxUserTxnBytes limits the values of a transaction of user writes.
+	// maxUserTxnBytes limits the estimated size of a transaction of user writes.
 	maxUserTxnBytes = 40_000
-	// userWriteOverhead estimates a write's key and condition in a transaction.
+	// userWriteOverhead is the estimated size of a write's key and condition in a
+	// transaction, in bytes.
 	userWriteOverhead = 200
-	// cancellationBytes estimates the record of a cancelled job.
+	// cancellationBytes is the estimated size of the record of a cancelled job.
 	cancellationBytes = 600
 )
 
-// userWrite is an acceptance or a cancellation of a job that waits to be made durable.
+// userWrite is an acceptance or cancellation of a job that waits to be written to the state
+// service.
 type userWrite struct {
 	jobID      string
-	submission *model.Submission // nil: a cancellation
+	submission *model.Submission // nil for a cancellation
 	replies    []chan<- userapi.Answer
 	deadline   model.Micros
 }
@@ -74,8 +76,8 @@
 	})
 }
 
-// userBatch is a transaction of user writes in the making. The transaction's operations
-// are in the order of the writes.
+// userBatch is a transaction of user writes under construction. The transaction's
+// operations are in the order of the writes.
 type userBatch struct {
 	txn    *state.Txn
 	writes []userWrite
@@ -87,8 +89,8 @@
 	return &userBatch{txn: &state.Txn{}, jobIDs: map[string]bool{}}
 }
 
-// hasRoomFor reports whether a write fits. No batch has two writes to the same job, as the
-// condition of the second would not hold.
+// hasRoomFor reports whether a write can be added. No batch has two writes to the same job,
+// because the condition of the second would not hold.
 func (b *userBatch) hasRoomFor(jobID string, size, limit int) bool {
 	return len(b.writes) < limit && b.bytes+size <= maxUserTxnBytes && !b.jobIDs[jobID]
 }
@@ -124,15 +126,15 @@
 	c.send(free, msgCommitted{txn: batch.txn, userWrites: batch.writes})
 }
 
-// takeUserBatch moves as many queued writes as fit into a batch. Writes that need no
-// transaction any more, or can't be encoded, are answered.
+// takeUserBatch moves as many queued writes as fit into a batch. Writes that no longer need
+// a transaction or can't be encoded are answered at once.
 func (c *controller) takeUserBatch(limit int) *userBatch {
 	batch := newUserBatch()
 	var rest []userWrite
 	for _, write := range c.userWrites.queue {
 		if end, ended := c.view.EffectiveEnd(write.jobID); ended && write.isCancellation() {
-			// The job ended while its cancellation was queued. The condition would hold
-			// against the end, which the view has by now, and the end would be overwritten.
+			// The job ended while its cancellation was queued. The view already includes
+			// the end, so the condition would hold and the end would be overwritten.
 			write.answer(userapi.Accepted(http.StatusOK, write.jobID, end))
 			continue
 		}
@@ -151,7 +153,7 @@
 	return batch
 }
 
-// userRecord returns the job record that a write stores, and about its size in bytes.
+// userRecord returns the job record that a write stores, and its approximate size in bytes.
 func (c *controller) userRecord(write *userWrite) (record shard.JobRecord, size int, err error) {
 	if write.isCancellation() {
 		return c.cancelledRecord(c.view.Jobs[write.jobID].Submission), cancellationBytes, nil
@@ -163,8 +165,8 @@
 	return shard.JobRecord{Spec: write.submission}, len(raw), nil
 }
 
-// expectedRevision is the revision that a write requires of the job's record: an
-// acceptance requires that there is none.
+// expectedRevision returns the revision that the job's record must have for a write. For an
+// acceptance it is 0: there must be no record yet.
 func (c *controller) expectedRevision(write *userWrite) uint64 {
 	if write.isCancellation() {
 		return c.view.Revisions[state.JobKey(write.jobID)]
@@ -194,7 +196,7 @@
 	}
 }
 
-// userWritesDurable takes durable writes into the view, and answers them.
+// userWritesDurable applies committed writes to the view, and answers them.
 func (c *controller) userWritesDurable(m msgCommitted) {
 	for i := range m.userWrites {
 		write := &m.userWrites[i]
@@ -209,9 +211,9 @@
 	}
 }
 
-// userWritesConflicted handles a transaction whose conditions did not all hold. Writes
-// whose own condition held are queued again; the others are answered by what the state
-// service has, after a read barrier.
+// userWritesConflicted handles a transaction some of whose conditions did not hold. Writes
+// whose own condition held are queued again; the others are resolved after a read barrier,
+// against the records of the state service.
 func (c *controller) userWritesConflicted(m msgCommitted) {
 	conflicted := map[string]bool{}
 	for _, path := range m.result.Failed {
@@ -226,8 +228,8 @@
 	}
 }
 
-// resolveConflict answers a write whose job another write has changed first, or queues
-// it again if the change does not decide the answer.
+// resolveConflict answers a write whose job was changed by another write first, or queues
+// it again if that change does not determine the answer.
 func (c *controller) resolveConflict(write userWrite, synced bool) {
 	status, _, _, known := c.view.Status(write.jobID)
 	_, ended := c.view.EffectiveEnd(write.jobID)
