--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -23,7 +23,7 @@
 	// have recently sent heartbeats to this controller.
 	Ping() (stateReached bool, workers int)
 	// Report answers a worker's heartbeat that another controller relays.
-	Report(body []byte) (code int, answer []byte)
+	Report(body []byte) (code int, responseBody []byte)
 	// EndSession ends another controller's session lease on its own request.
 	EndSession(leaseID uint64)
 }
@@ -35,8 +35,8 @@
 }
 
 func (s *server) Forward(_ context.Context, r *UserRequest) (*UserAnswer, error) {
-	a := s.handler.User(r.GetMethod(), r.GetPath(), r.GetBody())
-	return &UserAnswer{Code: int32(a.Code), Body: a.Body, RetryAfterS: int32(a.RetryAfter)}, nil
+	answer := s.handler.User(r.GetMethod(), r.GetPath(), r.GetBody())
+	return &UserAnswer{Code: int32(answer.Code), Body: answer.Body, RetryAfterS: int32(answer.RetryAfter)}, nil
 }
 
 func (s *server) Ping(context.Context, *PingRequest) (*PingAnswer, error) {
@@ -107,11 +107,11 @@
 
 // Forward has the other controller answer a user's request.
 func (c *Client) Forward(ctx context.Context, method, path string, body []byte) (userapi.Answer, error) {
-	a, err := c.rpc.Forward(ctx, &UserRequest{Method: method, Path: path, Body: body})
+	answer, err := c.rpc.Forward(ctx, &UserRequest{Method: method, Path: path, Body: body})
 	if err != nil {
 		return userapi.Answer{}, err
 	}
-	return userapi.Answer{Code: int(a.GetCode()), Body: a.GetBody(), RetryAfter: int(a.GetRetryAfterS())}, nil
+	return userapi.Answer{Code: int(answer.GetCode()), Body: answer.GetBody(), RetryAfter: int(answer.GetRetryAfterS())}, nil
 }
 
 // Status is what another controller tells of itself.
@@ -123,14 +123,14 @@
 
 // Ping asks the other controller for its status. self is the name of the caller.
 func (c *Client) Ping(ctx context.Context, self string) (Status, error) {
-	a, err := c.rpc.Ping(ctx, &PingRequest{Node: self})
-	return Status{ReachesState: a.GetStateReached(), Workers: int(a.GetWorkers()), RelaysHeartbeats: a.GetRelays()}, err
+	answer, err := c.rpc.Ping(ctx, &PingRequest{Node: self})
+	return Status{ReachesState: answer.GetStateReached(), Workers: int(answer.GetWorkers()), RelaysHeartbeats: answer.GetRelays()}, err
 }
 
 // Report has the other controller, which leads, answer a worker's heartbeat.
-func (c *Client) Report(ctx context.Context, body []byte) (code int, answer []byte, err error) {
-	a, err := c.rpc.Report(ctx, &ReportRequest{Report: body})
-	return int(a.GetCode()), a.GetBody(), err
+func (c *Client) Report(ctx context.Context, body []byte) (code int, responseBody []byte, err error) {
+	answer, err := c.rpc.Report(ctx, &ReportRequest{Report: body})
+	return int(answer.GetCode()), answer.GetBody(), err
 }
 
 // Resign has the other controller end this controller's session lease.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -9,43 +9,43 @@
 	"woadweir/internal/userapi"
 )
 
-type scripted struct{ ended uint64 }
+type fakeHandler struct{ endedSession uint64 }
 
-func (*scripted) User(method, path string, body []byte) userapi.Answer {
+func (*fakeHandler) User(method, path string, body []byte) userapi.Answer {
 	return userapi.Answer{Code: 503, Body: []byte(method + " " + path + " " + string(body)), RetryAfter: 2}
 }
-func (*scripted) Ping() (bool, int) { return true, 7 }
-func (*scripted) Report(body []byte) (int, []byte) {
+func (*fakeHandler) Ping() (bool, int) { return true, 7 }
+func (*fakeHandler) Report(body []byte) (int, []byte) {
 	return 421, append([]byte("answer to "), body...)
 }
-func (s *scripted) EndSession(id uint64) { s.ended = id }
+func (f *fakeHandler) EndSession(id uint64) { f.endedSession = id }
 
 func TestCalls(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &scripted{}
+	handler := &fakeHandler{}
 	served := make(chan error, 1)
-	go func() { served <- Serve(ctx, ln, h) }()
-	c, err := Dial("n1", ln.Addr().String())
+	go func() { served <- Serve(ctx, listener, handler) }()
+	client, err := Dial("n1", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a, err := c.Forward(ctx, "POST", "/work", []byte("{}")); err != nil || a.Code != 503 || a.RetryAfter != 2 || string(a.Body) != "POST /work {}" {
-		t.Errorf("%+v, %v", a, err)
+	if answer, err := client.Forward(ctx, "POST", "/work", []byte("{}")); err != nil || answer.Code != 503 || answer.RetryAfter != 2 || string(answer.Body) != "POST /work {}" {
+		t.Errorf("%+v, %v", answer, err)
 	}
-	if p, err := c.Ping(ctx, "n0"); err != nil || p != (Status{true, 7, true}) {
-		t.Errorf("%+v %v", p, err)
+	if status, err := client.Ping(ctx, "n0"); err != nil || status != (Status{true, 7, true}) {
+		t.Errorf("%+v %v", status, err)
 	}
-	if code, body, err := c.Report(ctx, []byte("{}")); err != nil || code != 421 || string(body) != "answer to {}" {
+	if code, body, err := client.Report(ctx, []byte("{}")); err != nil || code != 421 || string(body) != "answer to {}" {
 		t.Errorf("%d %s %v", code, body, err)
 	}
-	if err := c.Resign(ctx, 9); err != nil || h.ended != 9 {
-		t.Errorf("ended %d, %v", h.ended, err)
+	if err := client.Resign(ctx, 9); err != nil || handler.endedSession != 9 {
+		t.Errorf("ended %d, %v", handler.endedSession, err)
 	}
-	if err := c.Close(); err != nil {
+	if err := client.Close(); err != nil {
 		t.Error(err)
 	}
 	cancel()
