--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer is the gRPC service by which controllers call each other.
+// Package peer implements the gRPC service through which controllers call each other.
 package peer
 
 //go:generate protoc --go_out=../.. --go_opt=module=woadweir --go-grpc_out=../.. --go-grpc_opt=module=woadweir -I ../.. internal/peer/peer.proto
@@ -19,12 +19,12 @@
 type Handler interface {
 	// User answers a user's request without forwarding it.
 	User(method, path string, body []byte) userapi.Answer
-	// Ping tells whether the state service was reached recently, and how many workers
-	// have recently sent heartbeats to this controller.
+	// Ping returns whether the state service was reached recently, and the number of
+	// workers that recently sent heartbeats to this controller.
 	Ping() (stateReached bool, workers int)
 	// Report answers a worker's heartbeat that another controller relays.
 	Report(body []byte) (code int, responseBody []byte)
-	// EndSession ends another controller's session lease on its own request.
+	// EndSession ends another controller's session lease at that controller's request.
 	EndSession(leaseID uint64)
 }
 
@@ -54,11 +54,12 @@
 	return &ResignAnswer{}, nil
 }
 
-// maxConcurrentCalls is how many calls of one controller may be answered at the same
-// time: another controller may relay the heartbeats of some thousand workers at once.
+// maxConcurrentCalls is the maximum number of concurrent calls on a connection from one
+// controller, which may relay the heartbeats of some thousand workers at once.
 const maxConcurrentCalls = 8192
 
-// Serve answers calls until the context ends, those of further services too.
+// Serve answers calls until the context ends. services registers further gRPC services on
+// the same listener.
 func Serve(ctx context.Context, listener net.Listener, handler Handler, services ...func(grpc.ServiceRegistrar)) error {
 	grpcServer := grpc.NewServer(grpc.MaxConcurrentStreams(maxConcurrentCalls))
 	RegisterPeerServer(grpcServer, &server{handler: handler})
@@ -70,15 +71,15 @@
 	return grpcServer.Serve(listener)
 }
 
-// Client calls one other controller.
+// Client makes calls to one other controller.
 type Client struct {
 	Name string
 	conn *grpc.ClientConn
 	rpc  PeerClient
 }
 
-// reconnectParams have a controller that is back after an absence, however long, reached
-// within seconds: gRPC's own backoff grows to two minutes.
+// reconnectParams limits the backoff so that a controller that returns after an outage of
+// any length is reached within seconds. gRPC's default backoff grows to two minutes.
 var reconnectParams = grpc.ConnectParams{
 	MinConnectTimeout: time.Second,
 	Backoff: backoff.Config{
@@ -89,14 +90,15 @@
 	},
 }
 
-// Connect prepares a connection to a controller of this cell or of another.
+// Connect returns a connection to a controller of this cell or of another cell. It is
+// established when it is first used.
 func Connect(endpoint string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+endpoint,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(reconnectParams))
 }
 
-// Dial prepares a client; it connects when it is first used.
+// Dial returns a client for a controller. It connects when it is first used.
 func Dial(name, endpoint string) (*Client, error) {
 	conn, err := Connect(endpoint)
 	if err != nil {
@@ -105,7 +107,7 @@
 	return &Client{Name: name, conn: conn, rpc: NewPeerClient(conn)}, nil
 }
 
-// Forward has the other controller answer a user's request.
+// Forward forwards a user's request to the other controller and returns its answer.
 func (c *Client) Forward(ctx context.Context, method, path string, body []byte) (userapi.Answer, error) {
 	answer, err := c.rpc.Forward(ctx, &UserRequest{Method: method, Path: path, Body: body})
 	if err != nil {
@@ -114,26 +116,27 @@
 	return userapi.Answer{Code: int(answer.GetCode()), Body: answer.GetBody(), RetryAfter: int(answer.GetRetryAfterS())}, nil
 }
 
-// Status is what another controller tells of itself.
+// Status is the status that a controller reports in its answer to a ping.
 type Status struct {
-	ReachesState     bool // it has reached the state service recently
-	Workers          int  // that have recently sent heartbeats to it
-	RelaysHeartbeats bool // it relays heartbeats to the leader
+	ReachesState     bool // the controller recently reached the state service
+	Workers          int  // number of workers that recently sent heartbeats to it
+	RelaysHeartbeats bool // the controller relays heartbeats to the leader
 }
 
-// Ping asks the other controller for its status. self is the name of the caller.
+// Ping returns the status of the other controller. self is the name of the caller.
 func (c *Client) Ping(ctx context.Context, self string) (Status, error) {
 	answer, err := c.rpc.Ping(ctx, &PingRequest{Node: self})
 	return Status{ReachesState: answer.GetStateReached(), Workers: int(answer.GetWorkers()), RelaysHeartbeats: answer.GetRelays()}, err
 }
 
-// Report has the other controller, which leads, answer a worker's heartbeat.
+// Report relays a worker's heartbeat to the other controller, which leads, and returns its
+// response to the worker.
 func (c *Client) Report(ctx context.Context, body []byte) (code int, responseBody []byte, err error) {
 	answer, err := c.rpc.Report(ctx, &ReportRequest{Report: body})
 	return int(answer.GetCode()), answer.GetBody(), err
 }
 
-// Resign has the other controller end this controller's session lease.
+// Resign makes the other controller end this controller's session lease.
 func (c *Client) Resign(ctx context.Context, leaseID uint64) error {
 	_, err := c.rpc.Resign(ctx, &ResignRequest{Session: leaseID})
 	return err
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -9,6 +9,7 @@
 	"woadweir/internal/userapi"
 )
 
+// fakeHandler returns fixed answers, and records the session that it was asked to end.
 type fakeHandler struct{ endedSession uint64 }
 
 func (*fakeHandler) User(method, path string, body []byte) userapi.Answer {
@@ -34,22 +35,22 @@
 		t.Fatal(err)
 	}
 	if answer, err := client.Forward(ctx, "POST", "/work", []byte("{}")); err != nil || answer.Code != 503 || answer.RetryAfter != 2 || string(answer.Body) != "POST /work {}" {
-		t.Errorf("%+v, %v", answer, err)
+		t.Errorf("forwarded request: got %+v, error %v, want code 503, retry after 2 s and body POST /work {}", answer, err)
 	}
 	if status, err := client.Ping(ctx, "n0"); err != nil || status != (Status{true, 7, true}) {
-		t.Errorf("%+v %v", status, err)
+		t.Errorf("ping: got %+v, error %v, want %+v", status, err, Status{true, 7, true})
 	}
 	if code, body, err := client.Report(ctx, []byte("{}")); err != nil || code != 421 || string(body) != "answer to {}" {
-		t.Errorf("%d %s %v", code, body, err)
+		t.Errorf("relayed heartbeat: got %d %s, error %v, want 421 answer to {}", code, body, err)
 	}
 	if err := client.Resign(ctx, 9); err != nil || handler.endedSession != 9 {
-		t.Errorf("ended %d, %v", handler.endedSession, err)
+		t.Errorf("resignation: session %d was ended, error %v, want session 9", handler.endedSession, err)
 	}
 	if err := client.Close(); err != nil {
 		t.Error(err)
 	}
 	cancel()
 	if err := <-served; err != nil && !errors.Is(err, net.ErrClosed) {
-		t.Errorf("served: %v", err)
+		t.Errorf("Serve returned error %v", err)
 	}
 }
