--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -27,10 +27,10 @@
 		t.Fatal(err)
 	}
 	fake := &fakeCloud{status: 200}
-	server := &fasthttp.Server{Handler: func(c *fasthttp.RequestCtx) {
-		fake.request = string(c.Method()) + " " + string(c.RequestURI()) + " " + string(c.PostBody())
-		c.SetStatusCode(fake.status)
-		c.SetBodyString(fake.body)
+	server := &fasthttp.Server{Handler: func(rc *fasthttp.RequestCtx) {
+		fake.request = string(rc.Method()) + " " + string(rc.RequestURI()) + " " + string(rc.PostBody())
+		rc.SetStatusCode(fake.status)
+		rc.SetBodyString(fake.body)
 	}}
 	go server.Serve(listener) //nolint:errcheck // ends with the listener
 	t.Cleanup(func() { listener.Close() })
@@ -86,7 +86,7 @@
 
 func TestErrors(t *testing.T) {
 	fake, client := startFakeCloud(t)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		status int
 		body   string
 		want   string
@@ -97,9 +97,9 @@
 		{503, "no JSON", "cloud: trouble"},
 		{418, "", "cloud: unexpected status 418"},
 	} {
-		fake.status, fake.body = c.status, c.body
-		if _, err := client.Rent(&Rental{}, timeout); err == nil || err.Error() != c.want {
-			t.Errorf("%d %q: %v, want %s", c.status, c.body, err, c.want)
+		fake.status, fake.body = test.status, test.body
+		if _, err := client.Rent(&Rental{}, timeout); err == nil || err.Error() != test.want {
+			t.Errorf("%d %q: %v, want %s", test.status, test.body, err, test.want)
 		}
 	}
 	fake.status = 429
