--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud that rents machines.
+// Package cloud is a client for the API of the cloud that rents out machines.
 package cloud
 
 import (
@@ -13,33 +13,33 @@
 	"woadweir/internal/jsonhttp"
 )
 
-// Errors of the cloud.
+// Errors that the cloud reports.
 var (
 	ErrNoCapacity  = errors.New("cloud: no capacity")
-	ErrUnavailable = errors.New("cloud: trouble")
+	ErrUnavailable = errors.New("cloud: service unavailable (status 503)")
 	ErrBusy        = errors.New("cloud: too many requests")
 )
 
-// StatusError reports an HTTP status that the cloud's protocol does not provide for.
+// StatusError is an HTTP status that the cloud's protocol does not define.
 type StatusError struct{ Code int }
 
-// Error names the status.
+// Error returns a text with the status.
 func (e *StatusError) Error() string { return fmt.Sprintf("cloud: unexpected status %d", e.Code) }
 
 const (
-	// maxConnections is how many requests a client has open at the same time.
+	// maxConnections is the maximum number of connections of a client.
 	maxConnections = 8
-	// pageSize is how many machines the cloud is asked for at once.
+	// pageSize is the maximum number of machines in a page of the machine list.
 	pageSize = 500
-	// noCapacityText is how the cloud says in a response with status 503 that it has no
-	// more machines of the type.
+	// noCapacityText is the error text in a response with status 503 if the cloud has no
+	// more machines of the requested type.
 	noCapacityText = "no capacity"
 )
 
 // Client makes requests to the cloud.
 type Client struct{ http *jsonhttp.Client }
 
-// NewClient makes a client for the address.
+// NewClient returns a client for an address.
 func NewClient(address string) *Client { return &Client{jsonhttp.New(address, maxConnections)} }
 
 // The JSON names below are those of the cloud's protocol: a host is a machine and a ref
@@ -54,11 +54,12 @@
 	Zone        string  `json:"yard"`
 	Spot        bool    `json:"loaners"`
 	Status      string  `json:"status"`
-	HeldS       float64 `json:"heldS"` // for how long it has been rented
+	HeldS       float64 `json:"heldS"` // how long the machine has been rented, in seconds
 }
 
-// Rental is a request for machines. A repeated request that was successful gets the same
-// response and rents nothing, so one without a response may be retried with its ID.
+// Rental is a request for machines. The request ID makes it idempotent: repeating a request
+// that succeeded gets the same response and rents nothing more, so a request that got no
+// response may be retried with the same ID.
 type Rental struct {
 	RequestID   string `json:"hire"`
 	MachineType string `json:"build"`
@@ -105,7 +106,7 @@
 	})
 }
 
-// unavailable reads why the cloud answered with status 503.
+// unavailable returns the error for a response with status 503.
 func unavailable(body []byte) error {
 	var reason errorBody
 	if json.Unmarshal(body, &reason) == nil && reason.Error == noCapacityText {
@@ -114,26 +115,26 @@
 	return ErrUnavailable
 }
 
-// MachineTypes reads the machine types with their current prices.
+// MachineTypes returns the machine types with their current prices.
 func (c *Client) MachineTypes(timeout model.Micros) ([]model.MachineType, error) {
 	var list machineTypeList
 	err := c.do(http.MethodGet, "/flavors", nil, &list, timeout)
 	return list.MachineTypes, err
 }
 
-// Rent asks for machines and returns the IDs of those that were rented.
+// Rent rents machines and returns their IDs.
 func (c *Client) Rent(rental *Rental, timeout model.Micros) ([]string, error) {
 	var rented machineIDs
 	err := c.do(http.MethodPost, "/rentals", rental, &rented, timeout)
 	return rented.IDs, err
 }
 
-// Delete returns machines; after a nil error they are gone.
+// Delete returns machines to the cloud. After a nil error they are gone.
 func (c *Client) Delete(ids []string, timeout model.Micros) error {
 	return c.do(http.MethodPost, "/rentals/delete", machineIDs{ids}, nil, timeout)
 }
 
-// List reads the machine list, page by page.
+// List returns the whole machine list, which it reads page by page.
 func (c *Client) List(timeout model.Micros) ([]Machine, error) {
 	var machines []Machine
 	after := ""
@@ -150,7 +151,8 @@
 	}
 }
 
-// listPage reads one page of machines, which follow the machine after.
+// listPage returns the page of the machine list that follows the machine with ID after, or
+// the first page if after is "".
 func (c *Client) listPage(after string, timeout model.Micros) (*machinePage, error) {
 	uri := "/rentals?most=" + strconv.Itoa(pageSize)
 	if after != "" {
