--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -23,36 +23,36 @@
 }
 
 type wireTask struct {
-	TaskID  string `json:"piece"`
-	Attempt uint64 `json:"try"`
-	Status  string `json:"status"`
-	Cause   string `json:"cause"`
-	Stored  bool   `json:"stored"`
+	TaskID     string `json:"piece"`
+	Attempt    uint64 `json:"try"`
+	Status     string `json:"status"`
+	Cause      string `json:"cause"`
+	StateSaved bool   `json:"stored"`
 }
 
 // ParseHeartbeat reads a check-in.
 func ParseHeartbeat(body []byte) (*shard.Heartbeat, error) {
-	var w wireHeartbeat
-	if err := json.Unmarshal(body, &w); err != nil {
+	var wire wireHeartbeat
+	if err := json.Unmarshal(body, &wire); err != nil {
 		return nil, err
 	}
-	if w.MachineID == "" || w.Incarnation == 0 {
+	if wire.MachineID == "" || wire.Incarnation == 0 {
 		return nil, errors.New("host or tenure is missing")
 	}
-	r := &shard.Heartbeat{Machine: w.MachineID, Addr: w.Address, MachineType: w.MachineType, Zone: w.Zone, Spot: w.Spot,
-		Incarnation: w.Incarnation, Sequence: w.Sequence, Token: w.Token, Tasks: make([]shard.TaskStatus, 0, len(w.Tasks))}
-	if w.ReclaimedInS != nil {
-		r.SpotNotice, r.ReclaimedIn = true, model.Seconds(*w.ReclaimedInS)
+	heartbeat := &shard.Heartbeat{Machine: wire.MachineID, Addr: wire.Address, MachineType: wire.MachineType, Zone: wire.Zone, Spot: wire.Spot,
+		Incarnation: wire.Incarnation, Sequence: wire.Sequence, Token: wire.Token, Tasks: make([]shard.TaskStatus, 0, len(wire.Tasks))}
+	if wire.ReclaimedInS != nil {
+		heartbeat.SpotNotice, heartbeat.ReclaimedIn = true, model.Seconds(*wire.ReclaimedInS)
 	}
-	for i := range w.Tasks {
-		p := &w.Tasks[i]
-		id, ok := model.ParseTaskID(p.TaskID)
+	for i := range wire.Tasks {
+		task := &wire.Tasks[i]
+		id, ok := model.ParseTaskID(task.TaskID)
 		if !ok {
 			continue
 		}
-		r.Tasks = append(r.Tasks, shard.TaskStatus{ID: id, Attempt: p.Attempt, Status: taskStatuses[p.Status], Cause: parseExitCause(p.Cause), StateSaved: p.Stored})
+		heartbeat.Tasks = append(heartbeat.Tasks, shard.TaskStatus{ID: id, Attempt: task.Attempt, Status: taskStatuses[task.Status], Cause: parseExitCause(task.Cause), StateSaved: task.StateSaved})
 	}
-	return r, nil
+	return heartbeat, nil
 }
 
 // exitCauses are the words of the protocol for causes of exits.
@@ -68,11 +68,11 @@
 }
 
 // parseExitCause reads the wire form. A word that we do not know is kept for the log.
-func parseExitCause(word string) shard.ExitCause {
-	if cause, ok := exitCauses[word]; ok {
+func parseExitCause(value string) shard.ExitCause {
+	if cause, ok := exitCauses[value]; ok {
 		return cause
 	}
-	return shard.ExitCause(word)
+	return shard.ExitCause(value)
 }
 
 // commandVerbs are the words of the protocol for operations.
@@ -95,31 +95,31 @@
 		Token    uint64        `json:"warrant"`
 		Commands []wireCommand `json:"orders"`
 	}{token, make([]wireCommand, 0, len(commands))}
-	for _, o := range commands {
-		w := wireCommand{Verb: commandVerbs[o.Op], TaskID: o.Task.String(), Attempt: o.Attempt}
-		if o.Op == shard.StopTask {
-			s := o.Grace.Seconds()
-			w.GraceS = &s
+	for _, command := range commands {
+		wire := wireCommand{Verb: commandVerbs[command.Op], TaskID: command.Task.String(), Attempt: command.Attempt}
+		if command.Op == shard.StopTask {
+			graceS := command.Grace.Seconds()
+			wire.GraceS = &graceS
 		}
-		out.Commands = append(out.Commands, w)
+		out.Commands = append(out.Commands, wire)
 	}
-	b, err := json.Marshal(out)
+	body, err := json.Marshal(out)
 	if err != nil {
 		panic(err) // plain structs always marshal
 	}
-	return b
+	return body
 }
 
 // Redirect renders the body of a 421.
-func Redirect(steward string) []byte {
-	if steward == "" {
+func Redirect(node string) []byte {
+	if node == "" {
 		return []byte("{}")
 	}
-	b, err := json.Marshal(map[string]string{"steward": steward})
+	body, err := json.Marshal(map[string]string{"steward": node})
 	if err != nil {
 		panic(err)
 	}
-	return b
+	return body
 }
 
 // taskStatuses maps the wire's words for the state of a task. Any other word is taken as
--- a/internal/workerapi/workerapi_test.go
+++ b/internal/workerapi/workerapi_test.go
@@ -7,25 +7,25 @@
 	"woadweir/internal/core/shard"
 )
 
-func TestReport(t *testing.T) {
-	r, err := ParseHeartbeat([]byte(`{"host":"host-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","loaners":true,
+func TestParseHeartbeat(t *testing.T) {
+	heartbeat, err := ParseHeartbeat([]byte(`{"host":"host-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","loaners":true,
 		"tenure":1,"tally":88,"warrant":41,"recallS":7.5,"new":{},
 		"pieces":[{"piece":"j-000412/3","try":2,"status":"running"},{"piece":"j-000398/0","try":1,"status":"ended","cause":"done"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Sequence != 88 || r.Token != 41 || !r.Spot || !r.SpotNotice || r.ReclaimedIn != 7_500_000 || len(r.Tasks) != 2 {
-		t.Errorf("%+v", r)
+	if heartbeat.Sequence != 88 || heartbeat.Token != 41 || !heartbeat.Spot || !heartbeat.SpotNotice || heartbeat.ReclaimedIn != 7_500_000 || len(heartbeat.Tasks) != 2 {
+		t.Errorf("%+v", heartbeat)
 	}
-	if p := r.Tasks[1]; p.ID != (model.TaskID{Job: "j-000398"}) || p.Status != model.Exited || p.Cause != shard.CauseDone {
-		t.Errorf("%+v", p)
+	if task := heartbeat.Tasks[1]; task.ID != (model.TaskID{Job: "j-000398"}) || task.Status != model.Exited || task.Cause != shard.CauseDone {
+		t.Errorf("%+v", task)
 	}
-	if r, err = ParseHeartbeat([]byte(`{"host":"h","tenure":1,"recallS":null}`)); err != nil || r.SpotNotice {
-		t.Errorf("%+v, %v", r, err)
+	if heartbeat, err = ParseHeartbeat([]byte(`{"host":"h","tenure":1,"recallS":null}`)); err != nil || heartbeat.SpotNotice {
+		t.Errorf("%+v, %v", heartbeat, err)
 	}
-	for _, bad := range []string{``, `[]`, `{"tenure":1}`, `{"host":"h"}`} {
-		if _, err := ParseHeartbeat([]byte(bad)); err == nil {
-			t.Errorf("%q is taken", bad)
+	for _, invalid := range []string{``, `[]`, `{"tenure":1}`, `{"host":"h"}`} {
+		if _, err := ParseHeartbeat([]byte(invalid)); err == nil {
+			t.Errorf("%q is taken", invalid)
 		}
 	}
 }
@@ -35,10 +35,10 @@
 	want := map[string]shard.ExitCause{"done": shard.CauseDone, "error": shard.CauseError, "stopped": shard.CauseStopped,
 		"mates_gone": shard.CauseGangMemberGone, "alone": shard.CauseGangIncomplete, "unknown": shard.CauseJobUnknown,
 		"full": shard.CauseNoCapacity, "in_use": shard.CauseOtherAttempt, "": "", "new word": "new word"}
-	for word, cause := range want {
-		heartbeat, err := ParseHeartbeat([]byte(`{"host":"h","tenure":1,"pieces":[{"piece":"j-1/0","try":1,"status":"ended","cause":"` + word + `"}]}`))
+	for value, cause := range want {
+		heartbeat, err := ParseHeartbeat([]byte(`{"host":"h","tenure":1,"pieces":[{"piece":"j-1/0","try":1,"status":"ended","cause":"` + value + `"}]}`))
 		if err != nil || len(heartbeat.Tasks) != 1 || heartbeat.Tasks[0].Cause != cause {
-			t.Errorf("%q: %+v, %v", word, heartbeat, err)
+			t.Errorf("%q: %+v, %v", value, heartbeat, err)
 		}
 	}
 }
