--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -1,4 +1,4 @@
-// Package workerapi translates between the workers' messages and the core.
+// Package workerapi decodes the workers' heartbeats and encodes the responses to them.
 package workerapi
 
 import (
@@ -9,6 +9,13 @@
 	"woadweir/internal/core/shard"
 )
 
+// The JSON names below are those of the workers' protocol: a host is a machine, a build is
+// a machine type, a yard is a zone, loaners are spot machines, a tenure is an incarnation of
+// a worker, a tally is a sequence number, a recall is the reclaiming of a spot machine, a
+// piece is a task, a try is an attempt at it, a warrant is the leader's fencing token, an
+// order is a command, a leeway is a grace period, and a steward is a controller.
+
+// wireHeartbeat is the JSON form of a heartbeat.
 type wireHeartbeat struct {
 	MachineID    string     `json:"host"`
 	Address      string     `json:"address"`
@@ -22,6 +29,7 @@
 	Tasks        []wireTask `json:"pieces"`
 }
 
+// wireTask is the JSON form of a task's status in a heartbeat.
 type wireTask struct {
 	TaskID     string `json:"piece"`
 	Attempt    uint64 `json:"try"`
@@ -30,7 +38,7 @@
 	StateSaved bool   `json:"stored"`
 }
 
-// ParseHeartbeat reads a check-in.
+// ParseHeartbeat decodes a heartbeat. Tasks whose IDs are not valid are left out.
 func ParseHeartbeat(body []byte) (*shard.Heartbeat, error) {
 	var wire wireHeartbeat
 	if err := json.Unmarshal(body, &wire); err != nil {
@@ -55,7 +63,7 @@
 	return heartbeat, nil
 }
 
-// exitCauses are the words of the protocol for causes of exits.
+// exitCauses maps the protocol's values for the cause of a task's exit.
 var exitCauses = map[string]shard.ExitCause{
 	"done":       shard.CauseDone,
 	"error":      shard.CauseError,
@@ -67,7 +75,8 @@
 	"in_use":     shard.CauseOtherAttempt,
 }
 
-// parseExitCause reads the wire form. A word that we do not know is kept for the log.
+// parseExitCause returns the exit cause for a value of the protocol. An unknown value is
+// kept as it is for the log.
 func parseExitCause(value string) shard.ExitCause {
 	if cause, ok := exitCauses[value]; ok {
 		return cause
@@ -75,13 +84,14 @@
 	return shard.ExitCause(value)
 }
 
-// commandVerbs are the words of the protocol for operations.
+// commandVerbs maps commands to the protocol's values for them.
 var commandVerbs = map[shard.CommandOp]string{
 	shard.StartTask: "start",
 	shard.StopTask:  "stop",
 	shard.ClearTask: "clear",
 }
 
+// wireCommand is the JSON form of a command.
 type wireCommand struct {
 	Verb    string   `json:"verb"`
 	TaskID  string   `json:"piece"`
@@ -89,7 +99,7 @@
 	GraceS  *float64 `json:"leewayS,omitempty"`
 }
 
-// Answer renders a response with commands.
+// Answer returns the body of a response with commands.
 func Answer(token uint64, commands []shard.Command) []byte {
 	out := struct {
 		Token    uint64        `json:"warrant"`
@@ -105,25 +115,26 @@
 	}
 	body, err := json.Marshal(out)
 	if err != nil {
-		panic(err) // plain structs always marshal
+		panic(err) // plain structs can always be encoded
 	}
 	return body
 }
 
-// Redirect renders the body of a 421.
+// Redirect returns the body of a response with status 421, which redirects a worker to a
+// controller, or to any other controller if none is named.
 func Redirect(node string) []byte {
 	if node == "" {
 		return []byte("{}")
 	}
 	body, err := json.Marshal(map[string]string{"steward": node})
 	if err != nil {
-		panic(err)
+		panic(err) // a map of strings can always be encoded
 	}
 	return body
 }
 
-// taskStatuses maps the wire's words for the state of a task. Any other word is taken as
-// not reported.
+// taskStatuses maps the protocol's values for the state of a task. Any other value counts as
+// a state that was not reported.
 var taskStatuses = map[string]model.TaskState{
 	"pulling":   model.Fetching,
 	"gathering": model.WaitingForGang,
--- a/internal/workerapi/workerapi_test.go
+++ b/internal/workerapi/workerapi_test.go
@@ -15,22 +15,22 @@
 		t.Fatal(err)
 	}
 	if heartbeat.Sequence != 88 || heartbeat.Token != 41 || !heartbeat.Spot || !heartbeat.SpotNotice || heartbeat.ReclaimedIn != 7_500_000 || len(heartbeat.Tasks) != 2 {
-		t.Errorf("%+v", heartbeat)
+		t.Errorf("got %+v, want sequence 88, token 41, a spot machine reclaimed in 7.5 s, and two tasks", heartbeat)
 	}
 	if task := heartbeat.Tasks[1]; task.ID != (model.TaskID{Job: "j-000398"}) || task.Status != model.Exited || task.Cause != shard.CauseDone {
-		t.Errorf("%+v", task)
+		t.Errorf("second task: got %+v, want j-000398/0, exited because it is done", task)
 	}
 	if heartbeat, err = ParseHeartbeat([]byte(`{"host":"h","tenure":1,"recallS":null}`)); err != nil || heartbeat.SpotNotice {
-		t.Errorf("%+v, %v", heartbeat, err)
+		t.Errorf("heartbeat with recallS null: got %+v, error %v, want no spot notice", heartbeat, err)
 	}
 	for _, invalid := range []string{``, `[]`, `{"tenure":1}`, `{"host":"h"}`} {
 		if _, err := ParseHeartbeat([]byte(invalid)); err == nil {
-			t.Errorf("%q is taken", invalid)
+			t.Errorf("heartbeat %q: got no error, want one", invalid)
 		}
 	}
 }
 
-// Every cause of the protocol is known, and any other word is kept as it is.
+// Every exit cause of the protocol must be mapped, and any other value kept unchanged.
 func TestExitCauses(t *testing.T) {
 	want := map[string]shard.ExitCause{"done": shard.CauseDone, "error": shard.CauseError, "stopped": shard.CauseStopped,
 		"mates_gone": shard.CauseGangMemberGone, "alone": shard.CauseGangIncomplete, "unknown": shard.CauseJobUnknown,
@@ -38,7 +38,7 @@
 	for value, cause := range want {
 		heartbeat, err := ParseHeartbeat([]byte(`{"host":"h","tenure":1,"pieces":[{"piece":"j-1/0","try":1,"status":"ended","cause":"` + value + `"}]}`))
 		if err != nil || len(heartbeat.Tasks) != 1 || heartbeat.Tasks[0].Cause != cause {
-			t.Errorf("%q: %+v, %v", value, heartbeat, err)
+			t.Errorf("cause %q: got heartbeat %+v, error %v, want one task with cause %q", value, heartbeat, err, cause)
 		}
 	}
 }
@@ -50,9 +50,9 @@
 	want := `{"warrant":41,"orders":[{"verb":"start","piece":"j-000377/1","try":2},{"verb":"stop","piece":"j-000377/1","try":1,"leewayS":10},` +
 		`{"verb":"stop","piece":"j-000377/1","try":1,"leewayS":0},{"verb":"clear","piece":"j-000377/1","try":1}]}`
 	if got != want {
-		t.Errorf("%s\nwant %s", got, want)
+		t.Errorf("got %s\nwant %s", got, want)
 	}
 	if got := string(Answer(1, nil)); got != `{"warrant":1,"orders":[]}` {
-		t.Error(got)
+		t.Errorf("response without commands: got %s, want an empty list of orders", got)
 	}
 }
