--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// maxResponseSize bounds the memory that one response can take.
+	// maxResponseSize limits the memory that one response can use.
 	maxResponseSize = 64 << 20
 	// maxIdleTime is how long an unused connection is kept open.
 	maxIdleTime = time.Minute
 )
 
-// Client makes requests to one address. It never retries a request by itself: only the
-// caller knows whether that is safe.
+// Client makes requests to one address. It never retries a request, because only the caller
+// knows whether that is safe.
 type Client struct {
 	address string
 	http    *fasthttp.HostClient
 }
 
-// New makes a client with at most maxConnections connections.
+// New returns a client with at most maxConnections connections.
 func New(address string, maxConnections int) *Client {
 	return &Client{address: address, http: &fasthttp.HostClient{
 		Addr:                      address,
@@ -39,8 +39,9 @@
 
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// Do makes a request and hands status and body of the response to read; the body is valid
-// only there. The error is that of read, or means that there was no response.
+// Do makes a request and passes the status and body of the response to read. The body is
+// valid only until read returns. The returned error is that of read, or means that there
+// was no response.
 func (c *Client) Do(method, uri string, in any, timeout model.Micros, read func(code int, body []byte) error) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
