--- a/internal/controller/placement_rounds.go
+++ b/internal/controller/placement_rounds.go
@@ -22,7 +22,7 @@
 }
 
 // recordDuration sets the interval until the next round of the same kind from the duration
-// of a round. cores is the controller's CPU quota, 0 for none.
+// of a round. cores is the configured CPU quota; 0 counts as one core.
 func (p *placementRounds) recordDuration(duration model.Micros, preempted bool, cores float64) {
 	if preempted {
 		p.preemptionInterval = min(intervalFor(duration, preemptionCPUShare, cores), maxPreemptionInterval)
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -55,7 +55,7 @@
 	writeTimeout      = 10 * time.Second
 	minIdleTimeout    = 30 * time.Second
 	idleHeartbeats    = 6  // heartbeat intervals without a request after which a connection is closed
-	minConcurrency    = 64 // minimum of concurrent requests if the number of connections is limited
+	minConcurrency    = 64 // lower bound of the limit on concurrent requests, if connections are limited
 	concurrencyTenths = 9  // tenths of the connection limit that may serve requests at a time
 )
 
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// execute makes a request to the state service. The reply tells apart a missing lease or
-// key and an unclear outcome.
+// execute makes a request to the state service. The outcome in the reply distinguishes a
+// missing lease or key from an unclear result.
 func (s *session) execute(call leadership.Call) (r leadership.Reply, err error) {
 	timeout := min(s.ttl/sessionTimeoutDivisor, maxSessionTimeout)
 	switch call.Kind {
--- a/internal/controller/state_limits.go
+++ b/internal/controller/state_limits.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// denseBelowBytes is the maximum size of a value below which bundles need the dense
-	// layout; for larger values the plain layout is compact enough.
+	// denseBelowBytes is a threshold for the maximum size of a value. Below it, bundles are
+	// written in the dense layout; from it on, the plain layout is compact enough.
 	denseBelowBytes = 8 << 10
 	// valueBytesPerKB is less than 1024, which leaves a margin to the limit on values.
 	valueBytesPerKB = 960
