--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -89,36 +89,36 @@
 }
 
 // OfferRefused notes that an offer had no (or too little) capacity.
-func (l *Provisioner) OfferRefused(offer Offer, now model.Micros) {
-	l.refusedUntil[offer] = now + l.Params.RefusedPause
+func (p *Provisioner) OfferRefused(offer Offer, now model.Micros) {
+	p.refusedUntil[offer] = now + p.Params.RefusedPause
 }
 
 // Round decides once what to rent, release and drain.
-func (l *Provisioner) Round(in *Input) Output {
-	candidates := l.candidates(in)
-	l.countOnDemandByZone(in, candidates)
-	first, second := in.splitWaiting()
+func (p *Provisioner) Round(in *Input) Output {
+	candidates := p.candidates(in)
+	p.countOnDemandByZone(in, candidates)
+	onDemand, spotTolerant := in.splitWaiting()
 
 	// Waiting tasks take room first: they push placeholders out.
-	unplaced := placeWaiting(candidates, first, false)
-	l.resize(in, candidates)
-	l.assignZones()
-	unplacedPlaceholders := l.placePlaceholders(l.keepPlaceholders(candidates, false), candidates)
-	l.markSurplus(in, candidates)
-	unplacedFlexible := l.placeSpotTolerant(in, candidates, second)
-	unplacedPlaceholders = append(unplacedPlaceholders, l.placePlaceholders(l.keepPlaceholders(candidates, true), candidates)...)
+	unplaced := placeWaiting(candidates, onDemand, false)
+	p.resize(in, candidates)
+	p.assignZones()
+	unplacedPlaceholders := p.placePlaceholders(p.keepPlaceholders(candidates, false), candidates)
+	p.markSurplus(in, candidates)
+	unplacedSpotTolerant := p.placeSpotTolerant(in, candidates, spotTolerant)
+	unplacedPlaceholders = append(unplacedPlaceholders, p.placePlaceholders(p.keepPlaceholders(candidates, true), candidates)...)
 
 	// Machines are rented for what is unplaced now.
 	var toRent []*candidateMachine
-	toRent = l.rentForTasks(in, toRent, unplaced)
-	toRent = l.rentForTasks(in, toRent, unplacedFlexible)
-	toRent = l.rentForPlaceholders(in, candidates, toRent, unplacedPlaceholders)
+	toRent = p.rentForTasks(in, toRent, unplaced)
+	toRent = p.rentForTasks(in, toRent, unplacedSpotTolerant)
+	toRent = p.rentForPlaceholders(in, candidates, toRent, unplacedPlaceholders)
 
-	out := Output{Rent: groupRentals(toRent), Unplaced: countTasks(unplaced) + countTasks(unplacedFlexible)}
+	out := Output{Rent: groupRentals(toRent), Unplaced: countTasks(unplaced) + countTasks(unplacedSpotTolerant)}
 	if in.CloudOK {
-		out.ScaleIn = l.scaleIn(in, candidates)
+		out.ScaleIn = p.scaleIn(in, candidates)
 		if len(unplaced) == 0 && !slices.ContainsFunc(toRent, (*candidateMachine).isOnDemand) {
-			out.Drain = l.drain(in, candidates)
+			out.Drain = p.drain(in, candidates)
 		}
 	}
 	for _, candidate := range candidates {
@@ -126,6 +126,6 @@
 			out.Surplus = append(out.Surplus, candidate.machine)
 		}
 	}
-	l.detachFromUnlisted(candidates)
+	p.detachFromUnlisted(candidates)
 	return out
 }
--- a/internal/core/autoscaler/autoscaler_test.go
+++ b/internal/core/autoscaler/autoscaler_test.go
@@ -29,10 +29,10 @@
 	return &Input{Now: now, Machines: machines, MachineTypes: machineTypes, CloudOK: true}
 }
 
-func (l *Provisioner) machinesOf(big bool) (machineIDs []string) {
-	for _, p := range l.placeholders {
-		if p.largest == big {
-			machineIDs = append(machineIDs, p.machine)
+func (p *Provisioner) machinesOf(big bool) (machineIDs []string) {
+	for _, placeholder := range p.placeholders {
+		if placeholder.largest == big {
+			machineIDs = append(machineIDs, placeholder.machine)
 		}
 	}
 	return machineIDs
@@ -41,51 +41,51 @@
 // Version 2 of the proposal, more complete idea: the largest task, each amount
 // taken alone, and the rest of the extra split evenly.
 func TestPlaceholderSizes(t *testing.T) {
-	l := New(Defaults())
+	provisioner := New(Defaults())
 	var machines []*model.Machine
 	for _, machineID := range []string{"h1", "h2", "h3", "h4"} {
 		machines = append(machines, machine(machineID, "box", model.Resources{}))
 	}
 	in := input(0, machines...)
 	in.Sizes = []model.Resources{{Cores: 2000, Mem: 1000}, {Cores: 1000, Mem: 3000}}
-	l.Round(in)
+	provisioner.Round(in)
 	var sum model.Resources
 	n := 0
-	for _, p := range l.placeholders {
-		sum = sum.Plus(p.size)
-		if !p.largest {
+	for _, placeholder := range provisioner.placeholders {
+		sum = sum.Plus(placeholder.size)
+		if !placeholder.largest {
 			n++
-		} else if p.size != (model.Resources{Cores: 2000, Mem: 3000}) {
-			t.Errorf("the largest placeholder is %v", p.size)
+		} else if placeholder.size != (model.Resources{Cores: 2000, Mem: 3000}) {
+			t.Errorf("the largest placeholder is %v", placeholder.size)
 		}
 	}
 	if n != 4*5 || sum.Cores != 4000 || sum.Mem != 16000 {
 		t.Errorf("%d small placeholders, %v in all, want 20 and a tenth of the fleet", n, sum)
 	}
 	in.Sizes = []model.Resources{{Cores: 50_000, Mem: 500_000}}
-	l.Round(in)
-	if len(l.placeholders) != 1 || l.placeholders[0].size != (model.Resources{Cores: 10_000, Mem: 40_000}) {
-		t.Errorf("%d placeholders, first %v: want one, cut to the biggest machine", len(l.placeholders), l.placeholders[0].size)
+	provisioner.Round(in)
+	if len(provisioner.placeholders) != 1 || provisioner.placeholders[0].size != (model.Resources{Cores: 10_000, Mem: 40_000}) {
+		t.Errorf("%d placeholders, first %v: want one, cut to the biggest machine", len(provisioner.placeholders), provisioner.placeholders[0].size)
 	}
 }
 
 func TestPlaceholdersStayAndArePushed(t *testing.T) {
-	l := New(Defaults())
+	provisioner := New(Defaults())
 	h1, h2 := machine("h1", "box", model.Resources{Cores: 6000}), machine("h2", "box", model.Resources{Cores: 1000})
 	in := input(0, h1, h2)
 	in.Sizes = []model.Resources{{Cores: 3000, Mem: 1000}}
-	l.Round(in)
-	if got := l.machinesOf(true); len(got) != 1 || got[0] != "h1" {
+	provisioner.Round(in)
+	if got := provisioner.machinesOf(true); len(got) != 1 || got[0] != "h1" {
 		t.Fatalf("the largest is at %v, want the fuller machine", got)
 	}
 	h2.Used = model.Resources{Cores: 6500} // now h2 would be the better fit
-	l.Round(in)
-	if got := l.machinesOf(true); got[0] != "h1" {
+	provisioner.Round(in)
+	if got := provisioner.machinesOf(true); got[0] != "h1" {
 		t.Fatalf("the largest moved to %v without need", got)
 	}
 	h1.Used, h2.Used = model.Resources{Cores: 9000}, model.Resources{Cores: 2000}
-	l.Round(in)
-	if got := l.machinesOf(true); got[0] != "h2" {
+	provisioner.Round(in)
+	if got := provisioner.machinesOf(true); got[0] != "h2" {
 		t.Fatalf("the largest is at %v though real tasks pushed it out", got)
 	}
 }
@@ -93,27 +93,27 @@
 // Unplaced placeholders and waiting tasks rent: the fewest machines of the
 // lowest price, one call per type and round; what is on its way counts.
 func TestRenting(t *testing.T) {
-	l := New(Defaults())
+	provisioner := New(Defaults())
 	in := input(0)
 	in.Waiting = []Demand{demand(25, model.Resources{Cores: 1000, Mem: 1000}, true)}
 	in.Sizes = []model.Resources{{Cores: 1000, Mem: 1000}}
-	out := l.Round(in)
+	out := provisioner.Round(in)
 	if len(out.Rent) != 1 || out.Rent[0] != (Rental{"box", "a", true, 3}) {
 		t.Fatalf("rents %+v, want three spot boxes in one call", out.Rent)
 	}
-	l.OfferRefused(Offer{"box", "a", true}, 0)
-	l.OfferRefused(Offer{"box", "b", true}, 0)
-	if out = l.Round(in); len(out.Rent) != 1 || out.Rent[0].Spot || out.Rent[0].MachineType != "box" {
+	provisioner.OfferRefused(Offer{"box", "a", true}, 0)
+	provisioner.OfferRefused(Offer{"box", "b", true}, 0)
+	if out = provisioner.Round(in); len(out.Rent) != 1 || out.Rent[0].Spot || out.Rent[0].MachineType != "box" {
 		t.Fatalf("rents %+v, want ordinary boxes after spot ones were refused", out.Rent)
 	}
 	for range 3 {
 		in.Machines = append(in.Machines, &model.Machine{ID: "~" + string(rune('a'+len(in.Machines))), MachineType: "box", Zone: "a", Size: machineTypes["box"].Size()})
 	}
-	if out = l.Round(in); len(out.Rent) != 0 {
+	if out = provisioner.Round(in); len(out.Rent) != 0 {
 		t.Fatalf("rents %+v though enough is on its way", out.Rent)
 	}
 	in.Now = 10 * 10 * sec // it never came
-	if out = l.Round(in); len(out.Rent) != 1 {
+	if out = provisioner.Round(in); len(out.Rent) != 1 {
 		t.Fatal("counts on machines that are long overdue")
 	}
 }
@@ -121,64 +121,64 @@
 // An empty fleet has no extra, but the largest placeholder stands as soon as a
 // task has been seen.
 func TestEmptyFleetRentsForTheLargest(t *testing.T) {
-	l := New(Defaults())
+	provisioner := New(Defaults())
 	in := input(0)
 	in.Sizes = []model.Resources{{Cores: 1000, Mem: 1000}}
-	if out := l.Round(in); len(out.Rent) != 1 || out.Rent[0].Spot || out.Rent[0].Count != 1 {
+	if out := provisioner.Round(in); len(out.Rent) != 1 || out.Rent[0].Spot || out.Rent[0].Count != 1 {
 		t.Fatalf("rents %+v, want one ordinary box", out.Rent)
 	}
 }
 
 func TestGiveBack(t *testing.T) {
-	l := New(Defaults())
+	provisioner := New(Defaults())
 	h1, h2 := machine("h1", "box", model.Resources{Cores: 1000}), machine("h2", "box", model.Resources{})
 	in := input(30*sec, h1, h2)
 	in.Sizes = []model.Resources{{Cores: 1000, Mem: 1000}}
-	if out := l.Round(in); len(out.ScaleIn) != 0 {
+	if out := provisioner.Round(in); len(out.ScaleIn) != 0 {
 		t.Fatal("gives back before the time that is charged anyway")
 	}
 	in.Now = 70 * sec
 	h2.EmptySince = 67 * sec
-	if out := l.Round(in); len(out.ScaleIn) != 0 {
+	if out := provisioner.Round(in); len(out.ScaleIn) != 0 {
 		t.Fatal("gives back what got empty just now")
 	}
 	h2.EmptySince = 30 * sec
 	in.CloudOK = false
-	if out := l.Round(in); len(out.ScaleIn) != 0 {
+	if out := provisioner.Round(in); len(out.ScaleIn) != 0 {
 		t.Fatal("gives back while the cloud is down")
 	}
 	in.CloudOK = true
 	in.Waiting = []Demand{demand(12, model.Resources{Cores: 1000, Mem: 1000}, false)}
-	if out := l.Round(in); len(out.ScaleIn) != 0 {
+	if out := provisioner.Round(in); len(out.ScaleIn) != 0 {
 		t.Fatal("gives back what waiting tasks need")
 	}
 	in.Waiting = nil
-	if out := l.Round(in); len(out.ScaleIn) != 1 || out.ScaleIn[0] != h2 {
+	if out := provisioner.Round(in); len(out.ScaleIn) != 1 || out.ScaleIn[0] != h2 {
 		t.Fatalf("gives back %v, want h2", out.ScaleIn)
 	}
 	h1.Used = model.Resources{Cores: 10_000} // the placeholder has nowhere else to go
-	if out := l.Round(in); len(out.ScaleIn) != 0 {
+	if out := provisioner.Round(in); len(out.ScaleIn) != 0 {
 		t.Fatal("gives back the placeholder's machine")
 	}
-	in.Now += l.Params.IdleHold
-	if out := l.Round(in); len(out.ScaleIn) != 1 {
+	in.Now += provisioner.Params.IdleHold
+	if out := provisioner.Round(in); len(out.ScaleIn) != 1 {
 		t.Fatal("a placeholder keeps an empty machine for ever")
 	}
 }
 
 // A task that is not urgent does not pay many times the lowest price.
 func TestDearMachines(t *testing.T) {
-	l := New(Defaults())
+	provisioner := New(Defaults())
 	in := input(0)
 	d := demand(2, model.Resources{Cores: 1000, Mem: 1000}, false)
 	in.Waiting = []Demand{d}
-	l.OfferRefused(Offer{"box", "a", false}, 0)
-	l.OfferRefused(Offer{"box", "b", false}, 0)
-	if out := l.Round(in); len(out.Rent) != 0 {
+	provisioner.OfferRefused(Offer{"box", "a", false}, 0)
+	provisioner.OfferRefused(Offer{"box", "b", false}, 0)
+	if out := provisioner.Round(in); len(out.Rent) != 0 {
 		t.Fatalf("rents %+v", out.Rent)
 	}
 	d.Job.Priority = model.HighPriority
-	if out := l.Round(in); len(out.Rent) != 1 || out.Rent[0].MachineType != "gpu" {
+	if out := provisioner.Round(in); len(out.Rent) != 1 || out.Rent[0].MachineType != "gpu" {
 		t.Fatalf("rents %+v for urgent work", out.Rent)
 	}
 }
@@ -255,8 +255,8 @@
 	in := mixedInput(h1, h2)
 	in.SpotTolerantSizes = nil // no placeholder for such work
 	in.Waiting = []Demand{demand(1, need, true)}
-	l := New(Defaults())
-	out := l.Round(in)
+	provisioner := New(Defaults())
+	out := provisioner.Round(in)
 	if len(out.Surplus) != 1 || out.Surplus[0] != h2 {
 		t.Fatalf("surplus is %v, want h2", out.Surplus)
 	}
@@ -264,20 +264,20 @@
 		t.Errorf("rents %v though there is room on h1", out.Rent)
 	}
 	in.Waiting = []Demand{demand(2, need, true)}
-	if out = l.Round(in); len(out.Rent) != 1 || !out.Rent[0].Spot {
+	if out = provisioner.Round(in); len(out.Rent) != 1 || !out.Rent[0].Spot {
 		t.Errorf("rents %v, want a spot box beside the surplus one", out.Rent)
 	}
 	for _, machineType := range []string{"box", "gpu"} {
 		for _, zone := range []string{"a", "b"} {
-			l.OfferRefused(Offer{machineType, zone, true}, 0)
+			provisioner.OfferRefused(Offer{machineType, zone, true}, 0)
 		}
 	}
-	if out = l.Round(in); len(out.Surplus) != 0 || out.Unplaced != 0 {
+	if out = provisioner.Round(in); len(out.Surplus) != 0 || out.Unplaced != 0 {
 		t.Errorf("surplus %v, %d tasks without a place: no spot machine can be had, h2 is wanted", out.Surplus, out.Unplaced)
 	}
 	// Also while nothing waits: what comes next is to find it at once.
 	in.SpotTolerantSizes, in.Waiting = []model.Resources{need}, nil
-	if out = l.Round(in); len(out.Surplus) != 0 {
+	if out = provisioner.Round(in); len(out.Surplus) != 0 {
 		t.Errorf("surplus %v while spot machines are scarce", out.Surplus)
 	}
 }
@@ -287,12 +287,12 @@
 func TestPlaceholdersAreSpreadOverZones(t *testing.T) {
 	in := mixedInput(machine("h1", "box", model.Resources{}), machine("h2", "box", model.Resources{}), machine("h3", "box", model.Resources{}))
 	in.Spread = true
-	l := New(Defaults())
-	out := l.Round(in)
+	provisioner := New(Defaults())
+	out := provisioner.Round(in)
 	zones := map[string]int{}
-	for _, p := range l.placeholders {
-		if p.work == onDemandWork {
-			zones[p.zone]++
+	for _, placeholder := range provisioner.placeholders {
+		if placeholder.work == onDemandWork {
+			zones[placeholder.zone]++
 		}
 	}
 	if len(zones) != 2 || zones["a"]-zones["b"] > 1 || zones["b"]-zones["a"] > 1 {
@@ -316,12 +316,12 @@
 	in := mixedInput(h)
 	in.SpotTolerantSizes = nil
 	in.Now = 1000 * sec
-	l := New(Defaults())
-	if out := l.Round(in); len(out.ScaleIn) != 0 {
+	provisioner := New(Defaults())
+	if out := provisioner.Round(in); len(out.ScaleIn) != 0 {
 		t.Errorf("gives back %v, which holds the only placeholder", out.ScaleIn)
 	}
 	in.Machines = append(in.Machines, machine("h2", "box", model.Resources{}))
-	if out := l.Round(in); len(out.ScaleIn) != 1 {
+	if out := provisioner.Round(in); len(out.ScaleIn) != 1 {
 		t.Errorf("gives back %v, want one of two", out.ScaleIn)
 	}
 }
@@ -372,10 +372,10 @@
 // to be apart waited beside such room for ever.
 func TestRoomInTheWrongZoneIsNone(t *testing.T) {
 	need := model.Resources{Cores: 4000}
-	rent := func(l *Provisioner, d Demand) []Rental {
+	rent := func(provisioner *Provisioner, d Demand) []Rental {
 		in := input(0, machine("h1", "box", model.Resources{}), machine("h2", "box", model.Resources{}))
 		in.Waiting = []Demand{d}
-		return l.Round(in).Rent
+		return provisioner.Round(in).Rent
 	}
 	apart := demand(2, need, false)
 	apart.Job.Spread = true
@@ -392,11 +392,11 @@
 	if rs := rent(New(Defaults()), together); len(rs) != 1 || rs[0].Zone != "a" || rs[0].Count != 1 {
 		t.Errorf("four of five that have to be together fit into zone a; rented %v", rs)
 	}
-	l := New(Defaults())
+	provisioner := New(Defaults())
 	for _, machineType := range []string{"box", "gpu"} {
-		l.OfferRefused(Offer{machineType, "a", false}, 0)
+		provisioner.OfferRefused(Offer{machineType, "a", false}, 0)
 	}
-	if rs := rent(l, together); len(rs) != 1 || rs[0].Zone != "b" || rs[0].Count != 3 {
+	if rs := rent(provisioner, together); len(rs) != 1 || rs[0].Zone != "b" || rs[0].Count != 3 {
 		t.Errorf("nothing can be rented in zone a; rented %v", rs)
 	}
 	together.Job.Bindings = map[int][]*model.Binding{0: {{Machine: &model.Machine{Zone: "b"}}}}
--- a/internal/core/autoscaler/bench_test.go
+++ b/internal/core/autoscaler/bench_test.go
@@ -32,15 +32,15 @@
 		in.Waiting = append(in.Waiting, d)
 		in.Sizes = append(in.Sizes, d.Job.Request)
 	}
-	l := New(Defaults())
+	provisioner := New(Defaults())
 	for _, f := range machineTypes {
 		for _, y := range f.Zones {
-			l.OfferRefused(Offer{f.Name, y, true}, 1<<50)
-			l.OfferRefused(Offer{f.Name, y, false}, 1<<50)
+			provisioner.OfferRefused(Offer{f.Name, y, true}, 1<<50)
+			provisioner.OfferRefused(Offer{f.Name, y, false}, 1<<50)
 		}
 	}
 	for i := range b.N {
 		in.Now = sec + model.Micros(i)*sec/2
-		l.Round(in)
+		provisioner.Round(in)
 	}
 }
--- a/internal/core/autoscaler/candidates.go
+++ b/internal/core/autoscaler/candidates.go
@@ -25,18 +25,18 @@
 func (m *candidateMachine) isOnDemand() bool { return !m.offer.Spot }
 
 // isUsable reports whether a machine can be counted on for work.
-func (l *Provisioner) isUsable(machine *model.Machine, machineType *model.MachineType, now model.Micros) bool {
+func (p *Provisioner) isUsable(machine *model.Machine, machineType *model.MachineType, now model.Micros) bool {
 	if machine.Lost || machine.Draining || machine.Deleting || machine.SpotNotice || machine.Quarantined || machine.Failed || machineType == nil {
 		return false
 	}
-	return machine.Up || now-machine.RentedAt < model.Seconds(machineType.BootS*l.Params.LateAfterBoots)
+	return machine.Up || now-machine.RentedAt < model.Seconds(machineType.BootS*p.Params.LateAfterBoots)
 }
 
 // candidates lists the machines that can be counted on, by ID.
-func (l *Provisioner) candidates(in *Input) []*candidateMachine {
+func (p *Provisioner) candidates(in *Input) []*candidateMachine {
 	candidates := make([]*candidateMachine, 0, len(in.Machines))
 	for _, machine := range in.Machines {
-		if !l.isUsable(machine, in.MachineTypes[machine.MachineType], in.Now) {
+		if !p.isUsable(machine, in.MachineTypes[machine.MachineType], in.Now) {
 			continue
 		}
 		candidate := &candidateMachine{machine: machine, offer: Offer{machine.MachineType, machine.Zone, machine.Spot}, size: machine.Size, free: machine.Free()}
@@ -70,20 +70,20 @@
 // countOnDemandByZone counts the ordinary machines of each zone where jobs have to be spread over
 // zones. Room in one zone alone is no use to such a job beyond its share there, so
 // placeholders and rentals go to the zones by turns.
-func (l *Provisioner) countOnDemandByZone(in *Input, candidates []*candidateMachine) {
-	l.onDemandByZone = nil
+func (p *Provisioner) countOnDemandByZone(in *Input, candidates []*candidateMachine) {
+	p.onDemandByZone = nil
 	if !in.Spread {
 		return
 	}
-	l.onDemandByZone = map[string]int{}
+	p.onDemandByZone = map[string]int{}
 	for _, machineType := range in.MachineTypes {
 		for _, zone := range machineType.Zones {
-			l.onDemandByZone[zone] += 0
+			p.onDemandByZone[zone] += 0
 		}
 	}
 	for _, candidate := range candidates {
 		if candidate.isOnDemand() {
-			l.onDemandByZone[candidate.offer.Zone]++
+			p.onDemandByZone[candidate.offer.Zone]++
 		}
 	}
 }
--- a/internal/core/autoscaler/drain.go
+++ b/internal/core/autoscaler/drain.go
@@ -19,13 +19,13 @@
 
 // drain chooses a machine that is mostly unused and whose replicas all have room on
 // other machines that have their images, beside the placeholders.
-func (l *Provisioner) drain(in *Input, candidates []*candidateMachine) []*model.Machine {
-	if in.Now-l.lastDrain < drainInterval {
+func (p *Provisioner) drain(in *Input, candidates []*candidateMachine) []*model.Machine {
+	if in.Now-p.lastDrain < drainInterval {
 		return nil
 	}
 	var drainable []*candidateMachine
 	for _, candidate := range candidates {
-		if l.isDrainable(in, candidate) {
+		if p.isDrainable(in, candidate) {
 			drainable = append(drainable, candidate)
 		}
 	}
@@ -33,8 +33,8 @@
 		return cmp.Or(len(a.machine.Bindings)-len(b.machine.Bindings), cmp.Compare(a.machine.ID, b.machine.ID))
 	})
 	for _, candidate := range drainable {
-		if l.fitsElsewhere(candidate, candidates) {
-			l.lastDrain = in.Now
+		if p.fitsElsewhere(candidate, candidates) {
+			p.lastDrain = in.Now
 			return []*model.Machine{candidate.machine}
 		}
 	}
@@ -42,9 +42,9 @@
 }
 
 // isDrainable reports whether a machine is mostly unused and has only settled replicas.
-func (l *Provisioner) isDrainable(in *Input, candidate *candidateMachine) bool {
+func (p *Provisioner) isDrainable(in *Input, candidate *candidateMachine) bool {
 	machine := candidate.machine
-	if !machine.Up || machine.Spot || candidate.assigned || len(machine.Bindings) == 0 || in.Now-machine.RentedAt < l.Params.MinBilled {
+	if !machine.Up || machine.Spot || candidate.assigned || len(machine.Bindings) == 0 || in.Now-machine.RentedAt < p.Params.MinBilled {
 		return false
 	}
 	used := machine.Used.Times(drainUsageDivisor)
@@ -66,12 +66,12 @@
 
 // fitsElsewhere tells whether all that is on a machine has room on others of its zone that
 // have the images, and its placeholders on any. If so, the room is taken.
-func (l *Provisioner) fitsElsewhere(drained *candidateMachine, candidates []*candidateMachine) bool {
+func (p *Provisioner) fitsElsewhere(drained *candidateMachine, candidates []*candidateMachine) bool {
 	others := slices.DeleteFunc(slices.Clone(candidates), func(other *candidateMachine) bool {
 		return other == drained || other.surplus || other.offer.Spot || !other.machine.Up || len(other.machine.Bindings) <= len(drained.machine.Bindings)
 	})
 	spare := saveSpare(others)
-	if !takeRoomForReplicas(drained, others) || len(l.placePlaceholders(drained.placeholders, others)) > 0 {
+	if !takeRoomForReplicas(drained, others) || len(p.placePlaceholders(drained.placeholders, others)) > 0 {
 		restoreSpare(others, spare)
 		return false
 	}
--- a/internal/core/autoscaler/offers.go
+++ b/internal/core/autoscaler/offers.go
@@ -39,8 +39,8 @@
 // kind and round. Ordinary and spot machines are separate stocks, and were there one call
 // for both, work that may use spot machines would be given ordinary ones whenever other
 // work rents these in the same round.
-func (l *Provisioner) cheapest(in *Input, toRent []*candidateMachine, need rentalNeed) *candidateMachine {
-	search := offerSearch{provisioner: l, now: in.Now, need: need, lowestPrice: math.Inf(1)}
+func (p *Provisioner) cheapest(in *Input, toRent []*candidateMachine, need rentalNeed) *candidateMachine {
+	search := offerSearch{provisioner: p, now: in.Now, need: need, lowestPrice: math.Inf(1)}
 	for _, name := range slices.Sorted(maps.Keys(in.MachineTypes)) {
 		machineType := in.MachineTypes[name]
 		if need.request.FitCount(machineType.Size(), need.count) == 0 {
@@ -104,9 +104,9 @@
 }
 
 // onDemandAvailable reports whether an ordinary machine may be had in a zone now.
-func (l *Provisioner) onDemandAvailable(in *Input, zone string) bool {
+func (p *Provisioner) onDemandAvailable(in *Input, zone string) bool {
 	for name, machineType := range in.MachineTypes {
-		if machineType.OfferedIn(zone) && in.Now >= l.refusedUntil[Offer{name, zone, false}] {
+		if machineType.OfferedIn(zone) && in.Now >= p.refusedUntil[Offer{name, zone, false}] {
 			return true
 		}
 	}
--- a/internal/core/autoscaler/placeholder_sizes.go
+++ b/internal/core/autoscaler/placeholder_sizes.go
@@ -21,8 +21,8 @@
 
 // includes reports whether a placeholder is of a group, or becomes part of it now that
 // classes of work are told apart, or are not any more.
-func (g placeholderGroup) includes(p *placeholder) bool {
-	return p.gpu == g.gpu && (p.work == g.work || p.work == anyWork || g.work == anyWork)
+func (g placeholderGroup) includes(placeholder *placeholder) bool {
+	return placeholder.gpu == g.gpu && (placeholder.work == g.work || placeholder.work == anyWork || g.work == anyWork)
 }
 
 // groupSizes is what a group's placeholders are to be: one of the largest size, unless
@@ -36,34 +36,34 @@
 // tasks ask for, keeping those that exist on their machines. Where some work needs
 // ordinary machines, each kind of machine has its own, and those on ordinary ones are a
 // share of the whole fleet.
-func (l *Provisioner) resize(in *Input, candidates []*candidateMachine) {
+func (p *Provisioner) resize(in *Input, candidates []*candidateMachine) {
 	if len(in.OnDemandSizes) == 0 {
-		l.resizeClass(in, candidates, anyWork, in.Sizes)
+		p.resizeClass(in, candidates, anyWork, in.Sizes)
 	} else {
-		l.resizeClass(in, candidates, onDemandWork, in.OnDemandSizes)
-		l.resizeClass(in, candidates, spotTolerantWork, in.SpotTolerantSizes)
+		p.resizeClass(in, candidates, onDemandWork, in.OnDemandSizes)
+		p.resizeClass(in, candidates, spotTolerantWork, in.SpotTolerantSizes)
 	}
 	// The largest first: they are the hardest to place.
-	slices.SortStableFunc(l.placeholders, func(a, b *placeholder) int { return cmp.Compare(b.size.Cores, a.size.Cores) })
+	slices.SortStableFunc(p.placeholders, func(a, b *placeholder) int { return cmp.Compare(b.size.Cores, a.size.Cores) })
 }
 
 // resizeClass resizes the groups of a class of work, whose tasks have these sizes.
-func (l *Provisioner) resizeClass(in *Input, candidates []*candidateMachine, work workClass, taskSizes []model.Resources) {
+func (p *Provisioner) resizeClass(in *Input, candidates []*candidateMachine, work workClass, taskSizes []model.Resources) {
 	for _, gpu := range []bool{false, true} {
 		group := placeholderGroup{gpu, work}
-		l.resizeGroup(group, l.groupSizes(in, group, candidates, taskSizes))
+		p.resizeGroup(group, p.groupSizes(in, group, candidates, taskSizes))
 	}
 }
 
 // groupSizes is the largest task that a machine can hold, and an even split of the rest of
 // the extra capacity.
-func (l *Provisioner) groupSizes(in *Input, group placeholderGroup, candidates []*candidateMachine, taskSizes []model.Resources) groupSizes {
+func (p *Provisioner) groupSizes(in *Input, group placeholderGroup, candidates []*candidateMachine, taskSizes []model.Resources) groupSizes {
 	capacity, machines := group.capacity(candidates)
 	sizes := groupSizes{
 		largest: minResources(group.largestTask(taskSizes), group.largestMachine(in.MachineTypes)),
-		count:   machines * l.Params.Granularity,
+		count:   machines * p.Params.Granularity,
 	}
-	rate := l.Params.ExtraCapacityRate
+	rate := p.Params.ExtraCapacityRate
 	if group.work == spotTolerantWork {
 		rate *= spotExtraFactor
 	}
@@ -109,21 +109,21 @@
 }
 
 // resizeGroup has a group's placeholders be of these sizes.
-func (l *Provisioner) resizeGroup(group placeholderGroup, sizes groupSizes) {
+func (p *Provisioner) resizeGroup(group placeholderGroup, sizes groupSizes) {
 	var kept []*placeholder
 	others, hasLargest := 0, false
-	for _, p := range l.placeholders {
+	for _, existing := range p.placeholders {
 		switch {
-		case !group.includes(p):
-			kept = append(kept, p)
-		case p.largest && !sizes.largest.IsZero() && !hasLargest:
+		case !group.includes(existing):
+			kept = append(kept, existing)
+		case existing.largest && !sizes.largest.IsZero() && !hasLargest:
 			hasLargest = true
-			p.size, p.work = sizes.largest, group.work
-			kept = append(kept, p)
-		case !p.largest && others < sizes.count:
+			existing.size, existing.work = sizes.largest, group.work
+			kept = append(kept, existing)
+		case !existing.largest && others < sizes.count:
 			others++
-			p.size, p.work = sizes.each, group.work
-			kept = append(kept, p)
+			existing.size, existing.work = sizes.each, group.work
+			kept = append(kept, existing)
 		}
 	}
 	if !hasLargest && !sizes.largest.IsZero() {
@@ -132,7 +132,7 @@
 	for ; others < sizes.count; others++ {
 		kept = append(kept, &placeholder{size: sizes.each, gpu: group.gpu, work: group.work})
 	}
-	l.placeholders = kept
+	p.placeholders = kept
 }
 
 func scaled(amount model.Milli, rate float64) model.Milli {
--- a/internal/core/autoscaler/placeholders.go
+++ b/internal/core/autoscaler/placeholders.go
@@ -54,23 +54,23 @@
 
 // placePlaceholders puts each placeholder on the fullest machine that has room for it,
 // and returns those that found none.
-func (l *Provisioner) placePlaceholders(placeholders []*placeholder, candidates []*candidateMachine) (unplaced []*placeholder) {
+func (p *Provisioner) placePlaceholders(placeholders []*placeholder, candidates []*candidateMachine) (unplaced []*placeholder) {
 	var failed *placeholder // the last that found none: its like need not look
-	for _, p := range placeholders {
-		if failed != nil && failed.hasSameConstraints(p) && failed.size.Fits(p.size) {
-			unplaced = append(unplaced, p)
+	for _, placeholder := range placeholders {
+		if failed != nil && failed.hasSameConstraints(placeholder) && failed.size.Fits(placeholder.size) {
+			unplaced = append(unplaced, placeholder)
 			continue
 		}
-		best := p.fullestMachine(candidates)
+		best := placeholder.fullestMachine(candidates)
 		if best == nil {
-			failed = p
-			unplaced = append(unplaced, p)
+			failed = placeholder
+			unplaced = append(unplaced, placeholder)
 			continue
 		}
-		best.spare = best.spare.Minus(p.size)
-		best.placeholders = append(best.placeholders, p)
+		best.spare = best.spare.Minus(placeholder.size)
+		best.placeholders = append(best.placeholders, placeholder)
 		if best.machine != nil {
-			p.machine = best.machine.ID
+			placeholder.machine = best.machine.ID
 		}
 	}
 	return unplaced
@@ -92,47 +92,47 @@
 
 // keepPlaceholders leaves the placeholders on their machines as far as they fit there,
 // and returns the others. Those for flexible work come after that work has been placed.
-func (l *Provisioner) keepPlaceholders(candidates []*candidateMachine, flexible bool) (unplaced []*placeholder) {
+func (p *Provisioner) keepPlaceholders(candidates []*candidateMachine, spotTolerant bool) (unplaced []*placeholder) {
 	byID := make(map[string]*candidateMachine, len(candidates))
 	for _, candidate := range candidates {
-		if !flexible || candidate.offer.Spot {
-			candidate.resetSpare(flexible)
+		if !spotTolerant || candidate.offer.Spot {
+			candidate.resetSpare(spotTolerant)
 		}
 		byID[candidate.machine.ID] = candidate
 	}
-	for _, p := range l.placeholders {
-		if (p.work == spotTolerantWork) != flexible {
+	for _, placeholder := range p.placeholders {
+		if (placeholder.work == spotTolerantWork) != spotTolerant {
 			continue
 		}
-		candidate := byID[p.machine]
-		if candidate != nil && p.isAllowedOn(candidate) && p.size.Fits(candidate.spare) {
-			candidate.spare = candidate.spare.Minus(p.size)
-			candidate.placeholders = append(candidate.placeholders, p)
+		candidate := byID[placeholder.machine]
+		if candidate != nil && placeholder.isAllowedOn(candidate) && placeholder.size.Fits(candidate.spare) {
+			candidate.spare = candidate.spare.Minus(placeholder.size)
+			candidate.placeholders = append(candidate.placeholders, placeholder)
 			continue
 		}
-		p.machine = ""
-		unplaced = append(unplaced, p)
+		placeholder.machine = ""
+		unplaced = append(unplaced, placeholder)
 	}
 	return unplaced
 }
 
 // resetSpare has placeholders find all that tasks leave of a machine. Once flexible work
 // is placed, that is on spot machines what this work leaves, too.
-func (m *candidateMachine) resetSpare(flexiblePlaced bool) {
+func (m *candidateMachine) resetSpare(spotTolerantPlaced bool) {
 	m.spare = m.freeForOnDemand
-	if flexiblePlaced && m.offer.Spot {
+	if spotTolerantPlaced && m.offer.Spot {
 		m.spare = m.free
 	}
 }
 
 // assignZones spreads the placeholders evenly over the zones where jobs have to be spread.
-func (l *Provisioner) assignZones() {
-	zones := slices.Sorted(maps.Keys(l.onDemandByZone))
+func (p *Provisioner) assignZones() {
+	zones := slices.Sorted(maps.Keys(p.onDemandByZone))
 	next := 0
-	for _, p := range l.placeholders {
-		p.zone = ""
-		if len(zones) > 1 && p.work == onDemandWork {
-			p.zone = zones[next%len(zones)]
+	for _, placeholder := range p.placeholders {
+		placeholder.zone = ""
+		if len(zones) > 1 && placeholder.work == onDemandWork {
+			placeholder.zone = zones[next%len(zones)]
 			next++
 		}
 	}
@@ -140,69 +140,69 @@
 
 // detachFromUnlisted has the placeholders of machines that are to be rented, which have no
 // ID yet, be placed again in the next round.
-func (l *Provisioner) detachFromUnlisted(candidates []*candidateMachine) {
+func (p *Provisioner) detachFromUnlisted(candidates []*candidateMachine) {
 	known := make(map[string]bool, len(candidates))
 	for _, candidate := range candidates {
 		known[candidate.machine.ID] = true
 	}
-	for _, p := range l.placeholders {
-		if !known[p.machine] {
-			p.machine = ""
+	for _, placeholder := range p.placeholders {
+		if !known[placeholder.machine] {
+			placeholder.machine = ""
 		}
 	}
 }
 
 // rentForPlaceholders adds the machines that unplaced placeholders need to those to be
 // rented.
-func (l *Provisioner) rentForPlaceholders(in *Input, candidates, toRent []*candidateMachine, unplaced []*placeholder) []*candidateMachine {
+func (p *Provisioner) rentForPlaceholders(in *Input, candidates, toRent []*candidateMachine, unplaced []*placeholder) []*candidateMachine {
 	for _, candidate := range toRent {
 		candidate.resetSpare(true)
 	}
-	unplaced = l.placePlaceholders(unplaced, toRent)
-	unplaced = l.moveToOtherZones(in, candidates, unplaced)
+	unplaced = p.placePlaceholders(unplaced, toRent)
+	unplaced = p.moveToOtherZones(in, candidates, unplaced)
 	var failed *placeholder // none can be rented for it, nor for its like
-	for _, p := range unplaced {
-		if failed != nil && failed.hasSameConstraints(p) && failed.size.Fits(p.size) {
+	for _, pending := range unplaced {
+		if failed != nil && failed.hasSameConstraints(pending) && failed.size.Fits(pending.size) {
 			continue
 		}
-		if len(l.placePlaceholders([]*placeholder{p}, toRent)) == 0 {
+		if len(p.placePlaceholders([]*placeholder{pending}, toRent)) == 0 {
 			continue
 		}
-		candidate := l.cheapestForPlaceholder(in, toRent, p)
+		candidate := p.cheapestForPlaceholder(in, toRent, pending)
 		if candidate == nil {
-			failed = p
+			failed = pending
 			continue
 		}
 		candidate.resetSpare(true)
 		toRent = append(toRent, candidate)
-		l.placePlaceholders([]*placeholder{p}, toRent)
+		p.placePlaceholders([]*placeholder{pending}, toRent)
 	}
 	return toRent
 }
 
 // moveToOtherZones places placeholders elsewhere if no machine can be had in their zone at
 // present: room in another zone is better than none. It returns those without a place.
-func (l *Provisioner) moveToOtherZones(in *Input, candidates []*candidateMachine, unplaced []*placeholder) []*placeholder {
+func (p *Provisioner) moveToOtherZones(in *Input, candidates []*candidateMachine, unplaced []*placeholder) []*placeholder {
 	var moved []*placeholder
-	for _, p := range unplaced {
-		if p.zone != "" && !l.onDemandAvailable(in, p.zone) {
-			p.zone = ""
-			moved = append(moved, p)
+	for _, placeholder := range unplaced {
+		if placeholder.zone != "" && !p.onDemandAvailable(in, placeholder.zone) {
+			placeholder.zone = ""
+			moved = append(moved, placeholder)
 		}
 	}
 	if len(moved) == 0 {
 		return unplaced
 	}
-	l.placePlaceholders(moved, candidates)
-	return slices.DeleteFunc(unplaced, func(p *placeholder) bool { return p.machine != "" })
+	p.placePlaceholders(moved, candidates)
+	return slices.DeleteFunc(unplaced, func(placeholder *placeholder) bool { return placeholder.machine != "" })
 }
 
 // cheapestForPlaceholder chooses the machine to be rented for a placeholder, nil if there
 // is none. Placeholders for any task to come need an ordinary machine.
-func (l *Provisioner) cheapestForPlaceholder(in *Input, toRent []*candidateMachine, p *placeholder) *candidateMachine {
+func (p *Provisioner) cheapestForPlaceholder(in *Input, toRent []*candidateMachine, placeholder *placeholder) *candidateMachine {
 	allows := func(machineType, zone string, spot bool) bool {
-		return p.allows(zone, spot) && (p.work == spotTolerantWork || !spot) &&
-			l.idleHold(in, in.MachineTypes[machineType], spot) >= l.Params.IdleHold/minHoldDivisor
+		return placeholder.allows(zone, spot) && (placeholder.work == spotTolerantWork || !spot) &&
+			p.idleHold(in, in.MachineTypes[machineType], spot) >= p.Params.IdleHold/minHoldDivisor
 	}
-	return l.cheapest(in, toRent, rentalNeed{request: p.size, count: 1, allows: allows})
+	return p.cheapest(in, toRent, rentalNeed{request: placeholder.size, count: 1, allows: allows})
 }
--- a/internal/core/autoscaler/spot.go
+++ b/internal/core/autoscaler/spot.go
@@ -8,12 +8,12 @@
 // markSurplus finds the ordinary machines without a task or placeholder that needs one.
 // There are none as long as some work that may use spot machines can't have any: ordinary
 // machines are then what it runs on.
-func (l *Provisioner) markSurplus(in *Input, candidates []*candidateMachine) {
+func (p *Provisioner) markSurplus(in *Input, candidates []*candidateMachine) {
 	if len(in.OnDemandSizes) == 0 {
 		return
 	}
 	for _, size := range in.SpotTolerantSizes {
-		if l.isSpotScarce(in, &model.Job{Request: size, AllowsSpot: true}) {
+		if p.isSpotScarce(in, &model.Job{Request: size, AllowsSpot: true}) {
 			return
 		}
 	}
@@ -24,7 +24,7 @@
 
 // placeSpotTolerant puts tasks that may use spot machines on machines. Surplus machines are
 // used only where no spot machine could be had lately.
-func (l *Provisioner) placeSpotTolerant(in *Input, candidates []*candidateMachine, waiting []Demand) (unplaced []unplacedTasks) {
+func (p *Provisioner) placeSpotTolerant(in *Input, candidates []*candidateMachine, waiting []Demand) (unplaced []unplacedTasks) {
 	var others []*candidateMachine
 	for _, candidate := range candidates {
 		if !candidate.surplus {
@@ -32,7 +32,7 @@
 		}
 	}
 	for _, tasks := range placeWaiting(others, waiting, true) {
-		if l.isSpotScarce(in, tasks.demand.Job.Job) {
+		if p.isSpotScarce(in, tasks.demand.Job.Job) {
 			tasks.count -= placeOnSurplus(candidates, tasks)
 		}
 		if tasks.count > 0 {
@@ -61,14 +61,14 @@
 }
 
 // isSpotScarce tells that a job could not have a spot machine lately.
-func (l *Provisioner) isSpotScarce(in *Input, job *model.Job) bool {
+func (p *Provisioner) isSpotScarce(in *Input, job *model.Job) bool {
 	for name, machineType := range in.MachineTypes {
 		if !job.Request.Fits(machineType.Size()) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
-			until, refused := l.refusedUntil[Offer{name, zone, true}]
-			if job.Allows(name, zone, true) && (!refused || in.Now >= until-l.Params.RefusedPause+spotScarcityPeriod) {
+			until, refused := p.refusedUntil[Offer{name, zone, true}]
+			if job.Allows(name, zone, true) && (!refused || in.Now >= until-p.Params.RefusedPause+spotScarcityPeriod) {
 				return false
 			}
 		}
--- a/internal/core/autoscaler/waiting.go
+++ b/internal/core/autoscaler/waiting.go
@@ -46,25 +46,25 @@
 // splitWaiting parts the waiting tasks into those that are served first and those that may
 // use spot machines, which take what the first and the placeholders leave of the
 // ordinary ones. Where no work needs ordinary machines all are alike.
-func (in *Input) splitWaiting() (first, flexible []Demand) {
+func (in *Input) splitWaiting() (first, spotTolerant []Demand) {
 	if len(in.OnDemandSizes) == 0 {
 		return in.Waiting, nil
 	}
 	for _, demand := range in.Waiting {
 		if demand.Job.AllowsSpot {
-			flexible = append(flexible, demand)
+			spotTolerant = append(spotTolerant, demand)
 		} else {
 			first = append(first, demand)
 		}
 	}
-	return first, flexible
+	return first, spotTolerant
 }
 
 // placeWaiting puts waiting tasks on machines and returns those that found no room.
-func placeWaiting(candidates []*candidateMachine, waiting []Demand, flexible bool) (unplaced []unplacedTasks) {
+func placeWaiting(candidates []*candidateMachine, waiting []Demand, spotTolerant bool) (unplaced []unplacedTasks) {
 	var failed unplaceable
 	for _, demand := range waiting {
-		zones := newZoneLimits(demand.Job, flexible)
+		zones := newZoneLimits(demand.Job, spotTolerant)
 		if failed.covers(demand.Job, 1) {
 			if demand.Count > 0 {
 				unplaced = append(unplaced, unplacedTasks{demand, demand.Count, zones})
@@ -105,14 +105,14 @@
 }
 
 // rentForTasks adds the machines that unplaced tasks need to those to be rented.
-func (l *Provisioner) rentForTasks(in *Input, toRent []*candidateMachine, unplaced []unplacedTasks) []*candidateMachine {
+func (p *Provisioner) rentForTasks(in *Input, toRent []*candidateMachine, unplaced []unplacedTasks) []*candidateMachine {
 	var failed unplaceable
 	for _, tasks := range unplaced {
 		if failed.covers(tasks.demand.Job, tasks.count) {
 			continue
 		}
 		var complete bool
-		toRent, complete = l.rentForJob(in, toRent, tasks)
+		toRent, complete = p.rentForJob(in, toRent, tasks)
 		if !complete && !tasks.zones.applies() {
 			failed = append(failed, tasks)
 		}
@@ -122,7 +122,7 @@
 
 // rentForJob adds the machines that one job's unplaced tasks need. It reports whether all
 // of them have a place on these.
-func (l *Provisioner) rentForJob(in *Input, toRent []*candidateMachine, tasks unplacedTasks) (_ []*candidateMachine, complete bool) {
+func (p *Provisioner) rentForJob(in *Input, toRent []*candidateMachine, tasks unplacedTasks) (_ []*candidateMachine, complete bool) {
 	job, zones := tasks.demand.Job, tasks.zones
 	left := tasks.count
 	for left > 0 {
@@ -139,8 +139,8 @@
 			break
 		}
 		need := rentalNeed{request: job.Request, count: left, anyPrice: job.Priority >= model.HighPriority, allows: zones.allows}
-		candidate := l.cheapest(in, toRent, need)
-		if candidate == nil && l.isZoneExhausted(in, zones) {
+		candidate := p.cheapest(in, toRent, need)
+		if candidate == nil && p.isZoneExhausted(in, zones) {
 			zones.excludeChosenZone()
 			left = tasks.demand.Count
 			continue
--- a/internal/core/autoscaler/zones.go
+++ b/internal/core/autoscaler/zones.go
@@ -19,8 +19,8 @@
 	spotTolerant bool
 }
 
-func newZoneLimits(job *model.JobState, flexible bool) *zoneLimits {
-	return &zoneLimits{job: job, leftByZone: map[string]int{}, spotTolerant: flexible}
+func newZoneLimits(job *model.JobState, spotTolerant bool) *zoneLimits {
+	return &zoneLimits{job: job, leftByZone: map[string]int{}, spotTolerant: spotTolerant}
 }
 
 // applies tells that rules on zones apply.
@@ -95,7 +95,7 @@
 
 // isZoneExhausted tells that nothing can be rented at present in the zone that was chosen for
 // tasks that have to be together.
-func (l *Provisioner) isZoneExhausted(in *Input, zones *zoneLimits) bool {
+func (p *Provisioner) isZoneExhausted(in *Input, zones *zoneLimits) bool {
 	if zones.chosenZone == "" {
 		return false
 	}
@@ -104,7 +104,7 @@
 			continue
 		}
 		for _, spot := range []bool{true, false} {
-			if zones.allows(name, zones.chosenZone, spot) && in.Now >= l.refusedUntil[Offer{name, zones.chosenZone, spot}] {
+			if zones.allows(name, zones.chosenZone, spot) && in.Now >= p.refusedUntil[Offer{name, zones.chosenZone, spot}] {
 				return false
 			}
 		}
