--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -1,6 +1,7 @@
 // Package autoscaler decides which machines to rent and which to release. It follows the
-// "Resource Slack" design: placeholders, which live only in the leader, reserve room for
-// tasks to come, real tasks push them out, and what finds no room has machines rented.
+// "Resource Slack" design: placeholders, which exist only in the leader's memory, reserve
+// room for future tasks; real tasks displace them; and machines are rented for tasks and
+// placeholders that fit nowhere.
 package autoscaler
 
 import (
@@ -9,19 +10,19 @@
 	"woadweir/internal/core/model"
 )
 
-// Params are the settings of the autoscaler, some of them the operators' own.
+// Params holds the autoscaler's settings. Operators can set some of them.
 type Params struct {
 	ExtraCapacityRate float64 // min_extra_capacity_rate
 	Granularity       int
-	LateAfterBoots    float64 // boot times after which a machine is no longer counted on
-	FailedAfterBoots  float64 // boot times after which a machine that was never up is released
-	RefusedPause      model.Micros
-	MinBilled         model.Micros // the shortest time that is charged
-	MaxPriceRatio     float64      // waiting beats a machine that costs this many times the cheapest
-	IdleHold          model.Micros // how long placeholders alone keep the cheapest machine
+	LateAfterBoots    float64      // a machine not up after this many boot times is no longer planned with
+	FailedAfterBoots  float64      // a machine that was never up is released after this many boot times
+	RefusedPause      model.Micros // pause before a refused offer is requested again
+	MinBilled         model.Micros // minimum time that the cloud bills for a machine
+	MaxPriceRatio     float64      // a task waits rather than pay more than this many times the lowest price
+	IdleHold          model.Micros // how long placeholders alone keep a machine of the lowest price per core
 }
 
-// Defaults are the starting values.
+// Defaults returns the default parameters.
 func Defaults() Params {
 	return Params{
 		ExtraCapacityRate: 0.1,
@@ -35,71 +36,74 @@
 	}
 }
 
-// Demand is a number of waiting tasks of one job.
+// Demand is a number of waiting tasks of one job that may be started.
 type Demand struct {
 	Job   *model.JobState
 	Count int
 }
 
-// Input is what a round looks at.
+// Input is the state that a round works on.
 type Input struct {
 	Now          model.Micros
 	Machines     []*model.Machine
 	Waiting      []Demand // in the order in which they are served
 	MachineTypes map[string]*model.MachineType
-	// Sizes of tasks that are requested now or were lately, and of those of them that
-	// need ordinary machines and that may use spot machines.
+	// Sizes lists the sizes of tasks that are requested now or were recently.
+	// OnDemandSizes and SpotTolerantSizes list those of tasks that need on-demand
+	// machines and of tasks that may use spot machines.
 	Sizes, OnDemandSizes, SpotTolerantSizes []model.Resources
-	// OnDemandPriority is the lowest priority of unfinished jobs that need ordinary
-	// machines. Work of lower priority that may use spot machines yields to them.
+	// OnDemandPriority is the lowest priority of unfinished jobs that need on-demand
+	// machines. Spot-tolerant work of lower priority can be preempted for them.
 	OnDemandPriority model.Priority
-	// OnDemandMaxWait is how long at most such a job waits before others are stopped to
-	// make room for it.
+	// OnDemandMaxWait is the longest time that such a job waits before other work is
+	// preempted for it.
 	OnDemandMaxWait model.Micros
-	// Spread tells that some of these jobs have to be spread over zones.
+	// Spread is true if some of these jobs have to be spread over zones.
 	Spread bool
-	// CloudOK tells that the cloud answers: what can't be rented again is kept.
+	// CloudOK is true if the cloud answers. While it does not, no machine is released or
+	// drained, because it could not be rented again.
 	CloudOK bool
 }
 
-// Output is what a round decides.
+// Output holds the decisions of a round.
 type Output struct {
 	Rent    []Rental
 	ScaleIn []*model.Machine
-	// Drain are machines whose tasks have room elsewhere and are to move there.
+	// Drain lists machines whose tasks fit elsewhere and are to move there.
 	Drain []*model.Machine
-	// Surplus are ordinary machines without work or placeholders that need one. They are
-	// to become empty, so work that may use spot machines is not to be placed on them.
+	// Surplus lists on-demand machines without tasks or placeholders that need an
+	// on-demand machine. They are to become empty, so spot-tolerant work must not be
+	// placed on them.
 	Surplus  []*model.Machine
-	Unplaced int // waiting tasks without a place
+	Unplaced int // waiting tasks that fit nowhere
 }
 
 // Provisioner runs the rounds and keeps the placeholders between them.
 type Provisioner struct {
 	Params         Params
 	placeholders   []*placeholder
-	refusedUntil   map[Offer]model.Micros // until when an offer is not requested again
+	refusedUntil   map[Offer]model.Micros // time until which a refused offer is not requested again
 	lastDrain      model.Micros
-	onDemandByZone map[string]int // ordinary machines by zone, nil unless jobs have to be spread
+	onDemandByZone map[string]int // on-demand machines by zone; nil unless jobs have to be spread
 }
 
-// New makes a provisioner without placeholders; a new leader starts with this.
+// New returns a provisioner without placeholders, as a new leader needs it.
 func New(p Params) *Provisioner {
 	return &Provisioner{Params: p, refusedUntil: map[Offer]model.Micros{}}
 }
 
-// OfferRefused notes that an offer had no (or too little) capacity.
+// OfferRefused records that the cloud had no capacity, or too little, for an offer.
 func (p *Provisioner) OfferRefused(offer Offer, now model.Micros) {
 	p.refusedUntil[offer] = now + p.Params.RefusedPause
 }
 
-// Round decides once what to rent, release and drain.
+// Round decides which machines to rent, release and drain.
 func (p *Provisioner) Round(in *Input) Output {
 	candidates := p.candidates(in)
 	p.countOnDemandByZone(in, candidates)
 	onDemand, spotTolerant := in.splitWaiting()
 
-	// Waiting tasks take room first: they push placeholders out.
+	// Waiting tasks are placed before placeholders and so displace them.
 	unplaced := placeWaiting(candidates, onDemand, false)
 	p.resize(in, candidates)
 	p.assignZones()
@@ -108,7 +112,7 @@
 	unplacedSpotTolerant := p.placeSpotTolerant(in, candidates, spotTolerant)
 	unplacedPlaceholders = append(unplacedPlaceholders, p.placePlaceholders(p.keepPlaceholders(candidates, true), candidates)...)
 
-	// Machines are rented for what is unplaced now.
+	// Rent machines for the tasks and placeholders that are still unplaced.
 	var toRent []*candidateMachine
 	toRent = p.rentForTasks(in, toRent, unplaced)
 	toRent = p.rentForTasks(in, toRent, unplacedSpotTolerant)
--- a/internal/core/autoscaler/bench_test.go
+++ b/internal/core/autoscaler/bench_test.go
@@ -7,8 +7,8 @@
 	"woadweir/internal/core/model"
 )
 
-// A round over many machines, most of them full, with 20,000 waiting
-// tasks of many sizes, and no capacity left to be rented.
+// BenchmarkRound measures a round over many machines, most of them full, with 20,000
+// waiting tasks of many sizes, while the cloud has refused every offer.
 func BenchmarkRound(b *testing.B) {
 	for _, machines := range []int{1900, 4000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) { benchRound(b, machines) })
@@ -33,10 +33,10 @@
 		in.Sizes = append(in.Sizes, d.Job.Request)
 	}
 	provisioner := New(Defaults())
-	for _, f := range machineTypes {
-		for _, y := range f.Zones {
-			provisioner.OfferRefused(Offer{f.Name, y, true}, 1<<50)
-			provisioner.OfferRefused(Offer{f.Name, y, false}, 1<<50)
+	for _, machineType := range machineTypes {
+		for _, zone := range machineType.Zones {
+			provisioner.OfferRefused(Offer{machineType.Name, zone, true}, 1<<50)
+			provisioner.OfferRefused(Offer{machineType.Name, zone, false}, 1<<50)
 		}
 	}
 	for i := range b.N {
--- a/internal/core/autoscaler/candidates.go
+++ b/internal/core/autoscaler/candidates.go
@@ -7,24 +7,24 @@
 	"woadweir/internal/core/model"
 )
 
-// candidateMachine is a machine of the round, existing or to be rented, with the room
-// that is left beside the tasks and placeholders that the round has put there.
+// candidateMachine is a machine that the round plans with, existing or to be rented, and
+// the resources that the tasks and placeholders assigned to it leave.
 type candidateMachine struct {
 	machine          *model.Machine // nil: to be rented
 	offer            Offer
 	size             model.Resources
-	free             model.Resources // after real and waiting tasks
-	freeForOnDemand  model.Resources // after those that need ordinary machines, on one of these
-	spare            model.Resources // what placeholders leave of open
-	assigned         bool            // a waiting task was put here
-	runsOnDemandTask bool            // a task that needs an ordinary machine is here
-	surplus          bool            // an ordinary machine that is to become empty
+	free             model.Resources // not used by bound tasks and assigned waiting tasks
+	freeForOnDemand  model.Resources // free, and on an on-demand machine also what preemptible tasks use
+	spare            model.Resources // what placeholders leave of freeForOnDemand, or of free
+	assigned         bool            // the round assigned a waiting task to it
+	runsOnDemandTask bool            // has a task that needs an on-demand machine
+	surplus          bool            // an on-demand machine that is to become empty
 	placeholders     []*placeholder
 }
 
 func (m *candidateMachine) isOnDemand() bool { return !m.offer.Spot }
 
-// isUsable reports whether a machine can be counted on for work.
+// isUsable reports whether tasks can be planned on a machine.
 func (p *Provisioner) isUsable(machine *model.Machine, machineType *model.MachineType, now model.Micros) bool {
 	if machine.Lost || machine.Draining || machine.Deleting || machine.SpotNotice || machine.Quarantined || machine.Failed || machineType == nil {
 		return false
@@ -32,7 +32,7 @@
 	return machine.Up || now-machine.RentedAt < model.Seconds(machineType.BootS*p.Params.LateAfterBoots)
 }
 
-// candidates lists the machines that can be counted on, by ID.
+// candidates returns the usable machines, sorted by ID.
 func (p *Provisioner) candidates(in *Input) []*candidateMachine {
 	candidates := make([]*candidateMachine, 0, len(in.Machines))
 	for _, machine := range in.Machines {
@@ -50,12 +50,12 @@
 	return candidates
 }
 
-// addPreemptibleRoom counts the room of preemptible work on an ordinary machine as open to
-// work that needs ordinary machines and to the placeholders that stand for it.
-// Preemptible is work that may use spot machines, is of lower priority, and is stopped
-// sooner than a machine could boot. Else each such task that is placed there while the
-// room is idle would have one more ordinary machine rented, at several times the price of
-// the spot machine that it could have had.
+// addPreemptibleRoom adds the resources of preemptible tasks on an on-demand machine to
+// those that tasks which need on-demand machines, and their placeholders, may use. A task
+// is preemptible if it may use spot machines, has a lower priority, and would be preempted
+// sooner than a new machine could boot. Otherwise each such task that is placed there
+// while the room is idle would cause another on-demand machine to be rented, at several
+// times the price of the spot machine that it could have used.
 func (m *candidateMachine) addPreemptibleRoom(in *Input) {
 	fasterThanBoot := in.OnDemandMaxWait < model.Seconds(in.MachineTypes[m.offer.MachineType].BootS)
 	for _, binding := range m.machine.Bindings {
@@ -67,9 +67,9 @@
 	}
 }
 
-// countOnDemandByZone counts the ordinary machines of each zone where jobs have to be spread over
-// zones. Room in one zone alone is no use to such a job beyond its share there, so
-// placeholders and rentals go to the zones by turns.
+// countOnDemandByZone counts the on-demand machines of each zone if jobs have to be spread
+// over zones. Such a job can't use room in one zone beyond its share there, so
+// placeholders and rentals are distributed evenly over the zones.
 func (p *Provisioner) countOnDemandByZone(in *Input, candidates []*candidateMachine) {
 	p.onDemandByZone = nil
 	if !in.Spread {
@@ -88,7 +88,7 @@
 	}
 }
 
-// saveSpare copies the spare room of machines, for restoreSpare.
+// saveSpare returns a copy of the spare resources of machines, for restoreSpare.
 func saveSpare(candidates []*candidateMachine) []model.Resources {
 	saved := make([]model.Resources, len(candidates))
 	for i, candidate := range candidates {
@@ -97,7 +97,7 @@
 	return saved
 }
 
-// restoreSpare undoes changes of spare room since saveSpare.
+// restoreSpare undoes changes to spare resources since saveSpare.
 func restoreSpare(candidates []*candidateMachine, saved []model.Resources) {
 	for i, candidate := range candidates {
 		candidate.spare = saved[i]
--- a/internal/core/autoscaler/drain.go
+++ b/internal/core/autoscaler/drain.go
@@ -7,18 +7,18 @@
 	"woadweir/internal/core/model"
 )
 
-// When services end, those that go on are left on many machines that are partly full, and
-// none of them becomes empty for as long as a service lasts. A replica that moves to a
-// machine which has its image is down for about a report period. That is worth it where
-// it empties a machine that is mostly unused, and not more often than this.
+// When services end, the remaining ones are scattered over many partly used machines, none
+// of which becomes empty as long as a service lasts. A replica that moves to a machine
+// which has its image is down for about one heartbeat interval. That is worth it if it
+// empties a machine that is mostly unused, and if it does not happen more often than this.
 const (
-	drainInterval     = 5 * model.Second  // between two machines that are drained
-	minRunBeforeMove  = 60 * model.Second // a replica that began later is not moved
-	drainUsageDivisor = 2                 // no more than one part in so many of the machine is used
+	drainInterval     = 5 * model.Second  // between the drains of two machines
+	minRunBeforeMove  = 60 * model.Second // a replica that has run for less is not moved
+	drainUsageDivisor = 2                 // at most 1/drainUsageDivisor of a drained machine is used
 )
 
-// drain chooses a machine that is mostly unused and whose replicas all have room on
-// other machines that have their images, beside the placeholders.
+// drain chooses a machine that is mostly unused and whose replicas all fit, beside the
+// placeholders, on other machines that have their images.
 func (p *Provisioner) drain(in *Input, candidates []*candidateMachine) []*model.Machine {
 	if in.Now-p.lastDrain < drainInterval {
 		return nil
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// isDrainable reports whether a machine is mostly unused and has only settled replicas.
+// isDrainable reports whether a machine is mostly unused and has only movable replicas.
 func (p *Provisioner) isDrainable(in *Input, candidate *candidateMachine) bool {
 	machine := candidate.machine
 	if !machine.Up || machine.Spot || candidate.assigned || len(machine.Bindings) == 0 || in.Now-machine.RentedAt < p.Params.MinBilled {
@@ -59,13 +59,14 @@
 	return true
 }
 
-// isMovable reports whether a binding is a replica that has run for long enough to be moved.
+// isMovable reports whether a binding is of a replica that has run long enough to be moved.
 func isMovable(binding *model.Binding, now model.Micros) bool {
 	return binding.Job.Kind == model.Service && !binding.Stopping && binding.RunningSince != 0 && now-binding.RunningSince >= minRunBeforeMove
 }
 
-// fitsElsewhere tells whether all that is on a machine has room on others of its zone that
-// have the images, and its placeholders on any. If so, the room is taken.
+// fitsElsewhere reports whether all replicas of a machine fit on other machines of its
+// zone that have the images, and its placeholders on any machines. If so, it takes that
+// room.
 func (p *Provisioner) fitsElsewhere(drained *candidateMachine, candidates []*candidateMachine) bool {
 	others := slices.DeleteFunc(slices.Clone(candidates), func(other *candidateMachine) bool {
 		return other == drained || other.surplus || other.offer.Spot || !other.machine.Up || len(other.machine.Bindings) <= len(drained.machine.Bindings)
@@ -78,8 +79,9 @@
 	return true
 }
 
-// takeRoomForReplicas takes room for each replica of a machine on another one of its zone
-// that has the replica's image. It stops and returns false if one finds none.
+// takeRoomForReplicas takes room for each replica of a machine on another machine of its
+// zone that has the replica's image. It stops and returns false at the first replica that
+// fits nowhere.
 func takeRoomForReplicas(drained *candidateMachine, others []*candidateMachine) bool {
 	for _, binding := range drained.machine.Bindings {
 		job := binding.Job
--- a/internal/core/autoscaler/offers.go
+++ b/internal/core/autoscaler/offers.go
@@ -9,36 +9,38 @@
 )
 
 const (
-	maxMachinesPerRequest = 50      // how many machines the cloud rents in one call
-	unlimitedTasks        = 1 << 20 // stands for as many tasks as a machine holds
+	maxMachinesPerRequest = 50      // the cloud's limit of machines in one rental request
+	unlimitedTasks        = 1 << 20 // more tasks than fit on any machine
 )
 
-// Rental is a request to be made.
+// Rental is a request for machines to be rented.
 type Rental struct {
 	MachineType, Zone string
 	Spot              bool
 	Count             int
 }
 
-// Offer names what can be rented.
+// Offer identifies a kind of machine that can be rented: a type, in a zone, as a spot or
+// an on-demand machine.
 type Offer struct {
 	MachineType, Zone string
 	Spot              bool
 }
 
-// rentalNeed is what a machine is rented for.
+// rentalNeed describes the tasks that a machine is to be rented for.
 type rentalNeed struct {
 	request  model.Resources // of one task
-	count    int             // of such tasks
-	anyPrice bool            // a machine is rented also if waiting would be far cheaper
+	count    int             // number of such tasks
+	anyPrice bool            // rent even if waiting for a cheaper machine would be better
 	allows   func(machineType, zone string, spot bool) bool
 }
 
-// cheapest chooses the offer that holds the tasks at the lowest price per task. A type
-// already chosen in this round is only requested in the same zone: one call per type,
-// kind and round. Ordinary and spot machines are separate stocks, and were there one call
-// for both, work that may use spot machines would be given ordinary ones whenever other
-// work rents these in the same round.
+// cheapest returns a machine of the offer that runs the tasks at the lowest price per
+// task, or nil if there is none. A round makes one request for each machine type and kind
+// (spot or on-demand), so a type that the round has already chosen is only requested in
+// the same zone. Spot and on-demand machines are requested separately: with one request
+// for both, spot-tolerant work would get on-demand machines whenever other work rents
+// these in the same round.
 func (p *Provisioner) cheapest(in *Input, toRent []*candidateMachine, need rentalNeed) *candidateMachine {
 	search := offerSearch{provisioner: p, now: in.Now, need: need, lowestPrice: math.Inf(1)}
 	for _, name := range slices.Sorted(maps.Keys(in.MachineTypes)) {
@@ -46,11 +48,11 @@
 		if need.request.FitCount(machineType.Size(), need.count) == 0 {
 			continue
 		}
-		called := plannedRequests(toRent, name)
+		planned := plannedRequests(toRent, name)
 		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{true, false} {
 				if need.allows(name, zone, spot) {
-					search.consider(Offer{name, zone, spot}, machineType, called[spot])
+					search.consider(Offer{name, zone, spot}, machineType, planned[spot])
 				}
 			}
 		}
@@ -61,22 +63,22 @@
 	return search.best
 }
 
-// offerSearch is a search for the cheapest offer.
+// offerSearch holds the state of a search for the cheapest offer.
 type offerSearch struct {
 	provisioner *Provisioner
 	now         model.Micros
 	need        rentalNeed
 	best        *candidateMachine // nil: none yet
 	bestPrice   float64           // per task
-	lowestPrice float64           // per task, had everything capacity
+	lowestPrice float64           // per task, if every offer had capacity
 }
 
-// consider makes an offer the best if it can be had and is cheaper than the best so far.
-// Called is what the round requests of its type and kind already.
-func (s *offerSearch) consider(offer Offer, machineType *model.MachineType, called plannedRequest) {
+// consider makes an offer the best one if it is available and cheaper than the best so
+// far. planned is what the round already requests of the offer's type and kind.
+func (s *offerSearch) consider(offer Offer, machineType *model.MachineType, planned plannedRequest) {
 	size, price := machineType.Size(), machineType.HourlyPrice(offer.Spot)
 	s.lowestPrice = min(s.lowestPrice, price/float64(s.need.request.FitCount(size, unlimitedTasks)))
-	if s.now < s.provisioner.refusedUntil[offer] || called.machines > 0 && called.offer != offer || called.machines >= maxMachinesPerRequest {
+	if s.now < s.provisioner.refusedUntil[offer] || planned.machines > 0 && planned.offer != offer || planned.machines >= maxMachinesPerRequest {
 		return
 	}
 	perTask := price / float64(s.need.request.FitCount(size, s.need.count))
@@ -86,14 +88,15 @@
 	}
 }
 
-// balancesZones reports whether an ordinary machine of an offer makes the zones more even
-// than one of the best offer.
+// balancesZones reports whether an on-demand machine of an offer balances the zones better
+// than one of the best offer so far.
 func (s *offerSearch) balancesZones(offer Offer) bool {
 	machines := s.provisioner.onDemandByZone
 	return !offer.Spot && machines[offer.Zone] < machines[s.best.offer.Zone]
 }
 
-// isTooExpensive reports whether waiting for a cheaper machine is better than the best offer.
+// isTooExpensive reports whether it is better to wait for a cheaper machine than to take
+// the best offer.
 func (s *offerSearch) isTooExpensive() bool {
 	if s.best == nil || s.need.anyPrice {
 		return false
@@ -103,7 +106,7 @@
 	return price > s.provisioner.Params.MaxPriceRatio*s.lowestPrice*float64(request.FitCount(size, unlimitedTasks))
 }
 
-// onDemandAvailable reports whether an ordinary machine may be had in a zone now.
+// onDemandAvailable reports whether the cloud may have an on-demand machine in a zone now.
 func (p *Provisioner) onDemandAvailable(in *Input, zone string) bool {
 	for name, machineType := range in.MachineTypes {
 		if machineType.OfferedIn(zone) && in.Now >= p.refusedUntil[Offer{name, zone, false}] {
@@ -113,25 +116,25 @@
 	return false
 }
 
-// plannedRequest is what a round requests of one type and kind.
+// plannedRequest is what a round requests of one machine type and kind.
 type plannedRequest struct {
 	offer    Offer
 	machines int
 }
 
-// plannedRequests are the calls for a type among the machines to be rented, by kind: true
-// for spot machines.
+// plannedRequests returns the requests for a machine type that the machines to be rented
+// amount to, by kind: true for spot machines.
 func plannedRequests(toRent []*candidateMachine, machineType string) map[bool]plannedRequest {
-	called := map[bool]plannedRequest{}
+	planned := map[bool]plannedRequest{}
 	for _, candidate := range toRent {
 		if candidate.offer.MachineType == machineType {
-			called[candidate.offer.Spot] = plannedRequest{candidate.offer, called[candidate.offer.Spot].machines + 1}
+			planned[candidate.offer.Spot] = plannedRequest{candidate.offer, planned[candidate.offer.Spot].machines + 1}
 		}
 	}
-	return called
+	return planned
 }
 
-// groupRentals makes one request of the machines of each type and kind.
+// groupRentals combines the machines of each type and kind into one request.
 func groupRentals(toRent []*candidateMachine) []Rental {
 	var rentals []Rental
 	for _, candidate := range toRent {
--- a/internal/core/autoscaler/placeholder_sizes.go
+++ b/internal/core/autoscaler/placeholder_sizes.go
@@ -7,35 +7,35 @@
 	"woadweir/internal/core/model"
 )
 
-// spotExtraFactor is how many times the extra share of ordinary machines is held on spot
-// machines. A spot machine that is idle costs a fraction of an ordinary one, and those
-// that are taken without notice take their tasks with them, which then need room at once.
+// spotExtraFactor multiplies the extra capacity rate for spot machines. An idle spot
+// machine costs a fraction of an on-demand one, and when the cloud reclaims spot machines
+// without notice, the tasks that ran on them need room at once.
 const spotExtraFactor = 2
 
-// placeholderGroup is the placeholders for one class of work, on machines with or without
-// GPUs.
+// placeholderGroup identifies the placeholders for one class of work, on machines with or
+// without GPUs.
 type placeholderGroup struct {
 	gpu  bool
 	work workClass
 }
 
-// includes reports whether a placeholder is of a group, or becomes part of it now that
-// classes of work are told apart, or are not any more.
+// includes reports whether a placeholder belongs to a group, or joins it because classes
+// of work are distinguished from now on, or no longer are.
 func (g placeholderGroup) includes(placeholder *placeholder) bool {
 	return placeholder.gpu == g.gpu && (placeholder.work == g.work || placeholder.work == anyWork || g.work == anyWork)
 }
 
-// groupSizes is what a group's placeholders are to be: one of the largest size, unless
-// that is zero, and count others.
+// groupSizes is the number and the sizes of a group's placeholders: one of the largest
+// size, unless that is zero, and count others of size each.
 type groupSizes struct {
 	largest, each model.Resources
 	count         int
 }
 
-// resize brings number and sizes of the placeholders to what the fleet and the
-// tasks ask for, keeping those that exist on their machines. Where some work needs
-// ordinary machines, each kind of machine has its own, and those on ordinary ones are a
-// share of the whole fleet.
+// resize adjusts the number and the sizes of the placeholders to the fleet and the tasks.
+// Existing placeholders stay on their machines. If some work needs on-demand machines,
+// spot and on-demand machines have separate placeholders, and those on on-demand machines
+// are a share of the whole fleet.
 func (p *Provisioner) resize(in *Input, candidates []*candidateMachine) {
 	if len(in.OnDemandSizes) == 0 {
 		p.resizeClass(in, candidates, anyWork, in.Sizes)
@@ -43,11 +43,11 @@
 		p.resizeClass(in, candidates, onDemandWork, in.OnDemandSizes)
 		p.resizeClass(in, candidates, spotTolerantWork, in.SpotTolerantSizes)
 	}
-	// The largest first: they are the hardest to place.
+	// Place the largest first: they are the hardest to place.
 	slices.SortStableFunc(p.placeholders, func(a, b *placeholder) int { return cmp.Compare(b.size.Cores, a.size.Cores) })
 }
 
-// resizeClass resizes the groups of a class of work, whose tasks have these sizes.
+// resizeClass resizes the groups of a class of work whose tasks have the given sizes.
 func (p *Provisioner) resizeClass(in *Input, candidates []*candidateMachine, work workClass, taskSizes []model.Resources) {
 	for _, gpu := range []bool{false, true} {
 		group := placeholderGroup{gpu, work}
@@ -55,8 +55,9 @@
 	}
 }
 
-// groupSizes is the largest task that a machine can hold, and an even split of the rest of
-// the extra capacity.
+// groupSizes returns the sizes of a group's placeholders: the largest is that of the
+// largest task that a machine can hold, and the others split the rest of the extra
+// capacity evenly.
 func (p *Provisioner) groupSizes(in *Input, group placeholderGroup, candidates []*candidateMachine, taskSizes []model.Resources) groupSizes {
 	capacity, machines := group.capacity(candidates)
 	sizes := groupSizes{
@@ -77,7 +78,8 @@
 	return sizes
 }
 
-// capacity is the size and number of the machines that a group's share is taken of.
+// capacity returns the total size and the number of the machines that a group's extra
+// capacity is computed from.
 func (g placeholderGroup) capacity(candidates []*candidateMachine) (capacity model.Resources, machines int) {
 	for _, candidate := range candidates {
 		if (candidate.size.GPUs > 0) == g.gpu && (g.work != spotTolerantWork || candidate.offer.Spot) {
@@ -88,7 +90,7 @@
 	return capacity, machines
 }
 
-// largestMachine is the size of the machine type with the most cores.
+// largestMachine returns the size of the group's machine type with the most cores.
 func (g placeholderGroup) largestMachine(machineTypes map[string]*model.MachineType) (largest model.Resources) {
 	for _, machineType := range machineTypes {
 		if size := machineType.Size(); (size.GPUs > 0) == g.gpu && size.Cores >= largest.Cores {
@@ -98,7 +100,8 @@
 	return largest
 }
 
-// largestTask is the most that any task needs, of each resource taken alone.
+// largestTask returns the most that any task of the group needs of each resource, taken
+// separately.
 func (g placeholderGroup) largestTask(taskSizes []model.Resources) (largest model.Resources) {
 	for _, size := range taskSizes {
 		if (size.GPUs > 0) == g.gpu {
@@ -108,7 +111,8 @@
 	return largest
 }
 
-// resizeGroup has a group's placeholders be of these sizes.
+// resizeGroup adds, removes and resizes a group's placeholders so that they have the given
+// sizes.
 func (p *Provisioner) resizeGroup(group placeholderGroup, sizes groupSizes) {
 	var kept []*placeholder
 	others, hasLargest := 0, false
@@ -135,15 +139,17 @@
 	p.placeholders = kept
 }
 
+// scaled returns the part of an amount that a rate gives.
 func scaled(amount model.Milli, rate float64) model.Milli {
 	return model.Milli(float64(amount) * rate)
 }
 
+// minResources returns the smaller amount of each resource.
 func minResources(a, b model.Resources) model.Resources {
 	return model.Resources{Cores: min(a.Cores, b.Cores), GPUs: min(a.GPUs, b.GPUs), Mem: min(a.Mem, b.Mem)}
 }
 
-// evenSplit is one of count equal parts of what is positive of an amount.
+// evenSplit returns one of count equal parts of an amount; negative amounts count as zero.
 func evenSplit(amount model.Resources, count int) model.Resources {
 	parts := model.Milli(count)
 	return model.Resources{Cores: max(0, amount.Cores) / parts, GPUs: max(0, amount.GPUs) / parts, Mem: max(0, amount.Mem) / parts}
--- a/internal/core/autoscaler/placeholders.go
+++ b/internal/core/autoscaler/placeholders.go
@@ -7,38 +7,38 @@
 	"woadweir/internal/core/model"
 )
 
-// minHoldDivisor is the least part of the cheapest machine's IdleHold for which a machine
-// has to be kept to be worth renting for placeholders: one that is more expensive would
-// soon be released unused.
+// minHoldDivisor limits which machines are rented for placeholders: only those that
+// placeholders keep for at least IdleHold/minHoldDivisor. A more expensive one would soon
+// be released unused.
 const minHoldDivisor = 3
 
-// workClass tells which work a placeholder holds room for.
+// workClass is the class of work that a placeholder reserves room for.
 type workClass uint8
 
 const (
-	anyWork          workClass = iota // no work needs ordinary machines: all is alike
-	onDemandWork                      // work that needs ordinary machines
+	anyWork          workClass = iota // no work needs on-demand machines: classes are not distinguished
+	onDemandWork                      // work that needs on-demand machines
 	spotTolerantWork                  // work that may use spot machines
 )
 
-// placeholder is a virtual task.
+// placeholder is a virtual task that reserves room for future tasks.
 type placeholder struct {
 	size    model.Resources
 	machine string // its machine's ID, "": unplaced
-	gpu     bool   // true: GPU group
-	largest bool   // the group's largest
+	gpu     bool   // reserves room on machines with GPUs, else on those without
+	largest bool   // the largest placeholder of its group
 	work    workClass
-	zone    string // the only zone, "": any
+	zone    string // the only zone that it may be placed in, "": any
 }
 
-// isAllowedOn tells whether a placeholder may hold room on a machine: on a spot machine that
-// is none for work which needs ordinary ones, and on an ordinary one it would cost
-// several times as much as work that may use spot machines has to pay.
+// isAllowedOn reports whether a placeholder may reserve room on a machine. Room on a spot
+// machine is of no use to work that needs on-demand machines, and room on an on-demand
+// machine costs several times as much as spot-tolerant work has to pay.
 func (p *placeholder) isAllowedOn(candidate *candidateMachine) bool {
 	return (candidate.size.GPUs > 0) == p.gpu && p.allows(candidate.offer.Zone, candidate.offer.Spot)
 }
 
-// allows reports whether a placeholder's work and zone permit such a machine.
+// allows reports whether a placeholder's class of work and zone permit such a machine.
 func (p *placeholder) allows(zone string, spot bool) bool {
 	switch {
 	case p.work == onDemandWork && spot, p.work == spotTolerantWork && !spot:
@@ -47,15 +47,16 @@
 	return p.zone == "" || p.zone == zone
 }
 
-// hasSameConstraints tells that two placeholders may use the same machines.
+// hasSameConstraints reports whether two placeholders may use the same machines.
 func (p *placeholder) hasSameConstraints(other *placeholder) bool {
 	return p.gpu == other.gpu && p.work == other.work && p.zone == other.zone
 }
 
-// placePlaceholders puts each placeholder on the fullest machine that has room for it,
-// and returns those that found none.
+// placePlaceholders assigns each placeholder to the fullest machine that has room for it,
+// and returns those that fit nowhere.
 func (p *Provisioner) placePlaceholders(placeholders []*placeholder, candidates []*candidateMachine) (unplaced []*placeholder) {
-	var failed *placeholder // the last that found none: its like need not look
+	// failed is the last one that fit nowhere: no larger one with the same constraints is tried.
+	var failed *placeholder
 	for _, placeholder := range placeholders {
 		if failed != nil && failed.hasSameConstraints(placeholder) && failed.size.Fits(placeholder.size) {
 			unplaced = append(unplaced, placeholder)
@@ -76,7 +77,8 @@
 	return unplaced
 }
 
-// fullestMachine is the machine with the fewest spare cores that has room for a placeholder.
+// fullestMachine returns the machine with the fewest spare cores that has room for a
+// placeholder, nil if there is none.
 func (p *placeholder) fullestMachine(candidates []*candidateMachine) *candidateMachine {
 	var best *candidateMachine
 	for _, candidate := range candidates {
@@ -90,8 +92,9 @@
 	return best
 }
 
-// keepPlaceholders leaves the placeholders on their machines as far as they fit there,
-// and returns the others. Those for flexible work come after that work has been placed.
+// keepPlaceholders leaves placeholders on their machines if they still fit there, and
+// returns the others. It handles those for spot-tolerant work, after that work has been
+// placed, or all others.
 func (p *Provisioner) keepPlaceholders(candidates []*candidateMachine, spotTolerant bool) (unplaced []*placeholder) {
 	byID := make(map[string]*candidateMachine, len(candidates))
 	for _, candidate := range candidates {
@@ -116,8 +119,8 @@
 	return unplaced
 }
 
-// resetSpare has placeholders find all that tasks leave of a machine. Once flexible work
-// is placed, that is on spot machines what this work leaves, too.
+// resetSpare makes all that tasks leave of a machine available to placeholders. Once
+// spot-tolerant work is placed, a spot machine's spare resources exclude what it uses.
 func (m *candidateMachine) resetSpare(spotTolerantPlaced bool) {
 	m.spare = m.freeForOnDemand
 	if spotTolerantPlaced && m.offer.Spot {
@@ -125,7 +128,8 @@
 	}
 }
 
-// assignZones spreads the placeholders evenly over the zones where jobs have to be spread.
+// assignZones spreads the placeholders for work that needs on-demand machines evenly over
+// the zones if jobs have to be spread.
 func (p *Provisioner) assignZones() {
 	zones := slices.Sorted(maps.Keys(p.onDemandByZone))
 	next := 0
@@ -138,8 +142,9 @@
 	}
 }
 
-// detachFromUnlisted has the placeholders of machines that are to be rented, which have no
-// ID yet, be placed again in the next round.
+// detachFromUnlisted detaches placeholders from machines that are not among the
+// candidates, so that the next round places them again. Machines that are to be rented
+// have no ID yet.
 func (p *Provisioner) detachFromUnlisted(candidates []*candidateMachine) {
 	known := make(map[string]bool, len(candidates))
 	for _, candidate := range candidates {
@@ -152,15 +157,17 @@
 	}
 }
 
-// rentForPlaceholders adds the machines that unplaced placeholders need to those to be
-// rented.
+// rentForPlaceholders adds the machines that unplaced placeholders need to the machines to
+// be rented.
 func (p *Provisioner) rentForPlaceholders(in *Input, candidates, toRent []*candidateMachine, unplaced []*placeholder) []*candidateMachine {
 	for _, candidate := range toRent {
 		candidate.resetSpare(true)
 	}
 	unplaced = p.placePlaceholders(unplaced, toRent)
 	unplaced = p.moveToOtherZones(in, candidates, unplaced)
-	var failed *placeholder // none can be rented for it, nor for its like
+	// failed is the last one that no machine can be rented for: no larger one with the same
+	// constraints is tried.
+	var failed *placeholder
 	for _, pending := range unplaced {
 		if failed != nil && failed.hasSameConstraints(pending) && failed.size.Fits(pending.size) {
 			continue
@@ -180,8 +187,9 @@
 	return toRent
 }
 
-// moveToOtherZones places placeholders elsewhere if no machine can be had in their zone at
-// present: room in another zone is better than none. It returns those without a place.
+// moveToOtherZones places placeholders in other zones if their zone has no machine
+// available at present: room in another zone is better than none. It returns those that
+// are still unplaced.
 func (p *Provisioner) moveToOtherZones(in *Input, candidates []*candidateMachine, unplaced []*placeholder) []*placeholder {
 	var moved []*placeholder
 	for _, placeholder := range unplaced {
@@ -197,8 +205,8 @@
 	return slices.DeleteFunc(unplaced, func(placeholder *placeholder) bool { return placeholder.machine != "" })
 }
 
-// cheapestForPlaceholder chooses the machine to be rented for a placeholder, nil if there
-// is none. Placeholders for any task to come need an ordinary machine.
+// cheapestForPlaceholder returns the machine to be rented for a placeholder, nil if there
+// is none. Unless the placeholder is for spot-tolerant work, that is an on-demand machine.
 func (p *Provisioner) cheapestForPlaceholder(in *Input, toRent []*candidateMachine, placeholder *placeholder) *candidateMachine {
 	allows := func(machineType, zone string, spot bool) bool {
 		return placeholder.allows(zone, spot) && (placeholder.work == spotTolerantWork || !spot) &&
--- a/internal/core/autoscaler/scale_in.go
+++ b/internal/core/autoscaler/scale_in.go
@@ -8,12 +8,12 @@
 	"woadweir/internal/core/model"
 )
 
-// idleBootDivisor is the part of its boot time that a machine has to be empty before it is
-// released: one in so many.
+// idleBootDivisor sets how long a machine has to be empty before it is released:
+// 1/idleBootDivisor of its boot time.
 const idleBootDivisor = 2
 
-// idleHold is how long placeholders alone keep a machine: the more expensive it is per
-// core than the cheapest, the shorter.
+// idleHold returns how long placeholders alone keep a machine. The more expensive it is
+// per core than the cheapest, the shorter that is.
 func (p *Provisioner) idleHold(in *Input, machineType *model.MachineType, spot bool) model.Micros {
 	lowest := math.Inf(1)
 	for _, other := range in.MachineTypes {
@@ -25,10 +25,10 @@
 	return model.Micros(float64(p.Params.IdleHold) * min(1, lowest/own))
 }
 
-// scaleIn chooses empty machines that are not needed: no waiting task was put
-// there, its placeholders find room elsewhere, and keeping it for the next work
-// would by now have cost more than renting anew. It leaves the candidates sorted by
-// price, the most expensive first.
+// scaleIn chooses empty machines that are not needed: no waiting task was assigned to
+// them, their placeholders fit elsewhere, and keeping them for future work would by now
+// have cost more than renting again. It leaves the candidates sorted by price, the most
+// expensive first.
 func (p *Provisioner) scaleIn(in *Input, candidates []*candidateMachine) (released []*model.Machine) {
 	price := func(candidate *candidateMachine) float64 {
 		return in.MachineTypes[candidate.offer.MachineType].HourlyPrice(candidate.offer.Spot)
@@ -47,7 +47,8 @@
 	return released
 }
 
-// isIdle reports whether a machine is empty and has been held and empty for long enough.
+// isIdle reports whether a machine is empty and has been rented and empty for long enough
+// to be released.
 func (p *Provisioner) isIdle(in *Input, candidate *candidateMachine) bool {
 	machine := candidate.machine
 	if !machine.Up || len(machine.Bindings) > 0 || candidate.assigned {
@@ -57,8 +58,9 @@
 	return in.Now-machine.RentedAt >= p.Params.MinBilled && in.Now-machine.EmptySince >= minEmpty
 }
 
-// tryVacate moves a machine's placeholders to others and reports whether the machine can be
-// released. If placeholders that find no other room keep it, all stay where they are.
+// tryVacate moves a machine's placeholders to other machines and reports whether the
+// machine can be released. If placeholders that fit nowhere else keep it, all of them stay
+// where they are.
 func (p *Provisioner) tryVacate(in *Input, candidate *candidateMachine, others []*candidateMachine) bool {
 	spare := saveSpare(others)
 	machineIDs := make([]string, len(candidate.placeholders))
@@ -76,9 +78,9 @@
 	return false
 }
 
-// isKeptByPlaceholders tells whether placeholders that find no other room keep an empty
-// machine. Those that stand for work which needs ordinary machines keep what they would
-// rent again at once; others keep it for a while.
+// isKeptByPlaceholders reports whether placeholders that fit nowhere else keep an empty
+// machine. If some work needs on-demand machines, they keep a machine that would be rented
+// for them again at once; other machines are kept for a while.
 func (p *Provisioner) isKeptByPlaceholders(in *Input, candidate *candidateMachine) bool {
 	hold := p.idleHold(in, in.MachineTypes[candidate.offer.MachineType], candidate.offer.Spot)
 	if len(in.OnDemandSizes) > 0 && hold >= p.Params.IdleHold/minHoldDivisor {
--- a/internal/core/autoscaler/spot.go
+++ b/internal/core/autoscaler/spot.go
@@ -2,12 +2,12 @@
 
 import "woadweir/internal/core/model"
 
-// spotScarcityPeriod is how long after a refusal spot machines count as scarce.
+// spotScarcityPeriod is how long spot machines count as scarce after a refusal.
 const spotScarcityPeriod = 60 * model.Second
 
-// markSurplus finds the ordinary machines without a task or placeholder that needs one.
-// There are none as long as some work that may use spot machines can't have any: ordinary
-// machines are then what it runs on.
+// markSurplus marks the on-demand machines without a task or placeholder that needs an
+// on-demand machine. None are surplus while spot machines are scarce for some
+// spot-tolerant work, because that work then runs on on-demand machines.
 func (p *Provisioner) markSurplus(in *Input, candidates []*candidateMachine) {
 	if len(in.OnDemandSizes) == 0 {
 		return
@@ -22,8 +22,8 @@
 	}
 }
 
-// placeSpotTolerant puts tasks that may use spot machines on machines. Surplus machines are
-// used only where no spot machine could be had lately.
+// placeSpotTolerant assigns spot-tolerant tasks to machines. It uses surplus machines only
+// for jobs for which spot machines are scarce.
 func (p *Provisioner) placeSpotTolerant(in *Input, candidates []*candidateMachine, waiting []Demand) (unplaced []unplacedTasks) {
 	var others []*candidateMachine
 	for _, candidate := range candidates {
@@ -45,7 +45,7 @@
 	return unplaced
 }
 
-// placeOnSurplus puts tasks on surplus machines and returns how many have found room.
+// placeOnSurplus assigns tasks to surplus machines and returns how many it assigned.
 func placeOnSurplus(candidates []*candidateMachine, tasks unplacedTasks) (placed int) {
 	for _, candidate := range candidates {
 		if !candidate.surplus {
@@ -60,7 +60,8 @@
 	return placed
 }
 
-// isSpotScarce tells that a job could not have a spot machine lately.
+// isSpotScarce reports whether the cloud has recently refused every spot offer that suits a
+// job.
 func (p *Provisioner) isSpotScarce(in *Input, job *model.Job) bool {
 	for name, machineType := range in.MachineTypes {
 		if !job.Request.Fits(machineType.Size()) {
--- a/internal/core/autoscaler/waiting.go
+++ b/internal/core/autoscaler/waiting.go
@@ -6,14 +6,14 @@
 	"woadweir/internal/core/model"
 )
 
-// unplacedTasks is a number of a job's tasks without a place.
+// unplacedTasks is a number of a job's tasks that fit nowhere.
 type unplacedTasks struct {
 	demand Demand
 	count  int
 	zones  *zoneLimits
 }
 
-// countTasks sums up the tasks without a place.
+// countTasks returns the total number of unplaced tasks.
 func countTasks(unplaced []unplacedTasks) (count int) {
 	for _, tasks := range unplaced {
 		count += tasks.count
@@ -21,12 +21,13 @@
 	return count
 }
 
-// unplaceable remembers what found no room: room only gets less, so nothing that may
-// use the same machines and needs as much, for no more tasks, has to look again.
+// unplaceable records tasks that found no room. Room only shrinks within a round, so tasks
+// that may use the same machines and need at least as much find none either, unless there
+// are more of them. They are not tried.
 type unplaceable []unplacedTasks
 
-// covers reports whether so many tasks of a job can't find room, as others like them
-// have found none.
+// covers reports whether this number of a job's tasks can't find room, because at least as
+// many that need no more each and may use the same machines have found none.
 func (u unplaceable) covers(job *model.JobState, count int) bool {
 	for i := range u {
 		failed := u[i].demand.Job
@@ -43,9 +44,10 @@
 		(a.Request.GPUs > 0) == (b.Request.GPUs > 0) && slices.Equal(a.MachineTypes, b.MachineTypes)
 }
 
-// splitWaiting parts the waiting tasks into those that are served first and those that may
-// use spot machines, which take what the first and the placeholders leave of the
-// ordinary ones. Where no work needs ordinary machines all are alike.
+// splitWaiting splits the waiting tasks into those that need on-demand machines, which are
+// placed first, and spot-tolerant ones, which use what the former and the placeholders
+// leave of the on-demand machines. If no work needs on-demand machines, all tasks are
+// returned as the first group.
 func (in *Input) splitWaiting() (first, spotTolerant []Demand) {
 	if len(in.OnDemandSizes) == 0 {
 		return in.Waiting, nil
@@ -60,7 +62,7 @@
 	return first, spotTolerant
 }
 
-// placeWaiting puts waiting tasks on machines and returns those that found no room.
+// placeWaiting assigns waiting tasks to machines and returns those that found no room.
 func placeWaiting(candidates []*candidateMachine, waiting []Demand, spotTolerant bool) (unplaced []unplacedTasks) {
 	var failed unplaceable
 	for _, demand := range waiting {
@@ -87,7 +89,7 @@
 	return unplaced
 }
 
-// placeTasks puts up to count tasks on machines and returns how many found no room.
+// placeTasks assigns up to count tasks to machines and returns how many found no room.
 func placeTasks(candidates []*candidateMachine, zones *zoneLimits, count int) (left int) {
 	left = count
 	for _, candidate := range candidates {
@@ -104,7 +106,7 @@
 	return left
 }
 
-// rentForTasks adds the machines that unplaced tasks need to those to be rented.
+// rentForTasks adds the machines that unplaced tasks need to the machines to be rented.
 func (p *Provisioner) rentForTasks(in *Input, toRent []*candidateMachine, unplaced []unplacedTasks) []*candidateMachine {
 	var failed unplaceable
 	for _, tasks := range unplaced {
@@ -120,8 +122,8 @@
 	return toRent
 }
 
-// rentForJob adds the machines that one job's unplaced tasks need. It reports whether all
-// of them have a place on these.
+// rentForJob adds the machines that one job's unplaced tasks need. complete reports
+// whether all of the tasks fit on the machines to be rented.
 func (p *Provisioner) rentForJob(in *Input, toRent []*candidateMachine, tasks unplacedTasks) (_ []*candidateMachine, complete bool) {
 	job, zones := tasks.demand.Job, tasks.zones
 	left := tasks.count
--- a/internal/core/autoscaler/zones.go
+++ b/internal/core/autoscaler/zones.go
@@ -5,17 +5,17 @@
 	"woadweir/internal/core/placement"
 )
 
-// zoneLimits are what the rules on zones leave to a job's waiting tasks. Room in a zone
-// that they may not use must not count as theirs: nothing would be rented for them
-// where they may go, and they would wait beside it for ever.
+// zoneLimits tracks how many of a job's waiting tasks its zone rules still allow in each
+// zone. Room in a zone that the tasks may not use must not count as room for them:
+// nothing would be rented in the zones that they may use, and they would wait for ever.
 type zoneLimits struct {
 	job        *model.JobState
-	leftByZone map[string]int // by zone, for those that were asked for
-	// chosenZone is the one zone that is considered for a job whose tasks have to be
-	// together and of which none is anywhere yet.
+	leftByZone map[string]int // further tasks allowed, for the zones looked at so far
+	// chosenZone is the only zone considered for a job whose tasks have to be in the same
+	// zone and of which none is bound yet; "" if none is chosen.
 	chosenZone string
-	// spotTolerant tells that the tasks take only room that is free now, and leave what is
-	// open to work that needs ordinary machines.
+	// spotTolerant is true if the tasks use only resources that are free, and not those of
+	// preemptible tasks, which stay available to work that needs on-demand machines.
 	spotTolerant bool
 }
 
@@ -23,10 +23,10 @@
 	return &zoneLimits{job: job, leftByZone: map[string]int{}, spotTolerant: spotTolerant}
 }
 
-// applies tells that rules on zones apply.
+// applies reports whether the job has zone rules.
 func (z *zoneLimits) applies() bool { return z.job.SameZone || z.job.Spread }
 
-// roomIn is how many more tasks may go to a zone.
+// roomIn returns how many more tasks may be placed in a zone.
 func (z *zoneLimits) roomIn(zone string) int {
 	if z.chosenZone != "" && zone != z.chosenZone {
 		return 0
@@ -39,7 +39,7 @@
 	return n
 }
 
-// fittingTasks is how many of n tasks may go to a machine.
+// fittingTasks returns how many of n tasks fit on a machine and may be placed there.
 func (z *zoneLimits) fittingTasks(candidate *candidateMachine, n int) int {
 	offer := candidate.offer
 	if !z.job.Allows(offer.MachineType, offer.Zone, offer.Spot) || candidate.machine != nil && !suitsJob(z.job, candidate) {
@@ -56,7 +56,7 @@
 	return fits
 }
 
-// assign puts tasks on a machine.
+// assign assigns a number of tasks to a machine.
 func (z *zoneLimits) assign(candidate *candidateMachine, tasks int) {
 	taken := z.job.Request.Times(tasks)
 	candidate.free = candidate.free.Minus(taken)
@@ -68,15 +68,16 @@
 	}
 }
 
-// allows tells whether a machine of that kind may be rented.
+// allows reports whether a machine of that kind may be rented for the job.
 func (z *zoneLimits) allows(machineType, zone string, spot bool) bool {
 	return z.job.Allows(machineType, zone, spot) && (!z.applies() || z.roomIn(zone) > 0)
 }
 
-// chooseZone settles on the zone that has most room for tasks that have to be together.
+// chooseZone chooses the zone with the most room for tasks that have to be in the same
+// zone.
 func (z *zoneLimits) chooseZone(candidates []*candidateMachine, demand Demand) {
 	if len(z.job.Bindings) > 0 {
-		return // they are where the others are
+		return // the zone of the job's bound tasks is given
 	}
 	room := map[string]int{}
 	for _, candidate := range candidates {
@@ -90,11 +91,11 @@
 	}
 }
 
-// excludeChosenZone gives the chosen zone up for any other: all tasks need a place there.
+// excludeChosenZone gives up the chosen zone, so that all tasks are placed in another one.
 func (z *zoneLimits) excludeChosenZone() { z.leftByZone[z.chosenZone], z.chosenZone = 0, "" }
 
-// isZoneExhausted tells that nothing can be rented at present in the zone that was chosen for
-// tasks that have to be together.
+// isZoneExhausted reports whether nothing can be rented at present in the zone chosen for
+// tasks that have to be in the same zone.
 func (p *Provisioner) isZoneExhausted(in *Input, zones *zoneLimits) bool {
 	if zones.chosenZone == "" {
 		return false
@@ -112,8 +113,8 @@
 	return true
 }
 
-// suitsJob tells whether a machine is for such work: one without GPUs alone must
-// not keep a GPU machine rented, unless it is urgent.
+// suitsJob reports whether a machine may be used for a job. A job that needs no GPUs and
+// is not urgent must not be what keeps a GPU machine rented.
 func suitsJob(job *model.JobState, candidate *candidateMachine) bool {
 	return candidate.size.GPUs == 0 || job.Request.GPUs > 0 || job.Priority >= model.HighPriority || candidate.machine != nil && candidate.machine.Used.GPUs > 0
 }
