--- a/internal/controller/borrowing.go
+++ b/internal/controller/borrowing.go
@@ -30,25 +30,25 @@
 	}
 	s.borrowedJobs[key] = spill.NewBorrowedJob(record, l.controller.now)
 	if l.shard.Jobs[jobID] == nil {
-		guest := record.Spec.Job(l.controller.view.Revisions[key])
-		guest.Priority = model.LowPriority // this cell's own work comes first
-		l.shard.AddGuest(guest, record.Home, model.TaskSetFromBytes(record.Done), l.controller.now)
+		spec := record.Spec.Job(l.controller.view.Revisions[key])
+		spec.Priority = model.LowPriority // this cell's own work comes first
+		l.shard.AddGuest(spec, record.Home, model.TaskSetFromBytes(record.Done), l.controller.now)
 	}
 }
 
 // borrowedJobChanged takes what the view says of a job that another cell has lent.
 func (s *spillManager) borrowedJobChanged(key string) {
 	l := s.leader
-	record, hosting := l.controller.view.BorrowedJobs[key], s.borrowedJobs[key]
+	record, borrowed := l.controller.view.BorrowedJobs[key], s.borrowedJobs[key]
 	switch {
 	case record == nil:
 		delete(s.borrowedJobs, key)
 		l.jobChanged(borrowedJobID(key)) // one of this cell's own by that name may begin
-	case hosting == nil || hosting.Token != record.Token:
+	case borrowed == nil || borrowed.Token != record.Token:
 		s.addBorrowedJob(key)
 		slog.Info("taken in", "job", borrowedJobID(key), "home", record.Home, "token", record.Token)
 	case record.State == spill.Returned:
-		hosting.SetReturned()
+		borrowed.SetReturned()
 	}
 }
 
@@ -82,21 +82,21 @@
 // applyExecutionLeases suspends what this cell has no right to run, and resumes what it has. It is
 // called before every decision and every answer to a worker.
 func (s *spillManager) applyExecutionLeases() {
-	for key, hosting := range s.borrowedJobs {
+	for key, borrowed := range s.borrowedJobs {
 		job := s.borrowedJob(key)
 		if job == nil {
 			continue
 		}
-		switch hosting.Permission(s.withholdTime(), s.leader.controller.now) {
+		switch borrowed.Permission(s.withholdTime(), s.leader.controller.now) {
 		case spill.MayRun:
 			s.leader.shard.Resume(job)
 		case spill.Withheld:
 			job.Suspended = true
 		case spill.Stopped:
-			s.leader.shard.Suspend(job, "no right to run it for "+hosting.Home, s.leader.controller.now)
+			s.leader.shard.Suspend(job, "no right to run it for "+borrowed.Home, s.leader.controller.now)
 		}
 		if len(job.Bindings) > 0 {
-			hosting.MarkStarted()
+			borrowed.MarkStarted()
 		}
 	}
 }
@@ -111,8 +111,8 @@
 	if machine == nil {
 		return false
 	}
-	for key, hosting := range s.borrowedJobs {
-		if machine.TaskCounts[borrowedJobID(key)] > 0 && hosting.Permission(s.withholdTime(), s.leader.controller.now) == spill.Withheld {
+	for key, borrowed := range s.borrowedJobs {
+		if machine.TaskCounts[borrowedJobID(key)] > 0 && borrowed.Permission(s.withholdTime(), s.leader.controller.now) == spill.Withheld {
 			return true
 		}
 	}
@@ -123,26 +123,26 @@
 func (s *spillManager) stepBorrowedJobs() {
 	l := s.leader
 	for _, key := range sortedKeys(s.borrowedJobs) {
-		hosting, jobID := s.borrowedJobs[key], borrowedJobID(key)
+		borrowed, jobID := s.borrowedJobs[key], borrowedJobID(key)
 		job := s.borrowedJob(key)
 		bound := job != nil && len(job.Bindings) > 0
-		if hosting.IsLendingOver() || s.isOrphaned(hosting) {
+		if borrowed.IsLendingOver() || s.isOrphaned(borrowed) {
 			if job != nil {
 				l.shard.EndJob(jobID, "over", l.controller.now)
 			}
-			if !bound && (hosting.CanForget() || s.isOrphaned(hosting)) {
+			if !bound && (borrowed.CanForget() || s.isOrphaned(borrowed)) {
 				s.queueChange(key, spillChange{})
 			}
 			continue
 		}
 		if s.policy != nil {
-			hosting.ReturnUnlessStarted(s.policy.StartTimeout, l.controller.now)
+			borrowed.ReturnUnlessStarted(s.policy.StartTimeout, l.controller.now)
 		}
 		if job != nil && job.UnknownToWorkers {
 			s.recordUnknownJob(key)
-			hosting.RequestReturn()
+			borrowed.RequestReturn()
 		}
-		if hosting.IsReturnRequested() && !hosting.IsReturned() && !bound {
+		if borrowed.IsReturnRequested() && !borrowed.IsReturned() && !bound {
 			s.writeReturn(key)
 		}
 	}
@@ -157,9 +157,9 @@
 
 // isOrphaned tells that a job's home can't be asked, as it is not in the file, and the right
 // to run the job is over. A guest may forget what it has nothing bound of at any time.
-func (s *spillManager) isOrphaned(hosting *spill.BorrowedJob) bool {
-	known := s.policy != nil && s.policy.HasNeighbour(hosting.Home)
-	return !known && hosting.Permission(s.withholdTime(), s.leader.controller.now) == spill.Stopped
+func (s *spillManager) isOrphaned(borrowed *spill.BorrowedJob) bool {
+	known := s.policy != nil && s.policy.HasNeighbour(borrowed.Home)
+	return !known && borrowed.Permission(s.withholdTime(), s.leader.controller.now) == spill.Stopped
 }
 
 // writeReturn has a return made durable: from then on no holder of this cell starts anything
--- a/internal/controller/borrowing_offers.go
+++ b/internal/controller/borrowing_offers.go
@@ -52,8 +52,8 @@
 
 // hasBorrowed tells whether a job is known as lent under a token.
 func (s *spillManager) hasBorrowed(key string, token uint64) bool {
-	hosting := s.borrowedJobs[key]
-	return hosting != nil && hosting.Token == token
+	borrowed := s.borrowedJobs[key]
+	return borrowed != nil && borrowed.Token == token
 }
 
 // refusal tells why a job is not taken, and more about it for logs.
@@ -108,12 +108,12 @@
 	if job := s.leader.shard.Jobs[borrowedJobID(key)]; job != nil && job.HomeCell != "" {
 		return true
 	}
-	hosting := s.borrowedJobs[key]
-	if hosting == nil {
+	borrowed := s.borrowedJobs[key]
+	if borrowed == nil {
 		return false
 	}
-	gone := hosting.IsReturned() || hosting.IsLendingOver()
-	return !gone || token != 0 && token < hosting.Token
+	gone := borrowed.IsReturned() || borrowed.IsLendingOver()
+	return !gone || token != 0 && token < borrowed.Token
 }
 
 // canRun tells whether a job would begin soon: beside room that is left beyond this
@@ -129,13 +129,13 @@
 	if !s.leader.shard.WithinLimit(spec, minTasks) {
 		return false
 	}
-	unbegun := 0
-	for _, hosting := range s.borrowedJobs {
-		if !hosting.HasStarted() && !hosting.IsLendingOver() {
-			unbegun++
+	notStarted := 0
+	for _, borrowed := range s.borrowedJobs {
+		if !borrowed.HasStarted() && !borrowed.IsLendingOver() {
+			notStarted++
 		}
 	}
-	if unbegun >= maxNotStarted {
+	if notStarted >= maxNotStarted {
 		return false
 	}
 	if s.leader.shard.HasRoomFor(spec, s.minTasksPlaced(job), float64(c.operator.ExtraCapacityRate)) {
--- a/internal/controller/borrowing_renewals.go
+++ b/internal/controller/borrowing_renewals.go
@@ -34,43 +34,43 @@
 		byHome[home] = append(byHome[home], key)
 	}
 	for home, keys := range byHome {
-		renewal := s.renewals[home]
-		if renewal == nil {
-			renewal = &renewalSchedule{}
-			s.renewals[home] = renewal
+		schedule := s.renewals[home]
+		if schedule == nil {
+			schedule = &renewalSchedule{}
+			s.renewals[home] = schedule
 		}
-		if renewal.inFlight || c.now < renewal.nextAt || !s.policy.HasNeighbour(home) {
+		if schedule.inFlight || c.now < schedule.nextAt || !s.policy.HasNeighbour(home) {
 			continue
 		}
-		renewal.inFlight = true
-		c.cells.renew(msgRenewed{home: home, sentAt: c.now, token: s.leader.token, renewal: s.newRenewal(renewal, keys)})
+		schedule.inFlight = true
+		c.cells.renew(msgRenewed{home: home, sentAt: c.now, token: s.leader.token, renewal: s.newRenewal(schedule, keys)})
 	}
 }
 
 // newRenewal is what a home cell is asked next: about as many jobs as a question may name,
 // in turn.
-func (s *spillManager) newRenewal(renewal *renewalSchedule, keys []string) *spill.Renewal {
-	r := &spill.Renewal{ExecutionCell: s.policy.Cell, WorkerLease: model.Seconds(s.leader.controller.settings.Params.Workers.LeaseS)}
-	renewal.nextAt = s.leader.controller.now + min(maxRenewalPeriod, s.policy.Lease/renewalsPerLease)
+func (s *spillManager) newRenewal(schedule *renewalSchedule, keys []string) *spill.Renewal {
+	renewal := &spill.Renewal{ExecutionCell: s.policy.Cell, WorkerLease: model.Seconds(s.leader.controller.settings.Params.Workers.LeaseS)}
+	schedule.nextAt = s.leader.controller.now + min(maxRenewalPeriod, s.policy.Lease/renewalsPerLease)
 	if len(keys) > jobsPerRenewal {
 		// All of them are to be asked about in the same time.
-		renewal.nextAt = s.leader.controller.now + (renewal.nextAt-s.leader.controller.now)*jobsPerRenewal/model.Micros(len(keys))
+		schedule.nextAt = s.leader.controller.now + (schedule.nextAt-s.leader.controller.now)*jobsPerRenewal/model.Micros(len(keys))
 	}
 	for i := range min(len(keys), jobsPerRenewal) {
-		key := keys[(renewal.nextJob+i)%len(keys)]
-		r.Jobs = append(r.Jobs, s.jobReport(key))
+		key := keys[(schedule.nextJob+i)%len(keys)]
+		renewal.Jobs = append(renewal.Jobs, s.jobReport(key))
 	}
-	renewal.nextJob = (renewal.nextJob + len(r.Jobs)) % len(keys)
-	return r
+	schedule.nextJob = (schedule.nextJob + len(renewal.Jobs)) % len(keys)
+	return renewal
 }
 
 // jobReport is what this cell knows of a lent job. The call goes on beside the actor, so it
 // gets a set of finished tasks of its own.
 func (s *spillManager) jobReport(key string) spill.JobReport {
-	hosting := s.borrowedJobs[key]
-	report := spill.JobReport{Job: borrowedJobID(key), Token: hosting.Token}
+	borrowed := s.borrowedJobs[key]
+	report := spill.JobReport{Job: borrowedJobID(key), Token: borrowed.Token}
 	job := s.borrowedJob(key)
-	report.Returned = hosting.ReportsReturned(job != nil && len(job.Bindings) > 0)
+	report.Returned = borrowed.ReportsReturned(job != nil && len(job.Bindings) > 0)
 	if job == nil {
 		return report
 	}
@@ -88,8 +88,8 @@
 // renewalAnswered takes a home cell's answer.
 func (s *spillManager) renewalAnswered(m msgRenewed) {
 	c := s.leader.controller
-	if renewal := s.renewals[m.home]; renewal != nil {
-		renewal.inFlight = false
+	if schedule := s.renewals[m.home]; schedule != nil {
+		schedule.inFlight = false
 	}
 	if m.err != nil {
 		slog.Debug("renewal", "home", m.home, "err", m.err)
@@ -98,14 +98,14 @@
 	for i := range min(len(m.answer.Jobs), len(m.renewal.Jobs)) { // in the order of the question
 		verdict := &m.answer.Jobs[i]
 		key := spill.InKey(m.home, verdict.Job)
-		hosting := s.borrowedJobs[key]
-		if hosting == nil || hosting.Token != verdict.Token || m.renewal.Jobs[i].Job != verdict.Job {
+		borrowed := s.borrowedJobs[key]
+		if borrowed == nil || borrowed.Token != verdict.Token || m.renewal.Jobs[i].Job != verdict.Job {
 			continue
 		}
 		if job := s.borrowedJob(key); job != nil && job.FinalStatus == "" {
 			s.leader.shard.ConfirmCompletions(job, verdict.Confirmed)
 		}
-		hosting.ApplyVerdict(verdict, m.renewal.Jobs[i].Returned, m.sentAt, m.answer.Age)
+		borrowed.ApplyVerdict(verdict, m.renewal.Jobs[i].Returned, m.sentAt, m.answer.Age)
 	}
 	s.applyExecutionLeases()
 	s.stepBorrowedJobs()
--- a/internal/controller/cells.go
+++ b/internal/controller/cells.go
@@ -80,30 +80,30 @@
 	return cells, nil
 }
 
-func (x *cellIO) offer(m msgOffered) {
+func (c *cellIO) offer(m msgOffered) {
 	go func() {
-		ctx, cancel := context.WithTimeout(x.io.ctx, cellCallTimeout)
+		ctx, cancel := context.WithTimeout(c.io.ctx, cellCallTimeout)
 		defer cancel()
 		m.err = spill.ErrUnreachable
-		if client := x.clients[m.cell]; client != nil {
+		if client := c.clients[m.cell]; client != nil {
 			var spec []byte
 			if spec, m.err = json.Marshal(m.offer.Spec); m.err == nil {
 				m.answer, m.err = client.Offer(ctx, m.offer, spec)
 			}
 		}
-		x.io.send(m)
+		c.io.send(m)
 	}()
 }
 
-func (x *cellIO) renew(m msgRenewed) {
+func (c *cellIO) renew(m msgRenewed) {
 	go func() {
-		ctx, cancel := context.WithTimeout(x.io.ctx, cellCallTimeout)
+		ctx, cancel := context.WithTimeout(c.io.ctx, cellCallTimeout)
 		defer cancel()
 		m.err = spill.ErrUnreachable
-		if client := x.clients[m.home]; client != nil {
+		if client := c.clients[m.home]; client != nil {
 			m.answer, m.err = client.Renew(ctx, m.renewal)
 		}
-		x.io.send(m)
+		c.io.send(m)
 	}()
 }
 
--- a/internal/controller/duty_cleanup.go
+++ b/internal/controller/duty_cleanup.go
@@ -12,9 +12,9 @@
 const cleanupPeriod = 5 * model.Second
 
 // cleanUp removes keys that nobody needs, if this controller holds that duty.
-func (d *dutyManager) cleanUp(s *duty.Snapshot) {
+func (d *dutyManager) cleanUp(snapshot *duty.Snapshot) {
 	c := d.controller
-	token, mine := s.Holds(duty.Cleanup)
+	token, mine := snapshot.Holds(duty.Cleanup)
 	if !mine || c.now-d.lastCleanupAt < cleanupPeriod {
 		return
 	}
@@ -34,18 +34,18 @@
 
 // unneeded lists what could be removed were it to stay as it is.
 func (d *dutyManager) unneeded() []duty.UnneededKey {
-	v := d.controller.view
+	view := d.controller.view
 	var list []duty.UnneededKey
-	for key, intent := range v.Rentals {
+	for key, intent := range view.Rentals {
 		if intent.State != duty.Open {
-			list = append(list, duty.UnneededIntent(key, v.Revisions[key]))
+			list = append(list, duty.UnneededIntent(key, view.Revisions[key]))
 		}
 	}
-	for key, intent := range v.Returns {
+	for key, intent := range view.Returns {
 		if intent.State != duty.Open {
-			list = append(list, duty.UnneededIntent(key, v.Revisions[key]))
+			list = append(list, duty.UnneededIntent(key, view.Revisions[key]))
 		}
 	}
-	v.UnusedBundles(func(path string, stamp uint64) { list = append(list, duty.UnneededBundle(path, stamp)) })
+	view.UnusedBundles(func(path string, stamp uint64) { list = append(list, duty.UnneededBundle(path, stamp)) })
 	return list
 }
--- a/internal/controller/duty_cloud.go
+++ b/internal/controller/duty_cloud.go
@@ -13,14 +13,14 @@
 const cloudProbePeriod = 4 * model.Second
 
 // probeCloud asks the cloud for something if a duty is held that needs it.
-func (d *dutyManager) probeCloud(s *duty.Snapshot) {
+func (d *dutyManager) probeCloud(snapshot *duty.Snapshot) {
 	_, rents := d.held[duty.Renting]
 	_, returns := d.held[duty.Returning]
 	switch {
 	case !rents && !returns:
 		d.cloudFailingSince = 0
-	case d.controller.leading == nil && s.Now-d.cloudCalledAt >= cloudProbePeriod: // a leader reads the machine list anyway
-		d.cloudCalledAt = s.Now
+	case d.controller.leading == nil && snapshot.Now-d.cloudCalledAt >= cloudProbePeriod: // a leader reads the machine list anyway
+		d.cloudCalledAt = snapshot.Now
 		d.controller.io.fetchMachineTypes()
 	}
 }
--- a/internal/controller/duty_leases.go
+++ b/internal/controller/duty_leases.go
@@ -18,31 +18,31 @@
 }
 
 // updateHeld logs which duties this controller has acquired, and which it has lost and why.
-func (d *dutyManager) updateHeld(s *duty.Snapshot) {
+func (d *dutyManager) updateHeld(snapshot *duty.Snapshot) {
 	leader := d.controller.view.Leader
 	for _, name := range duty.Movable {
-		token, mine := s.Holds(name)
+		token, mine := snapshot.Holds(name)
 		before := d.held[name]
-		lease := s.Leases[name]
+		lease := snapshot.Leases[name]
 		if before != 0 && before != token {
 			delete(d.held, name)
-			slog.Info("duty lost", "duty", name, "token", before, "why", d.lossReason(s, lease))
+			slog.Info("duty lost", "duty", name, "token", before, "why", d.lossReason(snapshot, lease))
 		}
 		if mine && before != token {
 			d.held[name] = token
-			d.vacancies.acquired(name, s.Now)
+			d.vacancies.acquired(name, snapshot.Now)
 			slog.Info("duty held", "duty", name, "token", token, "previous", lease.Previous, "previous_token", lease.PreviousToken, "why", lease.Why)
 		}
-		d.vacancies.observe(name, lease.Token == 0 && leader != nil && leader.UsesIntents, s.Now)
+		d.vacancies.observe(name, lease.Token == 0 && leader != nil && leader.UsesIntents, snapshot.Now)
 	}
 }
 
 // lossReason is why this controller does not hold a duty any more, for the log.
-func (d *dutyManager) lossReason(s *duty.Snapshot, lease duty.StoredLease) string {
+func (d *dutyManager) lossReason(snapshot *duty.Snapshot, lease duty.StoredLease) string {
 	switch {
 	case d.controller.session == 0:
 		return "the session is over"
-	case s.Session == 0:
+	case snapshot.Session == 0:
 		return "no authority: the state service was not reached in time"
 	case lease.Token == 0:
 		return "the lease is gone"
--- a/internal/controller/duty_manager.go
+++ b/internal/controller/duty_manager.go
@@ -17,7 +17,7 @@
 type dutyManager struct {
 	controller    *controller
 	mayHoldDuties bool // it may hold duties without leading
-	keeper        *duty.LeasePlanner
+	planner       *duty.LeasePlanner
 	cleaner       *duty.Cleaner
 	nodes         map[string]duty.Node // live controllers, by name
 	held          map[duty.Name]uint64 // fencing tokens of the duties that are held
@@ -47,15 +47,15 @@
 	if policy == nil {
 		policy = duty.LeaderOnly()
 	}
-	d.keeper = duty.NewLeasePlanner(policy)
+	d.planner = duty.NewLeasePlanner(policy)
 	return d
 }
 
 // hasRecords tells that the state service holds records of duties, so that every
 // controller has to respect them.
 func (d *dutyManager) hasRecords() bool {
-	v := d.controller.view
-	return v.Leader != nil && v.Leader.UsesIntents || len(v.Duties)+len(v.Rentals)+len(v.Returns) > 0
+	view := d.controller.view
+	return view.Leader != nil && view.Leader.UsesIntents || len(view.Duties)+len(view.Rentals)+len(view.Returns) > 0
 }
 
 // shouldUseIntents tells whether a leader is to rent and return through intents: somebody has
@@ -79,21 +79,21 @@
 	}
 	d.lastStepAt = c.now
 	d.enableIntents()
-	s := d.situation()
-	d.updateHeld(&s)
-	d.probeCloud(&s)
-	d.executeIntents(&s)
-	if !c.lanes.isFree(laneDuty, c.now) || d.resync || s.Session == 0 {
+	snapshot := d.snapshot()
+	d.updateHeld(&snapshot)
+	d.probeCloud(&snapshot)
+	d.executeIntents(&snapshot)
+	if !c.lanes.isFree(laneDuty, c.now) || d.resync || snapshot.Session == 0 {
 		return
 	}
 	if l := c.view.Leader; l != nil && l.UsesIntents {
-		if action, ok := d.keeper.Decide(&s); ok {
+		if action, ok := d.planner.Decide(&snapshot); ok {
 			d.writeLease(action)
 			return
 		}
 	}
-	if !d.writeOutcomes(&s, duty.Renting) && !d.writeOutcomes(&s, duty.Returning) {
-		d.cleanUp(&s)
+	if !d.writeOutcomes(&snapshot, duty.Renting) && !d.writeOutcomes(&snapshot, duty.Returning) {
+		d.cleanUp(&snapshot)
 	}
 }
 
@@ -105,18 +105,17 @@
 	if l == nil || !l.ready || c.usesIntents() || !d.shouldUseIntents() || !c.lanes.isFree(laneMisc, c.now) || !c.authority.IsValid(c.now) {
 		return
 	}
-	grant := grantKey
 	c.lanes.pauseUntil(laneMisc, c.now+enableRetryPeriod)
 	c.send(laneMisc, msgCommitted{token: l.token, txn: &state.Txn{
-		Conditions: []state.Condition{{Path: state.LeaderKey, Revision: c.view.Revisions[state.LeaderKey]}, {Path: grant, Revision: l.token}},
+		Conditions: []state.Condition{{Path: state.LeaderKey, Revision: c.view.Revisions[state.LeaderKey]}, {Path: grantKey, Revision: l.token}},
 		Then:       []state.Op{{Set: state.LeaderKey, Value: c.leaderRecord(), LeaseID: c.session}},
 	}})
 }
 
 // situation is what the keeper looks at.
-func (d *dutyManager) situation() duty.Snapshot {
+func (d *dutyManager) snapshot() duty.Snapshot {
 	c := d.controller
-	s := duty.Snapshot{
+	snapshot := duty.Snapshot{
 		Now:               c.now,
 		WallMs:            c.wallClockMs(),
 		Self:              c.settings.NodeName,
@@ -126,31 +125,31 @@
 		Leases:            map[duty.Name]duty.StoredLease{},
 	}
 	if c.session != 0 && c.authority.IsValid(c.now) {
-		s.Session = c.session
+		snapshot.Session = c.session
 	}
 	if c.view.Leader != nil {
-		s.Leader = c.view.Leader.Node
+		snapshot.Leader = c.view.Leader.Node
 	}
 	for name, lease := range c.view.Duties {
-		s.Leases[name] = duty.StoredLease{Lease: *lease, Token: c.view.Revisions[name.Key()]}
+		snapshot.Leases[name] = duty.StoredLease{Lease: *lease, Token: c.view.Revisions[name.Key()]}
 	}
-	return s
+	return snapshot
 }
 
 // liveNodes are the controllers whose sessions stand, with since when.
 func (d *dutyManager) liveNodes() map[string]duty.Node {
-	v := d.controller.view
+	view := d.controller.view
 	for name := range d.nodes {
-		if v.Nodes[name] == nil {
+		if view.Nodes[name] == nil {
 			delete(d.nodes, name)
 		}
 	}
-	for name, rec := range v.Nodes {
+	for name, record := range view.Nodes {
 		node, known := d.nodes[name]
-		if !known || node.Session != rec.Session {
-			node = duty.Node{Name: name, Session: rec.Session, Since: d.controller.now}
+		if !known || node.Session != record.Session {
+			node = duty.Node{Name: name, Session: record.Session, Since: d.controller.now}
 		}
-		node.Candidate, node.Revision = rec.MayHoldDuties, v.Revisions[state.NodeKey(name)]
+		node.Candidate, node.Revision = record.MayHoldDuties, view.Revisions[state.NodeKey(name)]
 		d.nodes[name] = node
 	}
 	return d.nodes
--- a/internal/controller/duty_vacancies.go
+++ b/internal/controller/duty_vacancies.go
@@ -27,23 +27,23 @@
 }
 
 // observe records whether a duty is vacant now.
-func (v *vacancyTimes) observe(name duty.Name, vacant bool, now model.Micros) {
+func (t *vacancyTimes) observe(name duty.Name, vacant bool, now model.Micros) {
 	if !vacant {
-		delete(v.vacantSince, name)
-	} else if _, known := v.vacantSince[name]; !known {
-		v.vacantSince[name] = now
+		delete(t.vacantSince, name)
+	} else if _, known := t.vacantSince[name]; !known {
+		t.vacantSince[name] = now
 	}
 }
 
 // acquired records that this controller holds a duty from now on.
-func (v *vacancyTimes) acquired(name duty.Name, now model.Micros) {
-	since, known := v.vacantSince[name]
+func (t *vacancyTimes) acquired(name duty.Name, now model.Micros) {
+	since, known := t.vacantSince[name]
 	if !known {
 		return
 	}
 	ms := int64((now - since) / model.Millisecond)
-	if err := v.histogram.RecordValue(min(max(1, ms), maxVacancyMs)); err != nil {
+	if err := t.histogram.RecordValue(min(max(1, ms), maxVacancyMs)); err != nil {
 		slog.Debug("vacancy", "err", err)
 	}
-	slog.Info("duty was vacant", "duty", name, "ms", ms, "median_ms", v.histogram.ValueAtQuantile(medianPercent), "most_ms", v.histogram.Max())
+	slog.Info("duty was vacant", "duty", name, "ms", ms, "median_ms", t.histogram.ValueAtQuantile(medianPercent), "most_ms", t.histogram.Max())
 }
--- a/internal/controller/intent_calls.go
+++ b/internal/controller/intent_calls.go
@@ -36,25 +36,25 @@
 
 // executeIntents sends the requests of open intents under the duties that this controller
 // holds, and forgets what has become of those it holds no more.
-func (d *dutyManager) executeIntents(s *duty.Snapshot) {
-	v := d.controller.view
+func (d *dutyManager) executeIntents(snapshot *duty.Snapshot) {
+	view := d.controller.view
 	for key, call := range d.calls {
-		_, mine := s.Holds(call.duty)
-		if !call.inFlight && (!mine || v.Revisions[key] != call.revision) {
+		_, mine := snapshot.Holds(call.duty)
+		if !call.inFlight && (!mine || view.Revisions[key] != call.revision) {
 			call.span.End("")
 			delete(d.calls, key)
 		}
 	}
-	if _, mine := s.Holds(duty.Renting); mine {
-		for _, key := range slices.Sorted(maps.Keys(v.Rentals)) {
-			if rental := v.Rentals[key]; rental.State == duty.Open && d.mayExecute(key, duty.Renting) {
+	if _, mine := snapshot.Holds(duty.Renting); mine {
+		for _, key := range slices.Sorted(maps.Keys(view.Rentals)) {
+			if rental := view.Rentals[key]; rental.State == duty.Open && d.mayExecute(key, duty.Renting) {
 				d.executeRental(key, rental)
 			}
 		}
 	}
-	if _, mine := s.Holds(duty.Returning); mine {
-		for _, key := range slices.Sorted(maps.Keys(v.Returns)) {
-			if ret := v.Returns[key]; ret.State == duty.Open && d.mayExecute(key, duty.Returning) {
+	if _, mine := snapshot.Holds(duty.Returning); mine {
+		for _, key := range slices.Sorted(maps.Keys(view.Returns)) {
+			if ret := view.Returns[key]; ret.State == duty.Open && d.mayExecute(key, duty.Returning) {
 				d.executeReturn(key, ret)
 			}
 		}
@@ -102,9 +102,9 @@
 
 // callEnded takes the end of a request. It returns the intent's call if an outcome is
 // still to be written.
-func (d *dutyManager) callEnded(m intentRef, err error) *intentCall {
-	call := d.calls[m.intentKey]
-	if call == nil || call.revision != m.intentRevision {
+func (d *dutyManager) callEnded(ref intentRef, err error) *intentCall {
+	call := d.calls[ref.intentKey]
+	if call == nil || call.revision != ref.intentRevision {
 		return nil
 	}
 	call.inFlight, call.answeredAt = false, d.controller.now
@@ -115,7 +115,7 @@
 	case errors.Is(err, errTooLate):
 		call.retryAt = d.controller.now
 	default:
-		slog.Debug("intent", "key", m.intentKey, "err", err)
+		slog.Debug("intent", "key", ref.intentKey, "err", err)
 		call.retryAt = d.controller.now + callRetryDelay
 		d.cloudAnswered(err)
 	}
--- a/internal/controller/intent_outcomes.go
+++ b/internal/controller/intent_outcomes.go
@@ -26,9 +26,9 @@
 
 // writeOutcomes makes the outcomes of a duty's intents durable, some at a time, under the
 // duty's token. It tells whether it sent a write.
-func (d *dutyManager) writeOutcomes(s *duty.Snapshot, name duty.Name) bool {
+func (d *dutyManager) writeOutcomes(snapshot *duty.Snapshot, name duty.Name) bool {
 	c := d.controller
-	token, mine := s.Holds(name)
+	token, mine := snapshot.Holds(name)
 	if !mine {
 		return false
 	}
--- a/internal/controller/lag_detector.go
+++ b/internal/controller/lag_detector.go
@@ -18,19 +18,19 @@
 }
 
 // ticked records a tick.
-func (g *lagDetector) ticked(now model.Micros) {
+func (d *lagDetector) ticked(now model.Micros) {
 	switch {
-	case g.lastTickAt == 0 || now-g.lastTickAt < lateTickGap:
-		g.lateSince, g.lateTicks = 0, 0
-	case g.lateTicks == 0:
-		g.lateSince, g.lateTicks = g.lastTickAt, 1
+	case d.lastTickAt == 0 || now-d.lastTickAt < lateTickGap:
+		d.lateSince, d.lateTicks = 0, 0
+	case d.lateTicks == 0:
+		d.lateSince, d.lateTicks = d.lastTickAt, 1
 	default:
-		g.lateTicks++
+		d.lateTicks++
 	}
-	g.lastTickAt = now
+	d.lastTickAt = now
 }
 
 // isOverloaded reports whether the actor has fallen behind for long.
-func (g *lagDetector) isOverloaded(now model.Micros) bool {
-	return g.lateTicks >= minLateTicks && now-g.lateSince >= minOverload
+func (d *lagDetector) isOverloaded(now model.Micros) bool {
+	return d.lateTicks >= minLateTicks && now-d.lateSince >= minOverload
 }
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -52,9 +52,9 @@
 
 // release ends a reservation.
 func (s *spillManager) release(jobID string) {
-	if r, reserved := s.reservations[jobID]; reserved {
+	if reserved, found := s.reservations[jobID]; found {
 		delete(s.reservations, jobID)
-		s.leader.shard.ReleaseQuota(r.team, r.amount)
+		s.leader.shard.ReleaseQuota(reserved.team, reserved.amount)
 	}
 }
 
@@ -63,15 +63,15 @@
 	l := s.leader
 	record := l.controller.view.LentJobs[jobID]
 	if record != nil && record.State == spill.Lent {
-		lending := s.lentJobs[jobID]
-		if lending == nil || lending.Record.Token != record.Token {
+		lent := s.lentJobs[jobID]
+		if lent == nil || lent.Record.Token != record.Token {
 			s.lentJobs[jobID] = spill.NewLentJob(*record, l.controller.now)
 			s.suspendLent(jobID)
 			s.reserve(jobID, record)
 			slog.Info("lent", "job", jobID, "cell", record.Cell, "token", record.Token)
 			return
 		}
-		lending.Record = *record
+		lent.Record = *record
 		return
 	}
 	if record != nil && record.State == spill.Unreadable {
@@ -99,18 +99,18 @@
 		}
 	}
 	for _, jobID := range sortedKeys(s.lentJobs) {
-		lending, job := s.lentJobs[jobID], s.leader.shard.Jobs[jobID]
-		if job == nil || job.EndPending || job.FinalStatus != "" || lending.Record.State != spill.Lent {
+		lent, job := s.lentJobs[jobID], s.leader.shard.Jobs[jobID]
+		if job == nil || job.EndPending || job.FinalStatus != "" || lent.Record.State != spill.Lent {
 			continue
 		}
-		if reason, proven := lending.TakeBack(c.now); proven {
-			s.takeBack(jobID, lending, reason)
+		if reason, proven := lent.TakeBack(c.now); proven {
+			s.takeBack(jobID, lent, reason)
 			continue
 		}
-		if lending.StartOfferIfDue(c.now) {
-			s.sendOffer(jobID, lending.Record.Cell, lending.Record.Token)
+		if lent.StartOfferIfDue(c.now) {
+			s.sendOffer(jobID, lent.Record.Cell, lent.Record.Token)
 		}
-		s.recordRunning(jobID, lending)
+		s.recordRunning(jobID, lent)
 	}
 	if c.now-s.lastRecallSearchAt >= recallPeriod {
 		s.lastRecallSearchAt = c.now
@@ -122,15 +122,15 @@
 func (s *spillManager) recallOne() {
 	looked := 0
 	for _, jobID := range sortedKeys(s.lentJobs) {
-		lending, job := s.lentJobs[jobID], s.leader.shard.Jobs[jobID]
-		if job == nil || job.EndPending || job.FinalStatus != "" || lending.HasStarted() || lending.IsRecalled() {
+		lent, job := s.lentJobs[jobID], s.leader.shard.Jobs[jobID]
+		if job == nil || job.EndPending || job.FinalStatus != "" || lent.HasStarted() || lent.IsRecalled() {
 			continue
 		}
 		if looked++; looked > maxJobsSearched {
 			return
 		}
-		if s.shouldRecall(job, lending) {
-			lending.Recall(s.leader.controller.now)
+		if s.shouldRecall(job, lent) {
+			lent.Recall(s.leader.controller.now)
 			return
 		}
 	}
@@ -139,9 +139,9 @@
 // forgetEnded removes the record of a job that has ended, once nothing of it can be in the
 // guest: until then it counts towards its team's limit.
 func (s *spillManager) forgetEnded(jobID string) {
-	lending := s.lentJobs[jobID]
-	if lending != nil {
-		if _, proven := lending.TakeBack(s.leader.controller.now); !proven {
+	lent := s.lentJobs[jobID]
+	if lent != nil {
+		if _, proven := lent.TakeBack(s.leader.controller.now); !proven {
 			return
 		}
 	}
@@ -149,17 +149,17 @@
 }
 
 // shouldRecall tells that a job that has not begun in its guest is better off at home.
-func (s *spillManager) shouldRecall(job *model.JobState, lending *spill.LentJob) bool {
-	if s.policy == nil || !s.policy.HasNeighbour(lending.Record.Cell) {
+func (s *spillManager) shouldRecall(job *model.JobState, lent *spill.LentJob) bool {
+	if s.policy == nil || !s.policy.HasNeighbour(lent.Record.Cell) {
 		return true
 	}
 	return s.leader.shard.HasRoomSoonFor(job.Job, s.minTasksPlaced(job), s.leader.controller.now) && !s.leader.shard.OwnWorkWaits(ownJobMaxWait, s.leader.controller.now)
 }
 
 // takeBack has a job come home. Nothing of it is bound here before that is durable.
-func (s *spillManager) takeBack(jobID string, lending *spill.LentJob, reason spill.TakeBackReason) {
+func (s *spillManager) takeBack(jobID string, lent *spill.LentJob, reason spill.TakeBackReason) {
 	key := spill.OutKey(jobID)
-	record := lending.Record
+	record := lent.Record
 	if change, ok := s.pendingChanges[key].value.(spill.OutRecord); ok && change.State == spill.Home {
 		return
 	}
@@ -170,15 +170,15 @@
 }
 
 // recordRunning has the users' answers say that a lent job runs, once.
-func (s *spillManager) recordRunning(jobID string, lending *spill.LentJob) {
-	if lending.Record.Running > 0 || !lending.HasStarted() {
+func (s *spillManager) recordRunning(jobID string, lent *spill.LentJob) {
+	if lent.Record.Running > 0 || !lent.HasStarted() {
 		return
 	}
 	if _, pending := s.pendingChanges[spill.OutKey(jobID)]; pending {
 		return
 	}
-	record := lending.Record
-	record.Running = max(1, lending.RunningTasks())
+	record := lent.Record
+	record.Running = max(1, lent.RunningTasks())
 	s.queueChange(spill.OutKey(jobID), spillChange{value: record})
 }
 
--- a/internal/controller/lending_offers.go
+++ b/internal/controller/lending_offers.go
@@ -27,8 +27,8 @@
 
 // lendingTrace is the trace of a lending, "" if there is none.
 func (s *spillManager) lendingTrace(jobID string) string {
-	if lending := s.lentJobs[jobID]; lending != nil {
-		return lending.Record.Trace
+	if lent := s.lentJobs[jobID]; lent != nil {
+		return lent.Record.Trace
 	}
 	return ""
 }
@@ -36,24 +36,24 @@
 // offerAnswered takes a cell's answer to an offer.
 func (s *spillManager) offerAnswered(m msgOffered) {
 	c := s.leader.controller
-	contact := s.contact(m.cell)
+	pacer := s.pacer(m.cell)
 	if m.offer.Token == 0 {
 		delete(s.probed, m.cell)
 	}
 	if m.err != nil {
-		contact.RecordFailure(0, c.jitter(), c.now)
+		pacer.RecordFailure(0, c.jitter(), c.now)
 		slog.Debug("offer", "cell", m.cell, "err", m.err)
 		return
 	}
 	if m.answer.Refusal != spill.NotRefused {
-		contact.RecordFailure(m.answer.RetryAfter, c.jitter(), c.now)
+		pacer.RecordFailure(m.answer.RetryAfter, c.jitter(), c.now)
 		slog.Info("offer refused", "job", m.job, "cell", m.cell, "why", m.answer.Refusal, "detail", m.answer.Detail)
-		if lending := s.lentJobs[m.job]; lending != nil && lending.Record.Token == m.offer.Token {
-			lending.MarkRefused()
+		if lent := s.lentJobs[m.job]; lent != nil && lent.Record.Token == m.offer.Token {
+			lent.MarkRefused()
 		}
 		return
 	}
-	contact.RecordSuccess(c.now-m.sentAt, c.now)
+	pacer.RecordSuccess(c.now-m.sentAt, c.now)
 	if m.offer.Token == 0 {
 		s.lend(m.job, m.cell, m.answer.WorkerLease)
 		s.lastProbeAt = 0 // the next may follow at once
@@ -74,7 +74,7 @@
 			s.leaseMismatches[cell] = true
 			slog.Error("nothing is lent to this cell: its workers' lease does not fit into cancel_s", "cell", cell, "lease_s", workerLease.Seconds(), "cancel_s", cancel.Seconds())
 		}
-		s.contact(cell).RecordFailure(leaseMismatchPause, c.jitter(), c.now)
+		s.pacer(cell).RecordFailure(leaseMismatchPause, c.jitter(), c.now)
 		return
 	}
 	record := spill.OutRecord{
--- a/internal/controller/lending_search.go
+++ b/internal/controller/lending_search.go
@@ -56,7 +56,7 @@
 	for range s.policy.Neighbours {
 		s.neighbourIndex++
 		cell := s.policy.Neighbours[s.neighbourIndex%len(s.policy.Neighbours)].Cell
-		if !s.probed[cell] && s.contact(cell).Ready(s.leader.controller.now) && s.unconfirmed(cell) < maxUnconfirmed {
+		if !s.probed[cell] && s.pacer(cell).Ready(s.leader.controller.now) && s.unconfirmed(cell) < maxUnconfirmed {
 			return cell
 		}
 	}
@@ -64,17 +64,17 @@
 }
 
 // contact paces the offers to a cell.
-func (s *spillManager) contact(cell string) *spill.OfferPacer {
-	if s.contacts[cell] == nil {
-		s.contacts[cell] = &spill.OfferPacer{}
+func (s *spillManager) pacer(cell string) *spill.OfferPacer {
+	if s.pacers[cell] == nil {
+		s.pacers[cell] = &spill.OfferPacer{}
 	}
-	return s.contacts[cell]
+	return s.pacers[cell]
 }
 
 // unconfirmed is how many jobs were lent to a cell that it has not asked for yet.
 func (s *spillManager) unconfirmed(cell string) (n int) {
-	for _, lending := range s.lentJobs {
-		if lending.Record.Cell == cell && !lending.RenewalReceived() {
+	for _, lent := range s.lentJobs {
+		if lent.Record.Cell == cell && !lent.RenewalReceived() {
 			n++
 		}
 	}
--- a/internal/controller/spill.go
+++ b/internal/controller/spill.go
@@ -29,7 +29,7 @@
 	// As a home cell.
 	lentJobs           map[string]*spill.LentJob    // by job
 	reservations       map[string]reservation       // by job
-	contacts           map[string]*spill.OfferPacer // by cell
+	pacers             map[string]*spill.OfferPacer // by cell
 	probed             map[string]bool              // neighbours that are asked whether they take a job
 	neighbourIndex     int                          // the neighbour that is asked next
 	lastProbeAt        model.Micros                 // when a job to be lent was last looked for
@@ -50,7 +50,7 @@
 		pendingChanges:  map[string]spillChange{},
 		lentJobs:        map[string]*spill.LentJob{},
 		reservations:    map[string]reservation{},
-		contacts:        map[string]*spill.OfferPacer{},
+		pacers:          map[string]*spill.OfferPacer{},
 		probed:          map[string]bool{},
 		leaseMismatches: map[string]bool{},
 		borrowedJobs:    map[string]*spill.BorrowedJob{},
