--- a/internal/controller/cloud_health.go
+++ b/internal/controller/cloud_health.go
@@ -13,7 +13,7 @@
 // isHealthy reports whether the latest call to the cloud succeeded.
 func (h *cloudHealth) isHealthy() bool { return h.lastSuccess > h.lastFailure }
 
-// failedWithin reports whether a call to the cloud failed less than that long ago.
+// failedWithin reports whether the latest failed call to the cloud is no older than a span.
 func (h *cloudHealth) failedWithin(span, now model.Micros) bool {
 	return now-h.lastFailure <= span
 }
--- a/internal/controller/cloud_polling.go
+++ b/internal/controller/cloud_polling.go
@@ -10,7 +10,7 @@
 )
 
 // cloudPolling schedules a leader's reads of the cloud's machine types and machine list.
-// Of each kind at most one request is in flight.
+// At most one request of each kind is in flight.
 type cloudPolling struct {
 	machineTypesRequestedAt model.Micros // when they were last requested, 0: never
 	machineTypesInFlight    bool
--- a/internal/controller/intent_calls.go
+++ b/internal/controller/intent_calls.go
@@ -14,28 +14,28 @@
 	"woadweir/internal/tracing"
 )
 
-// Limits of the calls by which intents are carried out.
+// Limits of the calls to the cloud that carry out intents.
 const (
-	maxCallsInFlight = 8            // of a duty
+	maxCallsInFlight = 8            // for each duty
 	callRetryDelay   = model.Second // after a call that failed
 )
 
 // intentCall is an open intent that this controller carries out.
 type intentCall struct {
-	revision uint64 // the intent's revision
+	revision uint64 // of the intent's key
 	duty     duty.Name
-	inFlight bool         // a request is on its way
-	retryAt  model.Micros // after a failure
+	inFlight bool         // a request has been sent and has no answer yet
+	retryAt  model.Micros // when a failed request may be repeated
 	outcome  any          // the record to be written, nil: none yet
-	// answeredAt is when the outcome was known, and reported tells that it has waited
-	// for long to be written, which was logged.
+	// answeredAt is when the cloud's answer arrived. slowLogged is true if it was logged
+	// that the outcome has waited long to be written.
 	answeredAt model.Micros
 	slowLogged bool
 	span       tracing.Span
 }
 
 // executeIntents sends the requests of open intents under the duties that this controller
-// holds, and forgets what has become of those it holds no more.
+// holds. It drops calls of duties that it no longer holds, and of intents that have changed.
 func (d *dutyManager) executeIntents(snapshot *duty.Snapshot) {
 	view := d.controller.view
 	for key, call := range d.calls {
@@ -61,7 +61,7 @@
 	}
 }
 
-// mayExecute tells whether the request of an open intent is to be sent now.
+// mayExecute reports whether the request of an open intent may be sent now.
 func (d *dutyManager) mayExecute(key string, name duty.Name) bool {
 	if call := d.calls[key]; call != nil {
 		return !call.inFlight && call.outcome == nil && d.controller.now >= call.retryAt
@@ -75,7 +75,8 @@
 	return busy < maxCallsInFlight
 }
 
-// startCall records that the request of an intent is sent, and returns what it depends on.
+// startCall records that the request of an intent is sent, and returns the reference to the
+// intent that goes with it.
 func (d *dutyManager) startCall(key string, name duty.Name, trace string) intentRef {
 	call := d.calls[key]
 	if call == nil {
@@ -95,13 +96,13 @@
 	d.controller.io.deleteMachines(msgDeleted{machineIDs: ret.Machines, intentRef: d.startCall(key, duty.Returning, ret.Trace)})
 }
 
-// requestOf is the request by which a rental intent is carried out.
+// requestOf returns the rental request that carries out a rental intent.
 func requestOf(rental *duty.Rental) cloud.Rental {
 	return cloud.Rental{RequestID: rental.Request, MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot, Count: rental.Count}
 }
 
-// callEnded takes the end of a request. It returns the intent's call if an outcome is
-// still to be written.
+// callEnded handles the end of a request. It returns the intent's call if the request has
+// an outcome that is to be written, else nil.
 func (d *dutyManager) callEnded(ref intentRef, err error) *intentCall {
 	call := d.calls[ref.intentKey]
 	if call == nil || call.revision != ref.intentRevision {
@@ -115,14 +116,14 @@
 	case errors.Is(err, errTooLate):
 		call.retryAt = d.controller.now
 	default:
-		slog.Debug("intent", "key", ref.intentKey, "err", err)
+		slog.Debug("call to the cloud for an intent failed", "key", ref.intentKey, "err", err)
 		call.retryAt = d.controller.now + callRetryDelay
 		d.cloudAnswered(err)
 	}
 	return nil
 }
 
-// rented takes the cloud's answer to the request of a rental intent.
+// rented handles the cloud's answer to the request of a rental intent.
 func (d *dutyManager) rented(m msgRented) {
 	call := d.callEnded(m.intentRef, m.err)
 	rental := d.controller.view.Rentals[m.intentKey]
@@ -137,7 +138,7 @@
 	call.outcome = outcome
 }
 
-// deleted takes the cloud's answer to the request of a return intent.
+// deleted handles the cloud's answer to the request of a return intent.
 func (d *dutyManager) deleted(m msgDeleted) {
 	call := d.callEnded(m.intentRef, m.err)
 	ret := d.controller.view.Returns[m.intentKey]
--- a/internal/controller/intent_outcomes.go
+++ b/internal/controller/intent_outcomes.go
@@ -10,22 +10,22 @@
 	"woadweir/internal/state"
 )
 
-// slowOutcomeDelay is how long an outcome may wait to be written before that is logged.
+// slowOutcomeDelay is how long an outcome may wait to be written before this is logged.
 const slowOutcomeDelay = 5 * model.Second
 
-// Intents and outcomes may be written this often, so many of a second's changes each
-// time, whatever else is to be written.
+// Intents and outcomes may be written this often even if other writes use the whole
+// budget, each time up to this share of the writes that it allows in a second.
 const (
 	intentWritePeriod = model.Second / 4
 	intentWriteShare  = 0.1
 )
 
-// maxTxnMachines keeps a transaction of intents or outcomes within the state service's
-// limit.
+// maxTxnMachines is the number of machines beyond which nothing is added to a transaction
+// of intents or outcomes. It keeps the transaction within the state service's size limit.
 const maxTxnMachines = 1000
 
-// writeOutcomes makes the outcomes of a duty's intents durable, some at a time, under the
-// duty's token. It tells whether it sent a write.
+// writeOutcomes writes the outcomes of a duty's intents under the duty's token, as many as
+// the limits allow. It reports whether it sent a transaction.
 func (d *dutyManager) writeOutcomes(snapshot *duty.Snapshot, name duty.Name) bool {
 	c := d.controller
 	token, mine := snapshot.Holds(name)
@@ -56,18 +56,18 @@
 	return true
 }
 
-// logSlowOutcome logs, once, that an outcome has waited for long to be written.
+// logSlowOutcome logs once that an outcome has waited long to be written.
 func (d *dutyManager) logSlowOutcome(key string, call *intentCall) {
 	waited := d.controller.now - call.answeredAt
 	if call.slowLogged || waited <= slowOutcomeDelay {
 		return
 	}
 	call.slowLogged = true
-	slog.Info("an outcome waits to be written", "duty", call.duty, "intent", key, "s", waited.Seconds())
+	slog.Info("the outcome of an intent is not written yet", "duty", call.duty, "intent", key, "s", waited.Seconds())
 }
 
-// outcomeWithToken is an outcome with the token of the duty under which it is written, and the
-// number of its machines.
+// outcomeWithToken returns an outcome with the token of the duty under which it is
+// written, and the number of its machines.
 func outcomeWithToken(token uint64, outcome any) (_ any, machines int) {
 	switch outcome := outcome.(type) {
 	case duty.Rental:
@@ -80,10 +80,10 @@
 	return outcome, 0
 }
 
-// maxIntentWrites is how many intents, or outcomes of them, may be written now, where the
-// last were written at that time. A few are written also if bindings and users' changes
-// take the whole budget, which then waits for them: there are few, and what waits for
-// machines waits for both.
+// maxIntentWrites returns how many intents, or outcomes of them, may be written now; last
+// is when some were last written. A few may be written even if bindings and users' writes
+// use up the whole budget, which then has to wait for them: intents are few, and tasks
+// that wait for machines wait for both.
 func (d *dutyManager) maxIntentWrites(last model.Micros) int {
 	c := d.controller
 	limit := c.writeBudget.Left(c.now)
--- a/internal/controller/intent_results.go
+++ b/internal/controller/intent_results.go
@@ -8,7 +8,7 @@
 	"woadweir/internal/duty"
 )
 
-// takeOverIntents takes over what former leaders have decided: nothing more can be written
+// takeOverIntents takes over the intents of former leaders. Nothing more can be written
 // under their grants.
 func (l *leader) takeOverIntents() {
 	for key, ret := range l.controller.view.Returns {
@@ -31,7 +31,7 @@
 		if machine := l.shard.Machines[machineID]; machine != nil {
 			machine.Deleting = true
 		} else {
-			// Nothing is bound to it, and nothing may be: its reports are not answered.
+			// Nothing is bound to it, and nothing may be: its heartbeats are not answered.
 			l.inventory.deletedAt[machineID] = l.controller.now
 		}
 	}
@@ -50,12 +50,12 @@
 	l.intents.finishedAt[key] = l.controller.now
 }
 
-// offerOf is what a rental intent rents.
+// offerOf returns the offer that a rental intent is for.
 func offerOf(rental *duty.Rental) autoscaler.Offer {
 	return autoscaler.Offer{MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot}
 }
 
-// applyOutcomes takes the outcomes that the view shows of the leader's open intents.
+// applyOutcomes applies the outcomes of the leader's open intents that the view shows.
 func (l *leader) applyOutcomes() {
 	view := l.controller.view
 	for request, key := range l.intents.rentals {
@@ -77,7 +77,7 @@
 	delete(l.inventory.pendingRentals, rental.Request)
 	l.intents.finishedAt[key] = l.controller.now
 	l.provisioning.runSoon()
-	slog.Info("rented", "request", rental.Request, "state", rental.State, "type", rental.MachineType, "zone", rental.Zone, "spot", rental.Spot, "machines", rental.Machines)
+	slog.Info("rental intent finished", "request", rental.Request, "state", rental.State, "type", rental.MachineType, "zone", rental.Zone, "spot", rental.Spot, "machines", rental.Machines)
 	if rental.State == duty.Refused || len(rental.Machines) < rental.Count {
 		l.offerRefused(offerOf(rental))
 	}
--- a/internal/controller/intent_writes.go
+++ b/internal/controller/intent_writes.go
@@ -7,7 +7,7 @@
 	"woadweir/internal/state"
 )
 
-// findFreeKey finds a key for a draft: one whose intent is finished, or a new one.
+// findFreeKey returns a key for a draft: one whose intent is finished, or a new one.
 func (l *leader) findFreeKey(draft *intentDraft, taken map[string]bool) string {
 	for slot := 0; ; slot++ {
 		key := duty.ReturnKey(slot)
@@ -20,7 +20,7 @@
 	}
 }
 
-// isKeyFree reports whether a key may be used for another intent.
+// isKeyFree reports whether a key may be reused for another intent.
 func (l *leader) isKeyFree(key string) bool {
 	if rental := l.controller.view.Rentals[key]; rental != nil {
 		at, seen := l.intents.finishedAt[key]
@@ -30,7 +30,7 @@
 	return ret == nil || ret.State != duty.Open && l.intents.returns[key] == nil
 }
 
-// writeIntents makes the leader's decisions durable, some at a time.
+// writeIntents writes the leader's queued intents, as many as the limits allow.
 func (l *leader) writeIntents() {
 	c := l.controller
 	if !c.lanes.isFree(laneIntent, c.now) || l.resync || len(l.intents.queue) == 0 {
@@ -67,7 +67,7 @@
 	}
 }
 
-// op writes a draft's record.
+// op returns the operation that writes a draft's record.
 func (d *intentDraft) op() state.Op {
 	if d.rental != nil {
 		return state.Op{Set: d.slotKey, Value: *d.rental}
@@ -75,7 +75,7 @@
 	return state.Op{Set: d.slotKey, Value: *d.ret}
 }
 
-// intentsCommitted takes the end of a write of intents.
+// intentsCommitted handles the outcome of a transaction of intents.
 func (l *leader) intentsCommitted(m msgCommitted) {
 	c := l.controller
 	drafts := l.intents.inFlight
@@ -87,7 +87,7 @@
 		}
 		return
 	}
-	// Whether it was carried out is told by the next catch-up.
+	// The next synchronization of the view shows whether the transaction was executed.
 	l.intents.queue = append(drafts, l.intents.queue...)
 	switch {
 	case m.lostGrant():
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -12,22 +12,23 @@
 	"woadweir/internal/tracing"
 )
 
-// intentDraft is a decision of the leader that is not known to be durable yet.
+// intentDraft is a decision of the leader that is not known to be durable yet: a rental or
+// a return.
 type intentDraft struct {
-	slotKey string // its slot, "": not chosen yet
-	rental  *duty.Rental
-	ret     *duty.Return
+	slotKey string       // key of the slot that it is written to, "": not chosen yet
+	rental  *duty.Rental // nil: a return
+	ret     *duty.Return // nil: a rental
 	span    tracing.Span
 }
 
-// intentLog is the leader's side of intents: what it has decided, and which outcomes it
-// waits for.
+// intentLog holds the leader's intents: those not known to be durable yet, and those whose
+// outcome is pending.
 type intentLog struct {
 	queue      []*intentDraft          // not written yet, or not known to be
-	inFlight   []*intentDraft          // of the write in flight
-	rentals    map[string]string       // open rental intents: request -> key
-	returns    map[string][]string     // open return intents: key -> machines
-	finishedAt map[string]model.Micros // when a rental intent was seen finished, by key
+	inFlight   []*intentDraft          // in the transaction in flight
+	rentals    map[string]string       // keys of open rental intents, by request ID
+	returns    map[string][]string     // machines of open return intents, by key
+	finishedAt map[string]model.Micros // when a rental intent was first seen finished, by key
 	sentAt     model.Micros            // when intents were last written
 }
 
@@ -35,15 +36,15 @@
 	return intentLog{rentals: map[string]string{}, returns: map[string][]string{}, finishedAt: map[string]model.Micros{}}
 }
 
-// usesIntents tells whether this controller, as the leader, rents and returns
-// through intents. It then never calls the cloud for that as the leader.
+// usesIntents reports whether this controller, as the leader, rents and returns machines
+// through intents. It then does not call the cloud for that as the leader.
 func (c *controller) usesIntents() bool {
 	l := c.view.Leader
 	return l != nil && l.Session == c.session && l.UsesIntents
 }
 
-// queueRental has machines rented through an intent. Until its outcome is known they
-// count as under way.
+// queueRental queues an intent to rent machines. Until its outcome is known, the machines
+// count as pending rentals.
 func (l *leader) queueRental(rental cloud.Rental) {
 	span := tracing.Start("", "intent", attribute.String("request", rental.RequestID), attribute.Int("count", rental.Count))
 	l.intents.queue = append(l.intents.queue, &intentDraft{span: span, rental: &duty.Rental{
@@ -58,9 +59,9 @@
 	}})
 }
 
-// extendQueuedRental adds machines to a rental that is decided, but was not written yet, if
-// there is one of the same kind. Else the requests would pile up, one each round, where
-// the state service bears few changes.
+// extendQueuedRental adds machines to a queued rental of the same kind that was not
+// written yet. It reports whether there is one. Otherwise requests would accumulate, one
+// each round, if the state service sustains only few writes.
 func (l *leader) extendQueuedRental(rental autoscaler.Rental, count int) bool {
 	for _, draft := range l.intents.queue {
 		if draft.rental == nil || draft.slotKey != "" || !sameOffer(draft.rental, rental) || draft.rental.Count+count > duty.RentAtMost(l.controller.maxValueBytes()) {
@@ -75,13 +76,13 @@
 	return false
 }
 
-// sameOffer reports whether an intent rents machines of the same kind.
+// sameOffer reports whether an intent is for machines of the same kind as a rental.
 func sameOffer(intent *duty.Rental, rental autoscaler.Rental) bool {
 	return intent.MachineType == rental.MachineType && intent.Zone == rental.Zone && intent.Spot == rental.Spot
 }
 
-// queueReturn has machines returned through intents, if possible with those that were
-// decided before and not written yet.
+// queueReturn queues intents to return machines. It first adds machines to queued returns
+// that were not written yet.
 func (l *leader) queueReturn(machineIDs []string) {
 	limit := duty.ReturnAtMost(l.controller.maxValueBytes())
 	for _, draft := range l.intents.queue {
@@ -99,7 +100,7 @@
 	}
 }
 
-// isStored tells that the view shows a draft as carried out.
+// isStored reports whether the view shows that a draft has been written.
 func (l *leader) isStored(draft *intentDraft) bool {
 	if draft.slotKey == "" {
 		return false
@@ -112,7 +113,7 @@
 	return ret != nil && ret.Grant == l.token && slices.Equal(ret.Machines, draft.ret.Machines)
 }
 
-// awaitOutcome notes that a draft is durable: its outcome is waited for.
+// awaitOutcome records that a draft is durable and that its outcome is pending.
 func (l *leader) awaitOutcome(draft *intentDraft) {
 	draft.span.End("")
 	if draft.rental != nil {
--- a/internal/controller/machine_inventory.go
+++ b/internal/controller/machine_inventory.go
@@ -12,21 +12,21 @@
 	maxDeletionBatch   = 100                // the cloud's limit of machines in one deletion
 )
 
-// Values of machineInventory.pendingDeletions beside the time of a retry.
+// Special values of machineInventory.pendingDeletions; others are the time of a retry.
 const (
 	deletionDue  model.Micros = 0
 	deletionSent model.Micros = -1
 )
 
-// machineInventory is a leader's record of rentals and deletions that the cloud has not
-// confirmed yet, and of how the cloud's machine lists agree with the leader's own fleet.
+// machineInventory tracks the rentals and deletions that the cloud has not confirmed yet,
+// and which machines of the leader's fleet the cloud's machine lists lack.
 type machineInventory struct {
 	pendingRentals   map[string]cloud.Rental // by request ID
 	pendingDeletions map[string]model.Micros // by machine ID: deletionDue, deletionSent or the time of a retry
 	deletedAt        map[string]model.Micros // by machine ID: when the deletion was confirmed
-	listMisses       map[string]int          // by machine ID: lists in a row that lacked the machine
+	listMisses       map[string]int          // by machine ID: consecutive lists that lacked the machine
 	listsReceived    int
-	requestCount     int // rental requests named so far
+	requestCount     int // rental requests so far, for their IDs
 }
 
 func newMachineInventory() machineInventory {
@@ -38,8 +38,8 @@
 	}
 }
 
-// isDeleted reports whether a machine is known as deleted. Its late reports and older
-// machine lists must not bring it back into the fleet.
+// isDeleted reports whether a machine is known to be deleted. Its late heartbeats and
+// outdated machine lists must not add it to the fleet again.
 func (inv *machineInventory) isDeleted(machineID string) bool {
 	return inv.deletedAt[machineID] != 0
 }
@@ -57,8 +57,8 @@
 	}
 }
 
-// takeDueDeletions returns the machines whose deletion is due, at most one batch of
-// them, and marks them as sent.
+// takeDueDeletions returns the machines whose deletion is due, at most one batch, and
+// marks their deletions as sent.
 func (inv *machineInventory) takeDueDeletions(now model.Micros) []string {
 	var machineIDs []string
 	for machineID, at := range inv.pendingDeletions {
@@ -76,7 +76,8 @@
 	return machineIDs
 }
 
-// forgetDeleted drops the records of machines that were deleted long ago.
+// forgetDeleted removes the records of machines that were deleted more than
+// deletedRetention ago.
 func (inv *machineInventory) forgetDeleted(now model.Micros) {
 	for machineID, at := range inv.deletedAt {
 		if _, pending := inv.pendingDeletions[machineID]; !pending && now-at > deletedRetention {
@@ -85,8 +86,8 @@
 	}
 }
 
-// countMisses compares the fleet with a new machine list. Only machines that a list has
-// shown before can be missed.
+// countMisses counts which machines of the fleet a new machine list lacks. Only machines
+// that an earlier list had can be missing.
 func (inv *machineInventory) countMisses(fleet map[string]*model.Machine, listed map[string]bool) {
 	for machineID, machine := range fleet {
 		if listed[machineID] || !machine.Listed {
--- a/internal/controller/machine_list.go
+++ b/internal/controller/machine_list.go
@@ -10,16 +10,16 @@
 // machineFailedStatus is the status of a listed machine that has failed for good.
 const machineFailedStatus = "failed"
 
-// How many lists in a row may lack a machine before it counts as gone. A machine that
-// has been listed stays listed until it is gone, but a list may be older than the one
-// before it, so a young machine may be missing from one.
+// How many consecutive lists have to lack a machine before it counts as gone. A machine
+// that has been listed stays listed until it is gone, but a list may be older than the
+// previous one, so a young machine may be missing from one.
 const (
 	missesUntilGone      = 1
 	missesUntilYoungGone = 2
-	youngListLags        = 5 // a machine is young for this many times the list's lag
+	youngListLags        = 5 // a machine is young for this many times the list lag
 )
 
-// listed takes the cloud's answer to a request for the machine list.
+// listed handles the cloud's answer to a request for the machine list.
 func (c *controller) listed(m msgListed) {
 	c.duties.cloudAnswered(m.err)
 	l := c.leading
@@ -44,23 +44,24 @@
 	l.inventory.countMisses(l.shard.Machines, listed)
 }
 
-// recordListed takes one machine of a list that was requested at that time. It adds one to
-// the fleet whose rental got no answer.
+// recordListed records one machine of a list that was requested at a time. It adds the
+// machine to the fleet if its rental got no answer.
 func (l *leader) recordListed(entry *cloud.Machine, requested model.Micros) {
 	machine := l.shard.Machines[entry.ID]
 	if machine == nil {
 		machine = l.shard.AddMachine(entry.ID, entry.MachineType, entry.Zone, entry.Spot, l.controller.now)
 		machine.RentedAt = requested - model.Seconds(entry.HeldS)
-		slog.Info("listed", "machine", entry.ID, "type", entry.MachineType, "status", entry.Status)
+		slog.Info("machine found in the cloud's list", "machine", entry.ID, "type", entry.MachineType, "status", entry.Status)
 	}
 	machine.Listed = true
 	if entry.Status == machineFailedStatus && !machine.Failed {
 		machine.Failed = true
-		slog.Info("failed", "machine", entry.ID)
+		slog.Info("machine failed", "machine", entry.ID)
 	}
 }
 
-// goneFromLists reports whether so many lists lacked a machine that it counts as gone.
+// goneFromLists reports whether enough consecutive lists lacked a machine for it to count
+// as gone.
 func (l *leader) goneFromLists(machine *model.Machine) bool {
 	enough := missesUntilYoungGone
 	if l.controller.now-machine.RentedAt > youngListLags*model.Seconds(l.controller.settings.Params.Cloud.ListLagS) {
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -7,7 +7,7 @@
 	"woadweir/internal/state"
 )
 
-// machineTypesFetched takes the cloud's answer to a request for its machine types.
+// machineTypesFetched handles the cloud's answer to a request for its machine types.
 func (c *controller) machineTypesFetched(m msgMachineTypes) {
 	c.duties.cloudAnswered(m.err)
 	if c.leading != nil {
@@ -19,7 +19,7 @@
 	c := l.controller
 	l.polling.machineTypesInFlight = false
 	if m.err != nil || len(m.machineTypes) == 0 {
-		slog.Debug("machine types", "err", m.err)
+		slog.Debug("the cloud's machine types could not be read", "err", m.err)
 		l.cloudHealth.failed(c.now)
 		return
 	}
@@ -47,9 +47,9 @@
 	return true
 }
 
-// writeMachineTypes stores the machine types for every controller, as many as a value
-// can hold: after an outage of the cloud a controller that knows some of them can still
-// tell of most submissions that they can run.
+// writeMachineTypes stores the machine types for all controllers, as many as fit into a
+// value: after an outage of the cloud, a controller that knows some of them can still
+// decide for most submissions whether they can run.
 func (l *leader) writeMachineTypes(machineTypes []model.MachineType) {
 	c := l.controller
 	record := state.MachineTypesRecord{MachineTypes: machineTypes}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -8,16 +8,17 @@
 	"woadweir/internal/core/placement"
 )
 
-// cloudFailurePause is how long after a failed call nothing is rented, unless a later
-// call has succeeded.
+// cloudFailurePause is how long nothing is rented after a failed call to the cloud, unless
+// a later call has succeeded.
 const cloudFailurePause = 2 * model.Second
 
-// provision runs a round of the autoscaler and carries out what it decides.
+// provision runs a round of the autoscaler and carries out its decisions.
 func (l *leader) provision() {
 	c := l.controller
 	l.provisioning.started(c.now, model.Seconds(float64(c.operator.LoopPeriodS)))
 	if len(l.shard.MachineTypes) == 0 || l.inventory.listsReceived == 0 {
-		// Before the first list it may seem that nothing is rented.
+		// Until the first machine list arrives, the fleet may look empty although machines
+		// are rented.
 		l.provisioning.runSoon()
 		return
 	}
@@ -39,7 +40,7 @@
 	}
 }
 
-// markSurplus marks exactly these machines as surplus.
+// markSurplus marks exactly the given machines as surplus.
 func (l *leader) markSurplus(surplus []*model.Machine) {
 	for _, machine := range l.shard.Machines {
 		machine.Surplus = false
@@ -49,25 +50,25 @@
 	}
 }
 
-// provisioningInput collects what a round of the autoscaler looks at.
+// provisioningInput collects the input of a round of the autoscaler.
 func (l *leader) provisioningInput() *autoscaler.Input {
-	world := l.shard.PlacementInput(l.controller.now)
-	world.Sort()
+	round := l.shard.PlacementInput(l.controller.now)
+	round.Sort()
 	in := &autoscaler.Input{
 		Now:              l.controller.now,
-		Machines:         world.Machines,
+		Machines:         round.Machines,
 		MachineTypes:     l.shard.MachineTypes,
 		CloudOK:          l.cloudHealth.isHealthy(),
 		OnDemandPriority: model.ProductionPriority,
 	}
 	l.addPendingRentals(in)
-	l.addWaitingWork(in, world)
+	l.addWaitingWork(in, round)
 	l.recentSizes.addTo(in)
 	return in
 }
 
-// addPendingRentals counts requested machines as if they were there, so that they are
-// not requested again.
+// addPendingRentals adds requested machines as if they were rented already, so that they
+// are not requested again.
 func (l *leader) addPendingRentals(in *autoscaler.Input) {
 	for requestID, rental := range l.inventory.pendingRentals {
 		for k := range rental.Count {
@@ -84,18 +85,18 @@
 	}
 }
 
-// addWaitingWork adds the waiting tasks that their teams' limits allow to start.
-func (l *leader) addWaitingWork(in *autoscaler.Input, world *placement.Round) {
+// addWaitingWork adds the waiting tasks that may start within their teams' limits.
+func (l *leader) addWaitingWork(in *autoscaler.Input, round *placement.Round) {
 	now := l.controller.now
 	room := map[string]model.Resources{}
 	for _, team := range l.controller.teams {
-		room[team.Name] = team.Limit.Minus(world.Used[team.Name])
+		room[team.Name] = team.Limit.Minus(round.Used[team.Name])
 	}
-	for _, job := range world.Jobs {
+	for _, job := range round.Jobs {
 		l.recentSizes.record(job, now)
 		if !job.AllowsSpot {
 			in.OnDemandPriority = min(in.OnDemandPriority, job.Priority)
-			in.OnDemandMaxWait = max(in.OnDemandMaxWait, world.Estimates.MaxWait(job))
+			in.OnDemandMaxWait = max(in.OnDemandMaxWait, round.Estimates.MaxWait(job))
 			in.Spread = in.Spread || job.Spread
 		}
 		if len(job.Waiting) == 0 || now < job.NotBefore {
@@ -109,12 +110,13 @@
 	}
 }
 
-// startableTasks is how many of a job's waiting tasks its team's room allows to start,
-// and what each of them takes of it. Memory is not limited.
+// startableTasks returns how many of a job's waiting tasks may start within the room that
+// is left of its team's limit, and how much of that room each task takes. Memory is not
+// limited.
 func startableTasks(job *model.JobState, room model.Resources) (count int, need model.Resources) {
 	need = job.Request
 	need.Mem = 0
-	// Nothing is rented for a job that fails everywhere beyond the task that is retried.
+	// For a job that fails on every machine, rent only for the task that is retried.
 	count = job.BindableTasks(need.FitCount(room, len(job.Waiting)))
 	if job.Kind == model.Gang && count < len(job.Waiting) {
 		return 0, need
--- a/internal/controller/provisioning_schedule.go
+++ b/internal/controller/provisioning_schedule.go
@@ -5,14 +5,14 @@
 // minProvisioningInterval is the shortest time between two rounds of the autoscaler.
 const minProvisioningInterval = 500 * model.Millisecond
 
-// provisioningSchedule tells when the autoscaler's next round is due: after a full
-// period, or sooner if something changed that it looks at.
+// provisioningSchedule decides when the autoscaler's next round is due: after a full
+// period, or sooner if its input has changed.
 type provisioningSchedule struct {
-	last, next model.Micros
-	soon       bool
+	last, next model.Micros // start of the last round, and when the next is due at the latest
+	soon       bool         // a round is due as soon as minProvisioningInterval allows
 }
 
-// runSoon asks for a round as soon as the shortest gap allows.
+// runSoon requests a round as soon as minProvisioningInterval allows.
 func (s *provisioningSchedule) runSoon() { s.soon = true }
 
 // started records that a round begins now.
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -9,12 +9,12 @@
 // Limits of the sweeps that release unusable machines.
 const (
 	sweepInterval      = 500 * model.Millisecond
-	lostMachineMargin  = 5 * model.Second  // beyond a lease's expiry, before a lost machine is released
-	minBootTimeout     = 60 * model.Second // even a machine that boots fast gets this long
-	unreachableDivisor = 4                 // one part of the fleet in so many may be unreachable
+	lostMachineMargin  = 5 * model.Second  // between a lost machine's lease expiry and its release
+	minBootTimeout     = 60 * model.Second // every machine gets at least this long to boot
+	unreachableDivisor = 4                 // unreachable machines are released if at most 1/unreachableDivisor of the fleet are
 )
 
-// releaseUnusableMachines releases machines that are of no use, and sends deletions.
+// releaseUnusableMachines releases unusable machines and sends the deletions that are due.
 func (l *leader) releaseUnusableMachines() {
 	fewUnreachable := l.fewUnreachable()
 	for _, machine := range l.shard.Machines {
@@ -26,7 +26,7 @@
 	l.sendDeletions()
 }
 
-// unusableReason is why a machine is to be released, "" if it is not. Unreachable
+// unusableReason returns why a machine is to be released, or "" if it is not. Unreachable
 // machines are released only if there are few of them.
 func (l *leader) unusableReason(machine *model.Machine, fewUnreachable bool) string {
 	now := l.controller.now
@@ -35,17 +35,17 @@
 	case machine.Deleting:
 		return ""
 	case machine.Failed:
-		return "failed"
+		return "the cloud lists it as failed"
 	case l.goneFromLists(machine) && silence > l.shard.MaxHeartbeatGap():
-		return "not listed any more"
+		return "no longer listed by the cloud"
 	case machine.Up && machine.Lost && silence > l.shard.LeaseExpiry()+lostMachineMargin:
-		return "silent"
+		return "no heartbeats"
 	case fewUnreachable && l.shard.Unreachable(machine, now):
-		return "does not hear"
+		return "does not receive responses"
 	case machine.Draining && len(machine.Bindings) == 0:
-		return "not wanted"
+		return "drained"
 	case l.neverBooted(machine, silence):
-		return "never came up"
+		return "did not boot in time"
 	}
 	return ""
 }
@@ -61,9 +61,9 @@
 	return silence > max(bootLimit, minBootTimeout)
 }
 
-// fewUnreachable reports whether few machines do not receive our answers. When many
-// don't, the fault may be ours, as when this controller falls behind, and releasing them
-// all would be worse than any of it.
+// fewUnreachable reports whether only few machines fail to receive our responses. If many
+// do, the fault may be ours, for example because this controller falls behind, and
+// releasing them all would do more harm than keeping them.
 func (l *leader) fewUnreachable() bool {
 	unreachable := 0
 	for _, machine := range l.shard.Machines {
@@ -74,18 +74,18 @@
 	return unreachable <= max(1, len(l.shard.Machines)/unreachableDivisor)
 }
 
-// releaseMachine decides that a machine is deleted. There is no way back: a deletion
-// that got no answer may still be carried out.
+// releaseMachine decides that a machine is deleted. This can't be undone, because a
+// deletion that got no answer may still be carried out.
 func (l *leader) releaseMachine(machine *model.Machine, why string) {
 	if machine.Deleting {
 		return
 	}
 	machine.Deleting = true
 	l.inventory.pendingDeletions[machine.ID] = deletionDue
-	slog.Info("give back", "machine", machine.ID, "type", machine.MachineType, "why", why)
+	slog.Info("releasing machine", "machine", machine.ID, "type", machine.MachineType, "why", why)
 }
 
-// sendDeletions requests the deletions that are due, or writes intents for them.
+// sendDeletions requests the deletions that are due, or queues intents for them.
 func (l *leader) sendDeletions() {
 	machineIDs := l.inventory.takeDueDeletions(l.controller.now)
 	switch {
@@ -97,7 +97,7 @@
 	}
 }
 
-// deleted takes the cloud's answer to a deletion.
+// deleted handles the cloud's answer to a deletion.
 func (c *controller) deleted(m msgDeleted) {
 	if m.intentKey != "" {
 		c.duties.deleted(m)
@@ -119,9 +119,9 @@
 	l.provisioning.runSoon()
 }
 
-// machineDeleted takes a confirmed deletion.
+// machineDeleted handles a deletion that the cloud has confirmed.
 func (l *leader) machineDeleted(machineID string) {
 	l.inventory.confirmDeletion(machineID, l.controller.now)
 	l.shard.MachineDeleted(machineID, "deleted", l.controller.now)
-	slog.Info("deleted", "machine", machineID)
+	slog.Info("machine deleted", "machine", machineID)
 }
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -10,8 +10,8 @@
 	"woadweir/internal/duty"
 )
 
-// rent requests machines from the cloud, or writes intents for them. Unplaced is the
-// number of waiting tasks without a place, for the log.
+// rent requests machines from the cloud, or queues intents for them. unplaced is the number
+// of waiting tasks that fit nowhere, for the log.
 func (l *leader) rent(rental autoscaler.Rental, unplaced int) {
 	throughIntents := l.controller.usesIntents()
 	batch := rental.Count
@@ -25,7 +25,7 @@
 		}
 		request := cloud.Rental{RequestID: l.nextRequestID(), MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot, Count: count}
 		l.inventory.pendingRentals[request.RequestID] = request
-		slog.Info("rent", "request", request.RequestID, "type", rental.MachineType, "zone", rental.Zone, "spot", rental.Spot, "count", count, "unplaced", unplaced)
+		slog.Info("requesting machines", "request", request.RequestID, "type", rental.MachineType, "zone", rental.Zone, "spot", rental.Spot, "count", count, "unplaced", unplaced)
 		if throughIntents {
 			l.queueRental(request)
 			continue
@@ -35,14 +35,14 @@
 	}
 }
 
-// nextRequestID names a rental request. The token is this leader's alone, so no other
-// process ever makes the same ID.
+// nextRequestID returns a new ID for a rental request. Only this leader has its token, so
+// no other process ever uses the same ID.
 func (l *leader) nextRequestID() string {
 	l.inventory.requestCount++
 	return fmt.Sprintf("w%d-%d", l.token, l.inventory.requestCount)
 }
 
-// rented takes the cloud's answer to a rental request.
+// rented handles the cloud's answer to a rental request.
 func (c *controller) rented(m msgRented) {
 	if m.intentKey != "" {
 		c.duties.rented(m)
@@ -58,7 +58,7 @@
 		if !errors.Is(m.err, cloud.ErrNoCapacity) {
 			l.cloudHealth.failed(c.now)
 		}
-		slog.Info("rent refused", "type", m.rental.MachineType, "zone", m.rental.Zone, "spot", m.rental.Spot, "err", m.err)
+		slog.Info("rental request failed", "type", m.rental.MachineType, "zone", m.rental.Zone, "spot", m.rental.Spot, "err", m.err)
 		l.offerRefused(m.offer)
 		return
 	}
@@ -66,19 +66,19 @@
 	if len(m.machines) < m.rental.Count {
 		l.offerRefused(m.offer)
 	}
-	slog.Info("rented", "type", m.rental.MachineType, "zone", m.rental.Zone, "spot", m.rental.Spot, "machines", m.machines)
+	slog.Info("machines rented", "type", m.rental.MachineType, "zone", m.rental.Zone, "spot", m.rental.Spot, "machines", m.machines)
 	l.addRentedMachines(m.machines, m.offer)
 }
 
-// offerRefused records that the cloud had too little capacity of an offer, so that it is
+// offerRefused records that the cloud had too little capacity for an offer, so that it is
 // not requested again at once.
 func (l *leader) offerRefused(offer autoscaler.Offer) {
 	l.spill.refusedOffers[offer] = l.controller.now
 	l.provisioner.OfferRefused(offer, l.controller.now)
 }
 
-// addRentedMachines adds the machines of a rental to the fleet. One that has been
-// deleted since then stays deleted.
+// addRentedMachines adds the machines of a rental to the fleet, except for those that have
+// been deleted since.
 func (l *leader) addRentedMachines(machineIDs []string, offer autoscaler.Offer) {
 	for _, machineID := range machineIDs {
 		if !l.inventory.isDeleted(machineID) {
