--- a/internal/controller/borrowing.go
+++ b/internal/controller/borrowing.go
@@ -10,49 +10,51 @@
 )
 
 const (
-	withholdDivisor = 3                  // of a workers' lease, for which answers are withheld
-	unknownJobPause = 600 * model.Second // a job that the workers did not know is not taken again before
+	withholdDivisor = 3                  // answers are withheld for 1/withholdDivisor of a worker lease
+	unknownJobPause = 600 * model.Second // how long a job that the workers did not know is not accepted again
 )
 
-// borrowedJobID is the job that the key of a guest's record names.
+// borrowedJobID returns the ID of the job that the key of a borrowed job's record names.
 func borrowedJobID(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// addBorrowedJob makes a lent job known to the shard, without a right to run it.
+// addBorrowedJob adds a borrowed job to the shard, without an execution lease.
 func (s *spillManager) addBorrowedJob(key string) {
 	l := s.leader
 	record := l.controller.view.BorrowedJobs[key]
 	jobID := borrowedJobID(key)
 	if job := l.shard.Jobs[jobID]; job != nil && job.HomeCell != record.Home {
-		// A job of this cell or of another by that name became known a moment before: nothing
-		// of this one is here, and home takes it back as it is not asked for it.
+		// A job of that ID of this cell or of a third one has just become known. Nothing of
+		// the borrowed job is bound here, and its home cell takes it back because no renewal
+		// for it arrives.
 		s.queueChange(key, spillChange{})
 		return
 	}
 	s.borrowedJobs[key] = spill.NewBorrowedJob(record, l.controller.now)
 	if l.shard.Jobs[jobID] == nil {
 		spec := record.Spec.Job(l.controller.view.Revisions[key])
-		spec.Priority = model.LowPriority // this cell's own work comes first
+		spec.Priority = model.LowPriority // this cell's own jobs come first
 		l.shard.AddGuest(spec, record.Home, model.TaskSetFromBytes(record.Done), l.controller.now)
 	}
 }
 
-// borrowedJobChanged takes what the view says of a job that another cell has lent.
+// borrowedJobChanged handles a change of a borrowed job's record in the view.
 func (s *spillManager) borrowedJobChanged(key string) {
 	l := s.leader
 	record, borrowed := l.controller.view.BorrowedJobs[key], s.borrowedJobs[key]
 	switch {
 	case record == nil:
 		delete(s.borrowedJobs, key)
-		l.jobChanged(borrowedJobID(key)) // one of this cell's own by that name may begin
+		l.jobChanged(borrowedJobID(key)) // this cell's own job of that ID may start now
 	case borrowed == nil || borrowed.Token != record.Token:
 		s.addBorrowedJob(key)
-		slog.Info("taken in", "job", borrowedJobID(key), "home", record.Home, "token", record.Token)
+		slog.Info("borrowed job accepted", "job", borrowedJobID(key), "home", record.Home, "token", record.Token)
 	case record.State == spill.Returned:
 		borrowed.SetReturned()
 	}
 }
 
-// borrowedJob is the shard's job that a record stands for, nil if it is gone or another's.
+// borrowedJob returns the shard's job that a record stands for, nil if there is none or the
+// job of that ID has another home cell.
 func (s *spillManager) borrowedJob(key string) *model.JobState {
 	job := s.leader.shard.Jobs[borrowedJobID(key)]
 	if job == nil || job.HomeCell != s.borrowedJobs[key].Home {
@@ -61,7 +63,7 @@
 	return job
 }
 
-// isBorrowed tells whether a job's name stands for one that another cell has lent.
+// isBorrowed reports whether a job ID is that of a borrowed job.
 func (s *spillManager) isBorrowed(jobID string) bool {
 	if job := s.leader.shard.Jobs[jobID]; job != nil {
 		return job.HomeCell != ""
@@ -74,13 +76,13 @@
 	return false
 }
 
-// withholdTime is how long workers get no answer after a right has ended.
+// withholdTime returns how long workers get no answer after an execution lease has expired.
 func (s *spillManager) withholdTime() model.Micros {
 	return model.Seconds(s.leader.controller.settings.Params.Workers.LeaseS) / withholdDivisor
 }
 
-// applyExecutionLeases suspends what this cell has no right to run, and resumes what it has. It is
-// called before every decision and every answer to a worker.
+// applyExecutionLeases suspends the borrowed jobs whose execution lease is not valid, and
+// resumes the others. It is called before every decision and every answer to a worker.
 func (s *spillManager) applyExecutionLeases() {
 	for key, borrowed := range s.borrowedJobs {
 		job := s.borrowedJob(key)
@@ -93,7 +95,7 @@
 		case spill.Withheld:
 			job.Suspended = true
 		case spill.Stopped:
-			s.leader.shard.Suspend(job, "no right to run it for "+borrowed.Home, s.leader.controller.now)
+			s.leader.shard.Suspend(job, "no execution lease from cell "+borrowed.Home, s.leader.controller.now)
 		}
 		if len(job.Bindings) > 0 {
 			borrowed.MarkStarted()
@@ -101,8 +103,9 @@
 	}
 }
 
-// withholdsAnswers tells that a machine has tasks of a lent job for which the right has ended a
-// moment ago. Its worker gets no answer: one would renew its lease.
+// withholdsAnswers reports whether a machine has tasks of a borrowed job whose execution
+// lease has just expired. Its worker gets no answer, because an answer would renew the
+// worker's lease.
 func (s *spillManager) withholdsAnswers(machineID string) bool {
 	if len(s.borrowedJobs) == 0 {
 		return false
@@ -119,7 +122,8 @@
 	return false
 }
 
-// stepBorrowedJobs returns what has not begun, and forgets what is over.
+// stepBorrowedJobs returns borrowed jobs that have not started in time or are to be
+// returned for another reason, and removes those whose lending is over.
 func (s *spillManager) stepBorrowedJobs() {
 	l := s.leader
 	for _, key := range sortedKeys(s.borrowedJobs) {
@@ -148,28 +152,30 @@
 	}
 }
 
-// recordUnknownJob keeps a job out for a while that the workers do not know.
+// recordUnknownJob records that the workers do not know a job, so that it is not accepted
+// again for unknownJobPause.
 func (s *spillManager) recordUnknownJob(key string) {
 	now := s.leader.controller.now
 	maps.DeleteFunc(s.unknownJobs, func(_ string, at model.Micros) bool { return now-at >= unknownJobPause })
 	s.unknownJobs[key] = now
 }
 
-// isOrphaned tells that a job's home can't be asked, as it is not in the file, and the right
-// to run the job is over. A guest may forget what it has nothing bound of at any time.
+// isOrphaned reports whether a job's home cell can't be called, because it is not in the
+// spill file, and the execution lease is over. An execution cell may forget a job at any
+// time while none of its tasks is bound there.
 func (s *spillManager) isOrphaned(borrowed *spill.BorrowedJob) bool {
-	known := s.policy != nil && s.policy.HasNeighbour(borrowed.Home)
-	return !known && borrowed.Permission(s.withholdTime(), s.leader.controller.now) == spill.Stopped
+	reachable := s.policy != nil && s.policy.HasNeighbour(borrowed.Home)
+	return !reachable && borrowed.Permission(s.withholdTime(), s.leader.controller.now) == spill.Stopped
 }
 
-// writeReturn has a return made durable: from then on no holder of this cell starts anything
-// of the job under this token.
+// writeReturn queues the write that returns a borrowed job. Once it is durable, no shard
+// holder of this cell starts a task of the job under this token.
 func (s *spillManager) writeReturn(key string) {
 	record := *s.leader.controller.view.BorrowedJobs[key]
 	record.State = spill.Returned
 	if _, pending := s.pendingChanges[key]; !pending {
 		s.queueChange(key, spillChange{value: record})
 		recordSpan(record.Trace, "return", borrowedJobID(key))
-		slog.Info("returned", "job", borrowedJobID(key), "home", record.Home, "token", record.Token)
+		slog.Info("returning borrowed job", "job", borrowedJobID(key), "home", record.Home, "token", record.Token)
 	}
 }
--- a/internal/controller/borrowing_offers.go
+++ b/internal/controller/borrowing_offers.go
@@ -8,21 +8,22 @@
 	"woadweir/internal/spill"
 )
 
-// Limits of the jobs that are taken in.
+// Limits for accepting offers.
 const (
-	maxNotStarted     = 4                 // jobs taken in the hope of machines, not yet begun
-	ownJobMaxWait     = 5 * model.Second  // own work that waits for so long keeps others' out
-	offerRetryPause   = 10 * model.Second // after which a refused cell may ask again
-	cloudRefusalPause = 60 * model.Second // a cloud that refused so long ago may have machines again
+	maxNotStarted     = 4                 // borrowed jobs that have not started yet and may still lack machines
+	ownJobMaxWait     = 5 * model.Second  // no job is accepted if one of this cell's own has waited for longer
+	offerRetryPause   = 10 * model.Second // pause that a refused cell is asked to make before its next offer
+	cloudRefusalPause = 60 * model.Second // after this the cloud may have machines again that it refused
 )
 
-// Numbers that take as many digits as any that a record may hold.
+// Numbers with as many digits as any that a record may contain.
 const (
 	longestToken  = 1 << 62
 	longestTimeMs = 1 << 50
 )
 
-// answerOffer answers another cell that asks whether a job is taken, or lends it.
+// answerOffer answers another cell's offer. With token 0 the offer only asks whether the job
+// would be accepted. With the token of a lending, acceptance is queued to be written.
 func (s *spillManager) answerOffer(offer *spill.Offer) *spill.OfferAnswer {
 	answer := &spill.OfferAnswer{WorkerLease: model.Seconds(s.leader.controller.settings.Params.Workers.LeaseS)}
 	answer.Refusal, answer.Detail = s.refusal(offer)
@@ -50,13 +51,14 @@
 	return answer
 }
 
-// hasBorrowed tells whether a job is known as lent under a token.
+// hasBorrowed reports whether a job is borrowed under a token.
 func (s *spillManager) hasBorrowed(key string, token uint64) bool {
 	borrowed := s.borrowedJobs[key]
 	return borrowed != nil && borrowed.Token == token
 }
 
-// refusal tells why a job is not taken, and more about it for logs.
+// refusal returns why an offer is refused, NotRefused if it is accepted, with details for
+// logs.
 func (s *spillManager) refusal(offer *spill.Offer) (spill.Refusal, string) {
 	c, jobID := s.leader.controller, offer.Spec.ID
 	key := spill.InKey(offer.Home, jobID)
@@ -86,7 +88,7 @@
 		return spill.CannotRun, "the workers do not know it"
 	}
 	if offer.Token != 0 {
-		return spill.NotRefused, "" // it was asked before
+		return spill.NotRefused, "" // room was checked when the home cell asked with token 0
 	}
 	if s.leader.shard.OwnWorkWaits(ownJobMaxWait, c.now) {
 		return spill.Busy, ""
@@ -97,13 +99,14 @@
 	return spill.NotRefused, ""
 }
 
-// largestRecord is a guest's record of a job, with the longest numbers and all tasks done.
+// largestRecord returns the largest record that a borrowed job may need: with the longest
+// numbers and all tasks done.
 func largestRecord(offer *spill.Offer, spec *model.Job) spill.InRecord {
 	return spill.InRecord{Home: offer.Home, Token: longestToken, State: spill.Accepted, Spec: offer.Spec, Done: make([]byte, spec.Tasks/8+1), SinceMs: longestTimeMs}
 }
 
-// isStale tells that an earlier lending of a job is not gone yet, or that a later one than
-// that under the token is known.
+// isStale reports whether something of an earlier lending of a job is still here, or a later
+// lending than that of the token is known.
 func (s *spillManager) isStale(key string, token uint64) bool {
 	if job := s.leader.shard.Jobs[borrowedJobID(key)]; job != nil && job.HomeCell != "" {
 		return true
@@ -116,8 +119,8 @@
 	return !gone || token != 0 && token < borrowed.Token
 }
 
-// canRun tells whether a job would begin soon: beside room that is left beyond this
-// cell's own headroom, or on machines that the cloud may have.
+// canRun reports whether a job would start soon: on room beyond this cell's own headroom,
+// or on machines that the cloud may have.
 func (s *spillManager) canRun(offer *spill.Offer, spec *model.Job) bool {
 	c := s.leader.controller
 	done := model.TaskSetFromBytes(offer.Done)
@@ -144,8 +147,8 @@
 	return s.leader.cloudHealth.isHealthy() && s.mayRentFor(spec)
 }
 
-// mayRentFor tells whether the cloud may have a machine for a job: it has not refused all
-// that fit a moment ago.
+// mayRentFor reports whether the cloud may have a machine for a job: it has not refused all
+// suitable offers within cloudRefusalPause.
 func (s *spillManager) mayRentFor(spec *model.Job) bool {
 	for name, machineType := range s.leader.shard.MachineTypes {
 		if !spec.Request.Fits(machineType.Size()) {
--- a/internal/controller/borrowing_renewals.go
+++ b/internal/controller/borrowing_renewals.go
@@ -8,21 +8,22 @@
 	"woadweir/internal/spill"
 )
 
-// Limits of the questions for the right to run lent jobs.
+// Limits of the renewals of execution leases.
 const (
-	renewalsPerLease = 6 // questions in the time for which a right is granted
+	renewalsPerLease = 6 // renewals in the duration of an execution lease
 	maxRenewalPeriod = 1500 * model.Millisecond
 	jobsPerRenewal   = 64
 )
 
-// renewalSchedule is how a guest's questions to one home cell stand.
+// renewalSchedule is the state of the renewals that are sent to one home cell.
 type renewalSchedule struct {
 	inFlight bool
 	nextAt   model.Micros // when the next may be sent
-	nextJob  int          // the job with which the next begins
+	nextJob  int          // index of the job that the next begins with
 }
 
-// sendRenewals asks each home cell for the right to go on with what it has lent.
+// sendRenewals sends each home cell a renewal of the execution leases of the jobs that it
+// has lent to this cell.
 func (s *spillManager) sendRenewals() {
 	c := s.leader.controller
 	if c.cells == nil || !c.authority.IsValid(c.now) {
@@ -47,13 +48,13 @@
 	}
 }
 
-// newRenewal is what a home cell is asked next: about as many jobs as a question may name,
-// in turn.
+// newRenewal returns the next renewal for a home cell. It has up to jobsPerRenewal jobs;
+// if there are more, successive renewals take turns over them.
 func (s *spillManager) newRenewal(schedule *renewalSchedule, keys []string) *spill.Renewal {
 	renewal := &spill.Renewal{ExecutionCell: s.policy.Cell, WorkerLease: model.Seconds(s.leader.controller.settings.Params.Workers.LeaseS)}
 	schedule.nextAt = s.leader.controller.now + min(maxRenewalPeriod, s.policy.Lease/renewalsPerLease)
 	if len(keys) > jobsPerRenewal {
-		// All of them are to be asked about in the same time.
+		// Renew more often, so that each job is renewed as often as with fewer jobs.
 		schedule.nextAt = s.leader.controller.now + (schedule.nextAt-s.leader.controller.now)*jobsPerRenewal/model.Micros(len(keys))
 	}
 	for i := range min(len(keys), jobsPerRenewal) {
@@ -64,8 +65,8 @@
 	return renewal
 }
 
-// jobReport is what this cell knows of a lent job. The call goes on beside the actor, so it
-// gets a set of finished tasks of its own.
+// jobReport returns this cell's report on a borrowed job. The call runs concurrently with
+// the actor, so the report has a copy of the set of finished tasks.
 func (s *spillManager) jobReport(key string) spill.JobReport {
 	borrowed := s.borrowedJobs[key]
 	report := spill.JobReport{Job: borrowedJobID(key), Token: borrowed.Token}
@@ -85,17 +86,17 @@
 	return report
 }
 
-// renewalAnswered takes a home cell's answer.
+// renewalAnswered handles a home cell's answer to a renewal, or its failure.
 func (s *spillManager) renewalAnswered(m msgRenewed) {
 	c := s.leader.controller
 	if schedule := s.renewals[m.home]; schedule != nil {
 		schedule.inFlight = false
 	}
 	if m.err != nil {
-		slog.Debug("renewal", "home", m.home, "err", m.err)
+		slog.Debug("renewal of execution leases failed", "home", m.home, "err", m.err)
 		return
 	}
-	for i := range min(len(m.answer.Jobs), len(m.renewal.Jobs)) { // in the order of the question
+	for i := range min(len(m.answer.Jobs), len(m.renewal.Jobs)) { // verdicts have the order of the renewal
 		verdict := &m.answer.Jobs[i]
 		key := spill.InKey(m.home, verdict.Job)
 		borrowed := s.borrowedJobs[key]
--- a/internal/controller/cells.go
+++ b/internal/controller/cells.go
@@ -10,34 +10,34 @@
 	"woadweir/internal/spill"
 )
 
-// cellCalls is what the controller actor may ask of other cells. Every answer comes back
-// as a message.
+// cellCalls sends the controller actor's calls to other cells. Every answer comes back as a
+// message.
 type cellCalls interface {
 	offer(m msgOffered)
 	renew(m msgRenewed)
 }
 
-// The messages of offloading jobs between cells.
+// Messages about jobs that are lent between cells.
 type (
-	// msgOffered is the end of an offer to another cell.
+	// msgOffered is the outcome of an offer to another cell.
 	msgOffered struct {
 		cell, job string
 		offer     *spill.Offer
 		answer    *spill.OfferAnswer
 		err       error
 		sentAt    model.Micros
-		token     uint64
+		token     uint64 // the leader's fencing token
 	}
-	// msgRenewed is the end of a question for the right to run lent jobs.
+	// msgRenewed is the outcome of a renewal that was sent to a home cell.
 	msgRenewed struct {
 		home    string
 		renewal *spill.Renewal
 		answer  *spill.RenewalAnswer
 		err     error
 		sentAt  model.Micros
-		token   uint64
+		token   uint64 // the leader's fencing token
 	}
-	// msgOffer and msgRenewal are other cells' calls.
+	// msgOffer and msgRenewal are calls from other cells.
 	msgOffer struct {
 		offer *spill.Offer
 		reply chan<- offerReply
@@ -61,7 +61,7 @@
 // cellCallTimeout is how long a call to another cell may take.
 const cellCallTimeout = 2 * time.Second
 
-// cellIO sends the calls to other cells, each in a goroutine of its own.
+// cellIO sends calls to other cells, each in a goroutine of its own.
 type cellIO struct {
 	io      *asyncEffects
 	clients map[string]*cellrpc.Client
@@ -107,7 +107,7 @@
 	}()
 }
 
-// cellAnswerTimeout is how long another cell's call may wait for the controller actor.
+// cellAnswerTimeout is how long a call from another cell may wait for the controller actor.
 const cellAnswerTimeout = 700 * time.Millisecond
 
 // Offer answers another cell's offer.
@@ -120,7 +120,7 @@
 	return answered.answer, answered.err
 }
 
-// Renew answers another cell's question for the right to run.
+// Renew answers another cell's renewal of its execution leases.
 func (f *frontend) Renew(renewal *spill.Renewal) (*spill.RenewalAnswer, error) {
 	reply := make(chan renewalReply, 1)
 	answered, got := ask(f.mailbox, msgRenewal{renewal, reply}, reply, cellAnswerTimeout)
@@ -130,20 +130,20 @@
 	return answered.answer, answered.err
 }
 
-// handleCellMessage takes a message from or about another cell. Only a holder with authority answers other
-// cells.
+// handleCellMessage handles a message from or about another cell. Only a shard holder whose
+// authority is valid answers other cells.
 func (c *controller) handleCellMessage(m any) {
 	l := c.leading
-	holds := l != nil && l.ready && c.authority.IsValid(c.now)
+	mayAnswer := l != nil && l.ready && c.authority.IsValid(c.now)
 	switch m := m.(type) {
 	case msgOffer:
-		if !holds {
+		if !mayAnswer {
 			m.reply <- offerReply{nil, spill.ErrNotHolder}
 			return
 		}
 		m.reply <- offerReply{l.spill.answerOffer(m.offer), nil}
 	case msgRenewal:
-		if !holds {
+		if !mayAnswer {
 			m.reply <- renewalReply{nil, spill.ErrNotHolder}
 			return
 		}
--- a/internal/controller/duty_cleanup.go
+++ b/internal/controller/duty_cleanup.go
@@ -11,11 +11,11 @@
 // cleanupPeriod is how often the holder of the cleanup duty looks for unneeded keys.
 const cleanupPeriod = 5 * model.Second
 
-// cleanUp removes keys that nobody needs, if this controller holds that duty.
+// cleanUp removes keys that are no longer needed, if this controller holds the cleanup duty.
 func (d *dutyManager) cleanUp(snapshot *duty.Snapshot) {
 	c := d.controller
-	token, mine := snapshot.Holds(duty.Cleanup)
-	if !mine || c.now-d.lastCleanupAt < cleanupPeriod {
+	token, holds := snapshot.Holds(duty.Cleanup)
+	if !holds || c.now-d.lastCleanupAt < cleanupPeriod {
 		return
 	}
 	d.lastCleanupAt = c.now
@@ -28,11 +28,11 @@
 		txn.Conditions = append(txn.Conditions, state.Condition{Path: removal.Key, Revision: removal.Revision})
 		txn.Then = append(txn.Then, state.Op{Drop: removal.Key})
 	}
-	slog.Info("clean up", "token", token, "keys", len(removals))
+	slog.Info("removing unneeded keys", "token", token, "keys", len(removals))
 	c.send(laneDuty, msgCommitted{txn: txn, token: token})
 }
 
-// unneeded lists what could be removed were it to stay as it is.
+// unneeded lists the keys that can be removed if they don't change for long enough.
 func (d *dutyManager) unneeded() []duty.UnneededKey {
 	view := d.controller.view
 	var list []duty.UnneededKey
@@ -46,6 +46,6 @@
 			list = append(list, duty.UnneededIntent(key, view.Revisions[key]))
 		}
 	}
-	view.UnusedBundles(func(path string, stamp uint64) { list = append(list, duty.UnneededBundle(path, stamp)) })
+	view.UnusedBundles(func(key string, revision uint64) { list = append(list, duty.UnneededBundle(key, revision)) })
 	return list
 }
--- a/internal/controller/duty_cloud.go
+++ b/internal/controller/duty_cloud.go
@@ -8,11 +8,12 @@
 	"woadweir/internal/duty"
 )
 
-// cloudProbePeriod is how often a holder asks the cloud for something, so that it learns
-// of a cloud that it can't reach before a rental or a deletion has to wait for that.
+// cloudProbePeriod is how often the holder of a duty that needs the cloud calls it, so that
+// it notices an unreachable cloud before a rental or a deletion has to wait for it.
 const cloudProbePeriod = 4 * model.Second
 
-// probeCloud asks the cloud for something if a duty is held that needs it.
+// probeCloud calls the cloud if this controller holds a duty that needs it and no call was
+// made for cloudProbePeriod.
 func (d *dutyManager) probeCloud(snapshot *duty.Snapshot) {
 	_, rents := d.held[duty.Renting]
 	_, returns := d.held[duty.Returning]
@@ -25,8 +26,8 @@
 	}
 }
 
-// cloudAnswered takes note of whether the cloud has answered a call. That it is asked too
-// often, or has no capacity, is an answer.
+// cloudAnswered records whether the cloud has answered a call. Answers that it is called
+// too often or has no capacity count as well.
 func (d *dutyManager) cloudAnswered(err error) {
 	d.cloudCalledAt = d.controller.now
 	switch {
--- a/internal/controller/duty_leases.go
+++ b/internal/controller/duty_leases.go
@@ -11,37 +11,38 @@
 	"woadweir/internal/tracing"
 )
 
-// leaseWrite is a write to a duty's lease.
+// leaseWrite is a write to a duty's lease that is in flight.
 type leaseWrite struct {
 	duty.Action
 	span tracing.Span
 }
 
-// updateHeld logs which duties this controller has acquired, and which it has lost and why.
+// updateHeld updates which duties this controller holds, and logs which it has acquired,
+// and which it has lost and why.
 func (d *dutyManager) updateHeld(snapshot *duty.Snapshot) {
 	leader := d.controller.view.Leader
 	for _, name := range duty.Movable {
-		token, mine := snapshot.Holds(name)
-		before := d.held[name]
+		token, holds := snapshot.Holds(name)
+		previousToken := d.held[name]
 		lease := snapshot.Leases[name]
-		if before != 0 && before != token {
+		if previousToken != 0 && previousToken != token {
 			delete(d.held, name)
-			slog.Info("duty lost", "duty", name, "token", before, "why", d.lossReason(snapshot, lease))
+			slog.Info("duty lost", "duty", name, "token", previousToken, "why", d.lossReason(snapshot, lease))
 		}
-		if mine && before != token {
+		if holds && previousToken != token {
 			d.held[name] = token
 			d.vacancies.acquired(name, snapshot.Now)
-			slog.Info("duty held", "duty", name, "token", token, "previous", lease.Previous, "previous_token", lease.PreviousToken, "why", lease.Why)
+			slog.Info("duty acquired", "duty", name, "token", token, "previous", lease.Previous, "previous_token", lease.PreviousToken, "why", lease.Why)
 		}
 		d.vacancies.observe(name, lease.Token == 0 && leader != nil && leader.UsesIntents, snapshot.Now)
 	}
 }
 
-// lossReason is why this controller does not hold a duty any more, for the log.
+// lossReason returns why this controller no longer holds a duty, for the log.
 func (d *dutyManager) lossReason(snapshot *duty.Snapshot, lease duty.StoredLease) string {
 	switch {
 	case d.controller.session == 0:
-		return "the session is over"
+		return "the session has ended"
 	case snapshot.Session == 0:
 		return "no authority: the state service was not reached in time"
 	case lease.Token == 0:
@@ -72,7 +73,7 @@
 	c.send(laneDuty, msgCommitted{txn: txn, token: action.Token})
 }
 
-// leaseTrace is the trace context of a duty's present lease.
+// leaseTrace returns the trace context of a duty's present lease, "" if it has none.
 func (c *controller) leaseTrace(name duty.Name) string {
 	if lease := c.view.Duties[name]; lease != nil {
 		return lease.Trace
@@ -80,7 +81,8 @@
 	return ""
 }
 
-// committed takes the end of a write to a lease, of outcomes or of removals.
+// committed handles the outcome of a transaction that writes a lease, outcomes of intents or
+// removals of keys.
 func (d *dutyManager) committed(m msgCommitted) {
 	c := d.controller
 	written := d.pendingLease
@@ -109,7 +111,8 @@
 	}
 }
 
-// logRefusedWrite reports a write that the state service refused as another holds the duty.
+// logRefusedWrite logs and traces a write that the state service refused because another
+// controller holds the duty.
 func (d *dutyManager) logRefusedWrite(m msgCommitted) {
 	for _, name := range duty.Movable {
 		if m.token != 0 && slices.Contains(m.result.Failed, name.Key()) {
@@ -119,6 +122,7 @@
 	}
 }
 
+// needSync keeps the duty manager from writing until the view has been synchronized.
 func (d *dutyManager) needSync() {
 	d.controller.needSync(&d.resync)
 }
--- a/internal/controller/duty_manager.go
+++ b/internal/controller/duty_manager.go
@@ -6,24 +6,24 @@
 	"woadweir/internal/state"
 )
 
-// dutyStepPeriod is how often a controller looks at its duties.
+// dutyStepPeriod is how often a controller processes its duties.
 const dutyStepPeriod = 20 * model.Millisecond
 
-// enableRetryPeriod is how long after a write that enables intents the next may follow.
+// enableRetryPeriod is the pause after a write that enables intents before it is repeated.
 const enableRetryPeriod = model.Second
 
-// dutyManager is a controller's part in single-holder duties: it acquires leases, carries
-// intents out and cleans up. It is part of the controller actor.
+// dutyManager handles a controller's single-holder duties: it acquires their leases,
+// carries out intents and removes unneeded keys. It is part of the controller actor.
 type dutyManager struct {
 	controller    *controller
-	mayHoldDuties bool // it may hold duties without leading
+	mayHoldDuties bool // this controller may hold duties without leading
 	planner       *duty.LeasePlanner
 	cleaner       *duty.Cleaner
 	nodes         map[string]duty.Node // live controllers, by name
 	held          map[duty.Name]uint64 // fencing tokens of the duties that are held
 	vacancies     vacancyTimes
 	lag           lagDetector
-	resync        bool                   // a write failed: no further one before a catch-up
+	resync        bool                   // a transaction failed: none before a synchronization of the view
 	pendingLease  *leaseWrite            // the lease write in flight, nil: none
 	calls         map[string]*intentCall // by the intent's key
 
@@ -51,27 +51,28 @@
 	return d
 }
 
-// hasRecords tells that the state service holds records of duties, so that every
-// controller has to respect them.
+// hasRecords reports whether the state service has records of duties, which every
+// controller then has to respect.
 func (d *dutyManager) hasRecords() bool {
 	view := d.controller.view
 	return view.Leader != nil && view.Leader.UsesIntents || len(view.Duties)+len(view.Rentals)+len(view.Returns) > 0
 }
 
-// shouldUseIntents tells whether a leader is to rent and return through intents: somebody has
-// begun to, or the operators want it and every controller understands the records.
+// shouldUseIntents reports whether a leader has to rent and return machines through
+// intents: some controller has begun to, or there is a duties file and every controller
+// can read the records.
 func (d *dutyManager) shouldUseIntents() bool {
 	return d.hasRecords() || d.mayHoldDuties && d.allReadDutyRecords()
 }
 
-// allReadDutyRecords tells whether every controller reads the records of duties, by the version
-// that each has run last: one may have gone back to the version before in the middle of
-// an upgrade, and would stop at them.
+// allReadDutyRecords reports whether every controller can read the records of duties,
+// judged by the version that each has run last: in the middle of an upgrade, one may have
+// been rolled back to the previous version, which stops serving when it finds such records.
 func (d *dutyManager) allReadDutyRecords() bool {
 	return d.controller.allControllersHave(d.controller.view.Layouts, state.LayoutDuties)
 }
 
-// step does what is due.
+// step does the work that is due.
 func (d *dutyManager) step() {
 	c := d.controller
 	if !c.viewLoaded || c.now-d.lastStepAt < dutyStepPeriod || !d.mayHoldDuties && !d.hasRecords() {
@@ -97,8 +98,8 @@
 	}
 }
 
-// enableIntents has a leader that was elected before all controllers understood the records
-// say that it acts through intents from now on.
+// enableIntents records that the leader uses intents from now on, if this controller leads
+// and was elected before all controllers could read the records of duties.
 func (d *dutyManager) enableIntents() {
 	c := d.controller
 	l := c.leading
@@ -112,7 +113,7 @@
 	}})
 }
 
-// situation is what the keeper looks at.
+// snapshot returns the input of the lease planner.
 func (d *dutyManager) snapshot() duty.Snapshot {
 	c := d.controller
 	snapshot := duty.Snapshot{
@@ -136,7 +137,8 @@
 	return snapshot
 }
 
-// liveNodes are the controllers whose sessions stand, with since when.
+// liveNodes returns the controllers that have a session, with when each was first seen with
+// its present session.
 func (d *dutyManager) liveNodes() map[string]duty.Node {
 	view := d.controller.view
 	for name := range d.nodes {
--- a/internal/controller/duty_vacancies.go
+++ b/internal/controller/duty_vacancies.go
@@ -9,14 +9,14 @@
 	"woadweir/internal/duty"
 )
 
-// The histogram of the times for which duties were vacant, in milliseconds.
+// Parameters of the histogram of vacancy times, in milliseconds.
 const (
 	maxVacancyMs  = 600_000
-	vacancyDigits = 2
+	vacancyDigits = 2 // significant decimal digits
 	medianPercent = 50
 )
 
-// vacancyTimes measures for how long duties are vacant before this controller holds them.
+// vacancyTimes measures how long duties are vacant before this controller acquires them.
 type vacancyTimes struct {
 	vacantSince map[duty.Name]model.Micros
 	histogram   *hdrhistogram.Histogram // of duties that this controller acquired
@@ -35,7 +35,7 @@
 	}
 }
 
-// acquired records that this controller holds a duty from now on.
+// acquired records that this controller has acquired a duty, and logs how long it was vacant.
 func (t *vacancyTimes) acquired(name duty.Name, now model.Micros) {
 	since, known := t.vacantSince[name]
 	if !known {
@@ -43,7 +43,7 @@
 	}
 	ms := int64((now - since) / model.Millisecond)
 	if err := t.histogram.RecordValue(min(max(1, ms), maxVacancyMs)); err != nil {
-		slog.Debug("vacancy", "err", err)
+		slog.Debug("vacancy time not recorded", "err", err)
 	}
 	slog.Info("duty was vacant", "duty", name, "ms", ms, "median_ms", t.histogram.ValueAtQuantile(medianPercent), "most_ms", t.histogram.Max())
 }
--- a/internal/controller/intent_calls.go
+++ b/internal/controller/intent_calls.go
@@ -39,20 +39,20 @@
 func (d *dutyManager) executeIntents(snapshot *duty.Snapshot) {
 	view := d.controller.view
 	for key, call := range d.calls {
-		_, mine := snapshot.Holds(call.duty)
-		if !call.inFlight && (!mine || view.Revisions[key] != call.revision) {
+		_, holds := snapshot.Holds(call.duty)
+		if !call.inFlight && (!holds || view.Revisions[key] != call.revision) {
 			call.span.End("")
 			delete(d.calls, key)
 		}
 	}
-	if _, mine := snapshot.Holds(duty.Renting); mine {
+	if _, holds := snapshot.Holds(duty.Renting); holds {
 		for _, key := range slices.Sorted(maps.Keys(view.Rentals)) {
 			if rental := view.Rentals[key]; rental.State == duty.Open && d.mayExecute(key, duty.Renting) {
 				d.executeRental(key, rental)
 			}
 		}
 	}
-	if _, mine := snapshot.Holds(duty.Returning); mine {
+	if _, holds := snapshot.Holds(duty.Returning); holds {
 		for _, key := range slices.Sorted(maps.Keys(view.Returns)) {
 			if ret := view.Returns[key]; ret.State == duty.Open && d.mayExecute(key, duty.Returning) {
 				d.executeReturn(key, ret)
@@ -66,13 +66,13 @@
 	if call := d.calls[key]; call != nil {
 		return !call.inFlight && call.outcome == nil && d.controller.now >= call.retryAt
 	}
-	busy := 0
+	inFlight := 0
 	for _, call := range d.calls {
 		if call.duty == name && call.inFlight {
-			busy++
+			inFlight++
 		}
 	}
-	return busy < maxCallsInFlight
+	return inFlight < maxCallsInFlight
 }
 
 // startCall records that the request of an intent is sent, and returns the reference to the
--- a/internal/controller/intent_outcomes.go
+++ b/internal/controller/intent_outcomes.go
@@ -28,8 +28,8 @@
 // the limits allow. It reports whether it sent a transaction.
 func (d *dutyManager) writeOutcomes(snapshot *duty.Snapshot, name duty.Name) bool {
 	c := d.controller
-	token, mine := snapshot.Holds(name)
-	if !mine {
+	token, holds := snapshot.Holds(name)
+	if !holds {
 		return false
 	}
 	txn := &state.Txn{Conditions: []state.Condition{{Path: name.Key(), Revision: token}}}
--- a/internal/controller/intent_writes.go
+++ b/internal/controller/intent_writes.go
@@ -8,13 +8,13 @@
 )
 
 // findFreeKey returns a key for a draft: one whose intent is finished, or a new one.
-func (l *leader) findFreeKey(draft *intentDraft, taken map[string]bool) string {
+func (l *leader) findFreeKey(draft *intentDraft, usedKeys map[string]bool) string {
 	for slot := 0; ; slot++ {
 		key := duty.ReturnKey(slot)
 		if draft.rental != nil {
 			key = duty.RentalKey(slot)
 		}
-		if !taken[key] && l.isKeyFree(key) {
+		if !usedKeys[key] && l.isKeyFree(key) {
 			return key
 		}
 	}
@@ -41,7 +41,7 @@
 		return
 	}
 	txn := &state.Txn{Conditions: []state.Condition{{Path: grantKey, Revision: l.token}}}
-	taken := map[string]bool{}
+	usedKeys := map[string]bool{}
 	machines := 0
 	for len(l.intents.queue) > 0 && len(txn.Then) < limit && machines <= maxTxnMachines {
 		draft := l.intents.queue[0]
@@ -50,10 +50,10 @@
 			l.awaitOutcome(draft)
 			continue
 		}
-		if draft.slotKey == "" || taken[draft.slotKey] || !l.isKeyFree(draft.slotKey) {
-			draft.slotKey = l.findFreeKey(draft, taken)
+		if draft.slotKey == "" || usedKeys[draft.slotKey] || !l.isKeyFree(draft.slotKey) {
+			draft.slotKey = l.findFreeKey(draft, usedKeys)
 		}
-		taken[draft.slotKey] = true
+		usedKeys[draft.slotKey] = true
 		txn.Conditions = append(txn.Conditions, state.Condition{Path: draft.slotKey, Revision: c.view.Revisions[draft.slotKey]})
 		txn.Then = append(txn.Then, draft.op())
 		if draft.ret != nil {
--- a/internal/controller/lag_detector.go
+++ b/internal/controller/lag_detector.go
@@ -2,19 +2,19 @@
 
 import "woadweir/internal/core/model"
 
-// What makes a controller overloaded: ticks that are so late, so many in a row, for so
-// long. A process that was paused once is late once.
+// A controller counts as overloaded after several consecutive late ticks over a longer
+// time. A process that was paused once has only one late tick.
 const (
-	lateTickGap  = model.Second
-	minLateTicks = 3
+	lateTickGap  = model.Second // a tick that comes this long after the previous one is late
+	minLateTicks = 3            // consecutive
 	minOverload  = 5 * model.Second
 )
 
-// lagDetector finds out whether a controller's actor falls behind its ticks.
+// lagDetector detects that a controller's actor falls behind its ticks.
 type lagDetector struct {
-	lastTickAt model.Micros // of the last tick
-	lateSince  model.Micros
-	lateTicks  int // in a row
+	lastTickAt model.Micros
+	lateSince  model.Micros // time of the last tick before the late ones
+	lateTicks  int          // consecutive
 }
 
 // ticked records a tick.
@@ -30,7 +30,7 @@
 	d.lastTickAt = now
 }
 
-// isOverloaded reports whether the actor has fallen behind for long.
+// isOverloaded reports whether the actor has been behind its ticks for at least minOverload.
 func (d *lagDetector) isOverloaded(now model.Micros) bool {
 	return d.lateTicks >= minLateTicks && now-d.lateSince >= minOverload
 }
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -9,23 +9,23 @@
 	"woadweir/internal/spill"
 )
 
-// recallPeriod is how often a job is looked for that this cell has room for again.
+// recallPeriod is how often this cell looks for a lent job that it has room for again.
 const recallPeriod = model.Second
 
-// maxJobsSearched is for how many jobs room is looked for in one search.
+// maxJobsSearched limits for how many jobs one search looks for room.
 const maxJobsSearched = 8
 
-// suspendReasonLent is why nothing of a lent job is bound here, as logged.
+// suspendReasonLent is the logged reason for suspending a lent job in its home cell.
 const suspendReasonLent = "lent to another cell"
 
-// suspendIfLent keeps a job that is lent from being bound when the shard learns of it.
+// suspendIfLent suspends a job that has been added to the shard, if it is lent.
 func (s *spillManager) suspendIfLent(jobID string) {
 	if record := s.leader.controller.view.LentJobs[jobID]; record != nil && record.State != spill.Home {
 		s.suspendLent(jobID)
 	}
 }
 
-// suspendLent has nothing of a job bound here.
+// suspendLent suspends a lent job, so that none of its tasks is bound in this cell.
 func (s *spillManager) suspendLent(jobID string) {
 	job := s.leader.shard.Jobs[jobID]
 	if job == nil || job.FinalStatus != "" {
@@ -34,14 +34,15 @@
 	s.leader.shard.Suspend(job, suspendReasonLent, s.leader.controller.now)
 }
 
-// reservation is what counts towards a team's limit for a job that is lent.
+// reservation is the amount that a lent job counts towards its team's limit.
 type reservation struct {
 	team   string
 	amount model.Resources
 }
 
-// reserve counts all of a lent job towards its team's limit: of a task that is known as
-// finished another attempt may run in the guest, if that has not heard of it.
+// reserve counts all tasks of a lent job towards its team's limit, finished ones too:
+// another attempt of one may run in the execution cell, if that does not know that the task
+// is finished.
 func (s *spillManager) reserve(jobID string, record *spill.OutRecord) {
 	if _, reserved := s.reservations[jobID]; reserved {
 		return
@@ -50,7 +51,7 @@
 	s.leader.shard.ReserveQuota(record.Team, record.Reserved())
 }
 
-// release ends a reservation.
+// release ends the reservation of a job.
 func (s *spillManager) release(jobID string) {
 	if reserved, found := s.reservations[jobID]; found {
 		delete(s.reservations, jobID)
@@ -58,7 +59,7 @@
 	}
 }
 
-// lentJobChanged takes what the view says of a job that is or was lent.
+// lentJobChanged handles a change in the view of the record of a job that is or was lent.
 func (s *spillManager) lentJobChanged(jobID string) {
 	l := s.leader
 	record := l.controller.view.LentJobs[jobID]
@@ -68,7 +69,7 @@
 			s.lentJobs[jobID] = spill.NewLentJob(*record, l.controller.now)
 			s.suspendLent(jobID)
 			s.reserve(jobID, record)
-			slog.Info("lent", "job", jobID, "cell", record.Cell, "token", record.Token)
+			slog.Info("job lent", "job", jobID, "cell", record.Cell, "token", record.Token)
 			return
 		}
 		lent.Record = *record
@@ -79,7 +80,7 @@
 		return
 	}
 	if _, pending := s.pendingChanges[spill.OutKey(jobID)]; pending && record != nil {
-		return // it is to be lent again
+		return // a write that lends the job again is pending
 	}
 	delete(s.lentJobs, jobID)
 	s.release(jobID)
@@ -89,8 +90,9 @@
 	}
 }
 
-// stepLentJobs offers what is lent until it is heard of, takes back what is proven to be
-// gone, and forgets what has ended.
+// stepLentJobs offers lent jobs until the execution cell has sent a renewal, takes back
+// those of which provably nothing is left there, and removes the records of jobs that have
+// ended.
 func (s *spillManager) stepLentJobs() {
 	c := s.leader.controller
 	for _, jobID := range sortedKeys(c.view.LentJobs) {
@@ -118,15 +120,15 @@
 	}
 }
 
-// recallOne has one job come home that has not begun in its guest and could begin here.
+// recallOne recalls one job that has not started in its execution cell and could start here.
 func (s *spillManager) recallOne() {
-	looked := 0
+	searched := 0
 	for _, jobID := range sortedKeys(s.lentJobs) {
 		lent, job := s.lentJobs[jobID], s.leader.shard.Jobs[jobID]
 		if job == nil || job.EndPending || job.FinalStatus != "" || lent.HasStarted() || lent.IsRecalled() {
 			continue
 		}
-		if looked++; looked > maxJobsSearched {
+		if searched++; searched > maxJobsSearched {
 			return
 		}
 		if s.shouldRecall(job, lent) {
@@ -136,8 +138,8 @@
 	}
 }
 
-// forgetEnded removes the record of a job that has ended, once nothing of it can be in the
-// guest: until then it counts towards its team's limit.
+// forgetEnded removes the record of a job that has ended, once nothing of it can be left in
+// the execution cell. Until then it counts towards its team's limit.
 func (s *spillManager) forgetEnded(jobID string) {
 	lent := s.lentJobs[jobID]
 	if lent != nil {
@@ -148,7 +150,8 @@
 	s.queueChange(spill.OutKey(jobID), spillChange{})
 }
 
-// shouldRecall tells that a job that has not begun in its guest is better off at home.
+// shouldRecall reports whether a job that has not started in its execution cell is better
+// run here: this cell has room for it soon, or the execution cell is no longer a neighbour.
 func (s *spillManager) shouldRecall(job *model.JobState, lent *spill.LentJob) bool {
 	if s.policy == nil || !s.policy.HasNeighbour(lent.Record.Cell) {
 		return true
@@ -156,7 +159,8 @@
 	return s.leader.shard.HasRoomSoonFor(job.Job, s.minTasksPlaced(job), s.leader.controller.now) && !s.leader.shard.OwnWorkWaits(ownJobMaxWait, s.leader.controller.now)
 }
 
-// takeBack has a job come home. Nothing of it is bound here before that is durable.
+// takeBack queues the write that makes a lent job this cell's own again. None of its tasks
+// is bound here before that is durable.
 func (s *spillManager) takeBack(jobID string, lent *spill.LentJob, reason spill.TakeBackReason) {
 	key := spill.OutKey(jobID)
 	record := lent.Record
@@ -166,10 +170,11 @@
 	record.State, record.SinceMs, record.Running = spill.Home, s.leader.controller.wallClockMs(), 0
 	recordSpan(record.Trace, "take back", jobID, attribute.String("why", string(reason)))
 	s.queueChange(key, spillChange{value: record})
-	slog.Info("taken back", "job", jobID, "cell", record.Cell, "token", record.Token, "why", reason)
+	slog.Info("taking back lent job", "job", jobID, "cell", record.Cell, "token", record.Token, "why", reason)
 }
 
-// recordRunning has the users' answers say that a lent job runs, once.
+// recordRunning queues, once per lending, the write that lets status reads show that a lent
+// job runs.
 func (s *spillManager) recordRunning(jobID string, lent *spill.LentJob) {
 	if lent.Record.Running > 0 || !lent.HasStarted() {
 		return
@@ -182,8 +187,8 @@
 	s.queueChange(spill.OutKey(jobID), spillChange{value: record})
 }
 
-// minTasksPlaced is how many tasks have to find room for a job to be well served: all of a
-// gang, half of what is left of an array.
+// minTasksPlaced returns how many tasks a cell needs room for to be suitable for a job: all
+// remaining tasks of a gang, half of those of an array.
 func (s *spillManager) minTasksPlaced(job *model.JobState) int {
 	left := job.Tasks - job.Done.Len()
 	if job.Kind == model.Gang {
--- a/internal/controller/lending_offers.go
+++ b/internal/controller/lending_offers.go
@@ -10,22 +10,23 @@
 	"woadweir/internal/spill"
 )
 
-// leaseMismatchPause is how long a cell is not asked whose workers' lease does not fit.
+// leaseMismatchPause is how long no offers are sent to a cell whose worker lease is too long.
 const leaseMismatchPause = 60 * model.Second
 
-// sendOffer asks a cell whether it takes a job, with token 0, or offers what is lent to it. The
-// call goes on beside the actor, so it gets a set of finished tasks of its own.
+// sendOffer sends a cell an offer: with token 0 it only asks whether the cell would accept
+// the job, else it offers a job that is lent to it. The call runs concurrently with the
+// actor, so the offer has a copy of the set of finished tasks.
 func (s *spillManager) sendOffer(jobID, cell string, token uint64) {
 	c := s.leader.controller
-	job, view := s.leader.shard.Jobs[jobID], c.view.Jobs[jobID]
-	if c.cells == nil || job == nil || view == nil || view.Submission == nil || s.policy == nil {
+	job, jobView := s.leader.shard.Jobs[jobID], c.view.Jobs[jobID]
+	if c.cells == nil || job == nil || jobView == nil || jobView.Submission == nil || s.policy == nil {
 		return
 	}
-	offer := &spill.Offer{Home: s.policy.Cell, Token: token, Spec: view.Submission, Done: slices.Clone(job.Done.Bytes()), Trace: s.lendingTrace(jobID)}
+	offer := &spill.Offer{Home: s.policy.Cell, Token: token, Spec: jobView.Submission, Done: slices.Clone(job.Done.Bytes()), Trace: s.lendingTrace(jobID)}
 	c.cells.offer(msgOffered{cell: cell, job: jobID, sentAt: c.now, token: s.leader.token, offer: offer})
 }
 
-// lendingTrace is the trace of a lending, "" if there is none.
+// lendingTrace returns the trace context of a job's lending, "" if there is none.
 func (s *spillManager) lendingTrace(jobID string) string {
 	if lent := s.lentJobs[jobID]; lent != nil {
 		return lent.Record.Trace
@@ -33,7 +34,7 @@
 	return ""
 }
 
-// offerAnswered takes a cell's answer to an offer.
+// offerAnswered handles a cell's answer to an offer, or its failure.
 func (s *spillManager) offerAnswered(m msgOffered) {
 	c := s.leader.controller
 	pacer := s.pacer(m.cell)
@@ -42,7 +43,7 @@
 	}
 	if m.err != nil {
 		pacer.RecordFailure(0, c.jitter(), c.now)
-		slog.Debug("offer", "cell", m.cell, "err", m.err)
+		slog.Debug("offer failed", "cell", m.cell, "err", m.err)
 		return
 	}
 	if m.answer.Refusal != spill.NotRefused {
@@ -56,12 +57,12 @@
 	pacer.RecordSuccess(c.now-m.sentAt, c.now)
 	if m.offer.Token == 0 {
 		s.lend(m.job, m.cell, m.answer.WorkerLease)
-		s.lastProbeAt = 0 // the next may follow at once
+		s.lastProbeAt = 0 // the next probe may follow at once
 	}
 }
 
-// lend decides that a job is lent. Nothing of it is bound from now on; it is offered once
-// the record is durable.
+// lend decides to lend a job. From now on none of its tasks is bound here. The job is
+// offered once the record of the lending is durable.
 func (s *spillManager) lend(jobID, cell string, workerLease model.Micros) {
 	c := s.leader.controller
 	job := s.leader.shard.Jobs[jobID]
@@ -72,7 +73,7 @@
 	if !spill.FitsCancel(s.policy.Lease, workerLease, cancel) {
 		if !s.leaseMismatches[cell] {
 			s.leaseMismatches[cell] = true
-			slog.Error("nothing is lent to this cell: its workers' lease does not fit into cancel_s", "cell", cell, "lease_s", workerLease.Seconds(), "cancel_s", cancel.Seconds())
+			slog.Error("no jobs are lent to this cell: its worker lease is too long for cancel_s", "cell", cell, "lease_s", workerLease.Seconds(), "cancel_s", cancel.Seconds())
 		}
 		s.pacer(cell).RecordFailure(leaseMismatchPause, c.jitter(), c.now)
 		return
--- a/internal/controller/lending_renewals.go
+++ b/internal/controller/lending_renewals.go
@@ -5,7 +5,7 @@
 	"woadweir/internal/spill"
 )
 
-// answerRenewal answers a guest's question for the right to run.
+// answerRenewal answers an execution cell's renewal of its execution leases.
 func (s *spillManager) answerRenewal(renewal *spill.Renewal) (*spill.RenewalAnswer, error) {
 	c := s.leader.controller
 	if s.policy == nil {
@@ -18,7 +18,8 @@
 	return answer, nil
 }
 
-// verdict answers a question about one job, and takes in what the guest tells of it.
+// verdict returns the answer for one job of a renewal, and records what the execution cell
+// reports on the job.
 func (s *spillManager) verdict(renewal *spill.Renewal, report *spill.JobReport) spill.Verdict {
 	c := s.leader.controller
 	verdict := spill.Verdict{Job: report.Job, Token: report.Token}
--- a/internal/controller/lending_search.go
+++ b/internal/controller/lending_search.go
@@ -8,14 +8,15 @@
 	"woadweir/internal/spill"
 )
 
-// Limits of the search for a job to be lent.
+// Limits of the search for a job to lend.
 const (
 	probePeriod    = 500 * model.Millisecond
-	maxUnconfirmed = 8 // jobs lent to a cell that it has not asked for yet
-	minLeasesLeft  = 2 // leases of the right that have to fit in before a job's deadline
+	maxUnconfirmed = 8 // jobs lent to a cell that has not sent a renewal for them yet
+	minLeasesLeft  = 2 // execution leases that have to fit in before a job's deadline
 )
 
-// probeNeighbour asks a neighbour whether it takes the job that has waited longest.
+// probeNeighbour asks a neighbour whether it would accept the oldest job that may be lent
+// and finds no room here.
 func (s *spillManager) probeNeighbour() {
 	c := s.leader.controller
 	if !s.isEnabled() || c.now-s.lastProbeAt < probePeriod || len(s.lentJobs) >= s.policy.MaxLent || c.cells == nil {
@@ -32,8 +33,8 @@
 	}
 }
 
-// oldestWithoutRoom is the oldest job that may be lent and finds no room here, "" if there
-// is none among the oldest few.
+// oldestWithoutRoom returns the oldest job that may be lent and finds no room here, "" if
+// there is none among the oldest maxJobsSearched.
 func (s *spillManager) oldestWithoutRoom() string {
 	var jobs []*model.JobState
 	for _, job := range s.leader.shard.Jobs {
@@ -50,8 +51,8 @@
 	return ""
 }
 
-// nextNeighbour is a neighbour that may be asked now, "" if there is none. One after the
-// other is tried, those last that were asked last.
+// nextNeighbour returns a neighbour that may be probed now, "" if there is none. It goes
+// through the neighbours in turn, starting after the one it looked at last.
 func (s *spillManager) nextNeighbour() string {
 	for range s.policy.Neighbours {
 		s.neighbourIndex++
@@ -71,7 +72,8 @@
 	return s.pacers[cell]
 }
 
-// unconfirmed is how many jobs were lent to a cell that it has not asked for yet.
+// unconfirmed returns the number of jobs lent to a cell for which it has not sent a renewal
+// yet.
 func (s *spillManager) unconfirmed(cell string) (n int) {
 	for _, lent := range s.lentJobs {
 		if lent.Record.Cell == cell && !lent.RenewalReceived() {
@@ -81,13 +83,13 @@
 	return n
 }
 
-// mayLend tells whether a job may be lent: a whole array or gang of which nothing is
-// bound, that has waited long enough and has not come back a moment ago, that no other
-// job awaits, that has time, and that its team's limit leaves room for here, so that the
-// team stays within it wherever the job runs.
+// mayLend reports whether a job may be lent. It has to be an array or a gang without bound
+// tasks that has waited long enough, was not taken back recently, depends on no job and is
+// awaited by none, and has enough time before its deadline. All of it has to fit within its
+// team's limit here, so that the team stays within the limit wherever the job runs.
 func (s *spillManager) mayLend(job *model.JobState) bool {
 	c := s.leader.controller
-	view := c.view.Jobs[job.ID]
+	jobView := c.view.Jobs[job.ID]
 	switch {
 	case job.HomeCell != "" || job.Suspended || job.FinalStatus != "" || job.EndPending || job.Kind == model.Service:
 		return false
@@ -95,7 +97,7 @@
 		return false
 	case c.now-max(job.ReadySince, job.IdleSince) < s.policy.MinWait:
 		return false
-	case view == nil || view.Submission == nil || view.End != "" || !view.IsIndependent():
+	case jobView == nil || jobView.Submission == nil || jobView.End != "" || !jobView.IsIndependent():
 		return false
 	case job.Deadline > 0 && job.ReadySince+job.Deadline < c.now+minLeasesLeft*s.policy.Lease:
 		return false
--- a/internal/controller/spill.go
+++ b/internal/controller/spill.go
@@ -14,33 +14,34 @@
 	"woadweir/internal/tracing"
 )
 
-// spillStepPeriod is how often a leader looks at what is lent.
+// spillStepPeriod is how often a leader processes lent and borrowed jobs.
 const spillStepPeriod = 100 * model.Millisecond
 
-// spillManager is a leader's part in offloading jobs between cells ("spill"): what it has lent
-// to other cells and what others have lent to it. It is part of the controller actor.
+// spillManager handles a leader's jobs that run in another cell than their home cell
+// ("spill"): those lent to other cells and those borrowed from them. It is part of the
+// controller actor.
 type spillManager struct {
 	leader         *leader
-	policy         *spill.Policy          // nil: nothing new is lent or taken, what is there drains
+	policy         *spill.Policy          // nil: no job is lent or accepted, existing ones drain
 	pendingChanges map[string]spillChange // by key of the record
-	resync         bool                   // a write failed: no further one before a catch-up
+	resync         bool                   // a transaction failed: none before a synchronization of the view
 	lastStepAt     model.Micros
 
 	// As a home cell.
 	lentJobs           map[string]*spill.LentJob    // by job
 	reservations       map[string]reservation       // by job
 	pacers             map[string]*spill.OfferPacer // by cell
-	probed             map[string]bool              // neighbours that are asked whether they take a job
-	neighbourIndex     int                          // the neighbour that is asked next
-	lastProbeAt        model.Micros                 // when a job to be lent was last looked for
-	lastRecallSearchAt model.Micros                 // when a job to be recalled was last looked for
-	leaseMismatches    map[string]bool              // neighbours whose workers' lease does not fit, as logged
+	probed             map[string]bool              // neighbours with a probe in flight
+	neighbourIndex     int                          // of the neighbour that was looked at last
+	lastProbeAt        model.Micros                 // when a job to lend was last looked for
+	lastRecallSearchAt model.Micros                 // when a job to recall was last looked for
+	leaseMismatches    map[string]bool              // neighbours for which a worker lease that is too long was logged
 
-	// As a guest cell.
+	// As an execution cell.
 	borrowedJobs  map[string]*spill.BorrowedJob     // by key of the record
 	renewals      map[string]*renewalSchedule       // by home cell
-	unknownJobs   map[string]model.Micros           // when workers last did not know a job, by key of the record
-	refusedOffers map[autoscaler.Offer]model.Micros // when the cloud last had no capacity of it
+	unknownJobs   map[string]model.Micros           // when the workers last did not know a job, by key of the record
+	refusedOffers map[autoscaler.Offer]model.Micros // when the cloud last had too little capacity for an offer
 }
 
 func newSpillManager(l *leader, policy *spill.Policy) *spillManager {
@@ -60,20 +61,20 @@
 	}
 }
 
-// isEnabled tells whether jobs may be lent and taken: the operators want it, every
-// controller reads the records, and no record is beyond this version.
+// isEnabled reports whether jobs may be lent and accepted: there is a spill file, every
+// controller can read the records, and this version can read every record there is.
 func (s *spillManager) isEnabled() bool {
 	c := s.leader.controller
 	return s.policy != nil && c.allControllersHave(c.view.Layouts, state.LayoutSpill) && c.view.UnreadableSpill == ""
 }
 
-// takeOver learns what is lent from the records, before this cell's own jobs are known and
-// bindings are restored. Whatever the holders before have granted or were granted ended
-// with their authority.
+// takeOver restores lent and borrowed jobs from the records, before this cell's own jobs
+// are added and bindings are restored. Execution leases that earlier holders granted or
+// were granted ended with their authority.
 func (s *spillManager) takeOver() {
 	view := s.leader.controller.view
 	if view.UnreadableSpill != "" {
-		slog.Error("a record of spilling is not readable; nothing is lent or taken", "key", view.UnreadableSpill)
+		slog.Error("a spill record is not readable; no jobs are lent or accepted", "key", view.UnreadableSpill)
 	}
 	for key := range view.BorrowedJobs {
 		s.addBorrowedJob(key)
@@ -86,8 +87,8 @@
 	}
 }
 
-// suspendRestored stops what a takeover has restored of jobs that are lent out: the holder
-// before had proof that it was gone before it lent them.
+// suspendRestored stops tasks that a takeover has restored of jobs that are lent to other
+// cells: the previous holder had proof that these were gone before it lent the jobs.
 func (s *spillManager) suspendRestored() {
 	for jobID := range s.lentJobs {
 		if job := s.leader.shard.Jobs[jobID]; job != nil {
@@ -96,7 +97,7 @@
 	}
 }
 
-// step does what is due.
+// step does the work that is due.
 func (s *spillManager) step() {
 	c := s.leader.controller
 	if s.policy == nil && len(s.lentJobs)+len(s.borrowedJobs)+len(c.view.LentJobs) == 0 || c.now-s.lastStepAt < spillStepPeriod {
@@ -112,7 +113,7 @@
 	s.writeChanges()
 }
 
-// recordChanged takes what the view says of a record of spilling.
+// recordChanged handles a change of a spill record in the view.
 func (s *spillManager) recordChanged(key string) {
 	if jobID, out := strings.CutPrefix(key, spill.OutPrefix); out {
 		s.lentJobChanged(jobID)
@@ -121,7 +122,7 @@
 	}
 }
 
-// reload takes all records of a fresh listing.
+// reload handles all spill records, and those that are gone, after a new listing.
 func (s *spillManager) reload() {
 	view := s.leader.controller.view
 	keys := map[string]bool{}
@@ -142,14 +143,14 @@
 	}
 }
 
-// recordSpan records a step of a lending as a span, whose context it gives.
+// recordSpan records a step of a lending as a span and returns the span's context.
 func recordSpan(parent, step, jobID string, attributes ...attribute.KeyValue) (context string) {
 	span := tracing.Start(parent, step, append(attributes, attribute.String("job", jobID))...)
 	span.End("")
 	return span.Context()
 }
 
-// sortedKeys gives the keys of a map in order, so that the same state leads to the same
+// sortedKeys returns the keys of a map in order, so that the same state leads to the same
 // decisions.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
--- a/internal/controller/spill_changes.go
+++ b/internal/controller/spill_changes.go
@@ -7,20 +7,20 @@
 	"woadweir/internal/state"
 )
 
-// spillChange is a change of a record of spilling that is to be made durable. It is
-// repeated as it is until the view shows it, or it is pointless: a copy of it that got no
-// answer may still be carried out.
+// spillChange is a change of a spill record that is to be written. It is repeated unchanged
+// until the view shows it or it has become pointless, because a copy of it that got no
+// answer may still be executed.
 type spillChange struct {
 	value any    // nil: the record is removed
-	jobID string // a job of this cell that must not have changed, "": none
+	jobID string // a job of this cell whose record must not have changed, "": none
 }
 
-// queueChange has a change made durable, in the place of an earlier one of the same record.
+// queueChange queues a change. It replaces an earlier one of the same record.
 func (s *spillManager) queueChange(key string, change spillChange) { s.pendingChanges[key] = change }
 
-// writeChanges sends the changes that are due, one transaction at a time. Each is guarded by the
-// grant and by the record's own revision, and a lending by that of the job: a job that
-// has ended is never lent.
+// writeChanges sends the queued changes, one transaction at a time. Each change is
+// conditional on the grant and on the record's own revision. A lending is also conditional
+// on the revision of the job, so that a job that has ended is never lent.
 func (s *spillManager) writeChanges() {
 	c := s.leader.controller
 	if !c.lanes.isFree(laneSpill, c.now) || s.resync || len(s.pendingChanges) == 0 {
@@ -53,7 +53,7 @@
 	}
 }
 
-// isSettled tells that a change stands in the view, or that it is pointless.
+// isSettled reports whether the view shows a change, or the change has become pointless.
 func (s *spillManager) isSettled(key string, change spillChange) bool {
 	view := s.leader.controller.view
 	if change.jobID != "" {
@@ -74,7 +74,7 @@
 	}
 }
 
-// committed takes the end of a transaction of spill records.
+// committed handles the outcome of a transaction of spill records.
 func (s *spillManager) committed(m msgCommitted) {
 	c := s.leader.controller
 	if m.err == nil && m.result.OK {
