--- a/internal/controller/intent_calls.go
+++ b/internal/controller/intent_calls.go
@@ -54,8 +54,8 @@
 	}
 	if _, holds := snapshot.Holds(duty.Returning); holds {
 		for _, key := range slices.Sorted(maps.Keys(view.Returns)) {
-			if ret := view.Returns[key]; ret.State == duty.Open && d.mayExecute(key, duty.Returning) {
-				d.executeReturn(key, ret)
+			if returnIntent := view.Returns[key]; returnIntent.State == duty.Open && d.mayExecute(key, duty.Returning) {
+				d.executeReturn(key, returnIntent)
 			}
 		}
 	}
@@ -92,8 +92,8 @@
 	d.controller.io.rentMachines(msgRented{rental: requestOf(rental), intentRef: d.startCall(key, duty.Renting, rental.Trace)})
 }
 
-func (d *dutyManager) executeReturn(key string, ret *duty.Return) {
-	d.controller.io.deleteMachines(msgDeleted{machineIDs: ret.Machines, intentRef: d.startCall(key, duty.Returning, ret.Trace)})
+func (d *dutyManager) executeReturn(key string, returnIntent *duty.Return) {
+	d.controller.io.deleteMachines(msgDeleted{machineIDs: returnIntent.Machines, intentRef: d.startCall(key, duty.Returning, returnIntent.Trace)})
 }
 
 // requestOf returns the rental request that carries out a rental intent.
@@ -141,11 +141,11 @@
 // deleted handles the cloud's answer to the request of a return intent.
 func (d *dutyManager) deleted(m msgDeleted) {
 	call := d.callEnded(m.intentRef, m.err)
-	ret := d.controller.view.Returns[m.intentKey]
-	if call == nil || ret == nil {
+	returnIntent := d.controller.view.Returns[m.intentKey]
+	if call == nil || returnIntent == nil {
 		return
 	}
-	outcome := *ret
+	outcome := *returnIntent
 	outcome.State = duty.Gone
 	call.outcome = outcome
 }
--- a/internal/controller/intent_results.go
+++ b/internal/controller/intent_results.go
@@ -11,22 +11,22 @@
 // takeOverIntents takes over the intents of former leaders. Nothing more can be written
 // under their grants.
 func (l *leader) takeOverIntents() {
-	for key, ret := range l.controller.view.Returns {
-		l.takeOverReturn(key, ret)
+	for key, returnIntent := range l.controller.view.Returns {
+		l.takeOverReturn(key, returnIntent)
 	}
 	for key, rental := range l.controller.view.Rentals {
 		l.takeOverRental(key, rental)
 	}
 }
 
-func (l *leader) takeOverReturn(key string, ret *duty.Return) {
-	if ret.State != duty.Open {
-		for _, machineID := range ret.Machines {
+func (l *leader) takeOverReturn(key string, returnIntent *duty.Return) {
+	if returnIntent.State != duty.Open {
+		for _, machineID := range returnIntent.Machines {
 			l.machineDeleted(machineID)
 		}
 		return
 	}
-	for _, machineID := range ret.Machines {
+	for _, machineID := range returnIntent.Machines {
 		l.inventory.pendingDeletions[machineID] = deletionSent
 		if machine := l.shard.Machines[machineID]; machine != nil {
 			machine.Deleting = true
@@ -35,7 +35,7 @@
 			l.inventory.deletedAt[machineID] = l.controller.now
 		}
 	}
-	l.intents.returns[key] = ret.Machines
+	l.intents.returns[key] = returnIntent.Machines
 }
 
 func (l *leader) takeOverRental(key string, rental *duty.Rental) {
@@ -65,9 +65,9 @@
 		}
 	}
 	for key, machineIDs := range l.intents.returns {
-		ret := view.Returns[key]
-		if ret != nil && ret.State != duty.Open && slices.Equal(ret.Machines, machineIDs) {
-			l.applyReturn(key, ret)
+		returnIntent := view.Returns[key]
+		if returnIntent != nil && returnIntent.State != duty.Open && slices.Equal(returnIntent.Machines, machineIDs) {
+			l.applyReturn(key, returnIntent)
 		}
 	}
 }
@@ -84,9 +84,9 @@
 	l.addRentedMachines(rental.Machines, offerOf(rental))
 }
 
-func (l *leader) applyReturn(key string, ret *duty.Return) {
+func (l *leader) applyReturn(key string, returnIntent *duty.Return) {
 	delete(l.intents.returns, key)
-	for _, machineID := range ret.Machines {
+	for _, machineID := range returnIntent.Machines {
 		l.machineDeleted(machineID)
 	}
 	l.provisioning.runSoon()
--- a/internal/controller/intent_writes.go
+++ b/internal/controller/intent_writes.go
@@ -26,8 +26,8 @@
 		at, seen := l.intents.finishedAt[key]
 		return rental.State == duty.Refused || rental.State == duty.Filled && seen && l.controller.now-at >= duty.RetainRental
 	}
-	ret := l.controller.view.Returns[key]
-	return ret == nil || ret.State != duty.Open && l.intents.returns[key] == nil
+	returnIntent := l.controller.view.Returns[key]
+	return returnIntent == nil || returnIntent.State != duty.Open && l.intents.returns[key] == nil
 }
 
 // writeIntents writes the leader's queued intents, as many as the limits allow.
@@ -56,8 +56,8 @@
 		usedKeys[draft.slotKey] = true
 		txn.Conditions = append(txn.Conditions, state.Condition{Path: draft.slotKey, Revision: c.view.Revisions[draft.slotKey]})
 		txn.Then = append(txn.Then, draft.op())
-		if draft.ret != nil {
-			machines += len(draft.ret.Machines)
+		if draft.returnIntent != nil {
+			machines += len(draft.returnIntent.Machines)
 		}
 		l.intents.inFlight = append(l.intents.inFlight, draft)
 	}
@@ -72,7 +72,7 @@
 	if d.rental != nil {
 		return state.Op{Set: d.slotKey, Value: *d.rental}
 	}
-	return state.Op{Set: d.slotKey, Value: *d.ret}
+	return state.Op{Set: d.slotKey, Value: *d.returnIntent}
 }
 
 // intentsCommitted handles the outcome of a transaction of intents.
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -15,10 +15,10 @@
 // intentDraft is a decision of the leader that is not known to be durable yet: a rental or
 // a return.
 type intentDraft struct {
-	slotKey string       // key of the slot that it is written to, "": not chosen yet
-	rental  *duty.Rental // nil: a return
-	ret     *duty.Return // nil: a rental
-	span    tracing.Span
+	slotKey      string       // key of the slot that it is written to, "": not chosen yet
+	rental       *duty.Rental // nil: a return
+	returnIntent *duty.Return // nil: a rental
+	span         tracing.Span
 }
 
 // intentLog holds the leader's intents: those not known to be durable yet, and those whose
@@ -86,17 +86,17 @@
 func (l *leader) queueReturn(machineIDs []string) {
 	limit := duty.ReturnAtMost(l.controller.maxValueBytes())
 	for _, draft := range l.intents.queue {
-		if draft.ret != nil && draft.slotKey == "" {
-			fit := max(0, min(len(machineIDs), limit-len(draft.ret.Machines)))
-			draft.ret.Machines = append(draft.ret.Machines, machineIDs[:fit]...)
+		if draft.returnIntent != nil && draft.slotKey == "" {
+			fit := max(0, min(len(machineIDs), limit-len(draft.returnIntent.Machines)))
+			draft.returnIntent.Machines = append(draft.returnIntent.Machines, machineIDs[:fit]...)
 			machineIDs = machineIDs[fit:]
 		}
 	}
 	slices.Sort(machineIDs)
 	for chunk := range slices.Chunk(machineIDs, limit) {
 		span := tracing.Start("", "intent", attribute.Int("machines", len(chunk)))
-		ret := &duty.Return{Machines: chunk, Grant: l.token, State: duty.Open, Trace: span.Context()}
-		l.intents.queue = append(l.intents.queue, &intentDraft{span: span, ret: ret})
+		returnIntent := &duty.Return{Machines: chunk, Grant: l.token, State: duty.Open, Trace: span.Context()}
+		l.intents.queue = append(l.intents.queue, &intentDraft{span: span, returnIntent: returnIntent})
 	}
 }
 
@@ -109,8 +109,8 @@
 		rental := l.controller.view.Rentals[draft.slotKey]
 		return rental != nil && rental.Request == draft.rental.Request
 	}
-	ret := l.controller.view.Returns[draft.slotKey]
-	return ret != nil && ret.Grant == l.token && slices.Equal(ret.Machines, draft.ret.Machines)
+	returnIntent := l.controller.view.Returns[draft.slotKey]
+	return returnIntent != nil && returnIntent.Grant == l.token && slices.Equal(returnIntent.Machines, draft.returnIntent.Machines)
 }
 
 // awaitOutcome records that a draft is durable and that its outcome is pending.
@@ -121,5 +121,5 @@
 		delete(l.intents.finishedAt, draft.slotKey)
 		return
 	}
-	l.intents.returns[draft.slotKey] = draft.ret.Machines
+	l.intents.returns[draft.slotKey] = draft.returnIntent.Machines
 }
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -156,7 +156,7 @@
 	if s.policy == nil || !s.policy.HasNeighbour(lent.Record.Cell) {
 		return true
 	}
-	return s.leader.shard.HasRoomSoonFor(job.Job, s.minTasksPlaced(job), s.leader.controller.now) && !s.leader.shard.OwnWorkWaits(ownJobMaxWait, s.leader.controller.now)
+	return s.leader.shard.HasRoomSoonFor(job.Job, s.minTasksToFit(job), s.leader.controller.now) && !s.leader.shard.OwnWorkWaits(ownJobMaxWait, s.leader.controller.now)
 }
 
 // takeBack queues the write that makes a lent job this cell's own again. None of its tasks
@@ -187,9 +187,9 @@
 	s.queueChange(spill.OutKey(jobID), spillChange{value: record})
 }
 
-// minTasksPlaced returns how many tasks a cell needs room for to be suitable for a job: all
+// minTasksToFit returns how many tasks a cell needs room for to be suitable for a job: all
 // remaining tasks of a gang, half of those of an array.
-func (s *spillManager) minTasksPlaced(job *model.JobState) int {
+func (s *spillManager) minTasksToFit(job *model.JobState) int {
 	left := job.Tasks - job.Done.Len()
 	if job.Kind == model.Gang {
 		return left
--- a/internal/controller/lending_search.go
+++ b/internal/controller/lending_search.go
@@ -44,7 +44,7 @@
 	}
 	slices.SortFunc(jobs, func(a, b *model.JobState) int { return cmp.Compare(a.AcceptedRevision, b.AcceptedRevision) })
 	for _, job := range jobs[:min(len(jobs), maxJobsSearched)] {
-		if !s.leader.shard.HasRoomSoonFor(job.Job, s.minTasksPlaced(job), s.leader.controller.now) {
+		if !s.leader.shard.HasRoomSoonFor(job.Job, s.minTasksToFit(job), s.leader.controller.now) {
 			return job.ID
 		}
 	}
@@ -64,7 +64,7 @@
 	return ""
 }
 
-// contact paces the offers to a cell.
+// pacer returns the pacer of the offers to a cell.
 func (s *spillManager) pacer(cell string) *spill.OfferPacer {
 	if s.pacers[cell] == nil {
 		s.pacers[cell] = &spill.OfferPacer{}
--- a/internal/core/autoscaler/candidates.go
+++ b/internal/core/autoscaler/candidates.go
@@ -14,7 +14,7 @@
 	offer            Offer
 	size             model.Resources
 	free             model.Resources // not used by bound tasks and assigned waiting tasks
-	freeForOnDemand  model.Resources // free, and on an on-demand machine also what preemptible tasks use
+	freeForOnDemand  model.Resources // free plus what preemptible and newly assigned spot-tolerant tasks use
 	spare            model.Resources // what placeholders leave of freeForOnDemand, or of free
 	assigned         bool            // the round assigned a waiting task to it
 	runsOnDemandTask bool            // has a task that needs an on-demand machine
@@ -22,7 +22,7 @@
 	placeholders     []*placeholder
 }
 
-func (m *candidateMachine) isOnDemand() bool { return !m.offer.Spot }
+func (c *candidateMachine) isOnDemand() bool { return !c.offer.Spot }
 
 // isUsable reports whether tasks can be planned on a machine.
 func (p *Provisioner) isUsable(machine *model.Machine, machineType *model.MachineType, now model.Micros) bool {
@@ -56,14 +56,14 @@
 // sooner than a new machine could boot. Otherwise each such task that is placed there
 // while the room is idle would cause another on-demand machine to be rented, at several
 // times the price of the spot machine that it could have used.
-func (m *candidateMachine) addPreemptibleRoom(in *Input) {
-	fasterThanBoot := in.OnDemandMaxWait < model.Seconds(in.MachineTypes[m.offer.MachineType].BootS)
-	for _, binding := range m.machine.Bindings {
+func (c *candidateMachine) addPreemptibleRoom(in *Input) {
+	fasterThanBoot := in.OnDemandMaxWait < model.Seconds(in.MachineTypes[c.offer.MachineType].BootS)
+	for _, binding := range c.machine.Bindings {
 		job := binding.Job
 		if fasterThanBoot && job.AllowsSpot && job.Kind != model.Gang && job.Priority < in.OnDemandPriority {
-			m.freeForOnDemand = m.freeForOnDemand.Plus(job.Request)
+			c.freeForOnDemand = c.freeForOnDemand.Plus(job.Request)
 		}
-		m.runsOnDemandTask = m.runsOnDemandTask || !job.AllowsSpot
+		c.runsOnDemandTask = c.runsOnDemandTask || !job.AllowsSpot
 	}
 }
 
--- a/internal/core/autoscaler/placeholders.go
+++ b/internal/core/autoscaler/placeholders.go
@@ -121,10 +121,10 @@
 
 // resetSpare makes all that tasks leave of a machine available to placeholders. Once
 // spot-tolerant work is placed, a spot machine's spare resources exclude what it uses.
-func (m *candidateMachine) resetSpare(spotTolerantPlaced bool) {
-	m.spare = m.freeForOnDemand
-	if spotTolerantPlaced && m.offer.Spot {
-		m.spare = m.free
+func (c *candidateMachine) resetSpare(spotTolerantPlaced bool) {
+	c.spare = c.freeForOnDemand
+	if spotTolerantPlaced && c.offer.Spot {
+		c.spare = c.free
 	}
 }
 
