--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -9,18 +9,19 @@
 	"woadweir/internal/core/model"
 )
 
-// Cloud is a stand-in for the cloud's API, and has the machines with their workers.
+// Cloud is a test double for the cloud's API. It owns the simulated machines and their
+// workers.
 type Cloud struct {
 	MachineTypes   []model.MachineType
-	Capacity       map[string]int                // machines that may be rented at once, by type/zone/spot
+	Capacity       map[string]int                // number of machines that may be rented at once, by type/zone/spot
 	Down           bool                          // every call fails
-	FastBootChance float64                       // the chance that a machine is up within two seconds
-	ListLag        model.Micros                  // about how old the listed machines are
-	TaskDuration   func(*model.Job) model.Micros // how long a task runs
-	Times          WorkerTimes                   // the settings of new workers
-	Cell           string                        // the cell that rents here, "": there is one
+	FastBootChance float64                       // probability that a machine is up within two seconds
+	ListLag        model.Micros                  // approximate age of the machine list that List returns
+	TaskDuration   func(*model.Job) model.Micros // run time of a task of the job
+	Times          WorkerTimes                   // settings of new workers
+	Cell           string                        // the cell that rents from this cloud, "" if there is only one cell
 
-	// Calls are the rentals and deletions that were carried out.
+	// Calls are the rentals and deletions that were carried out, in order.
 	Calls []CloudCall
 
 	sim      *Sim
@@ -28,24 +29,24 @@
 	rules    *InvariantChecker
 	gangs    map[gangKey]map[*Task]bool
 	machines []*machine
-	rentals  map[string][]string // the machines of each request
+	rentals  map[string][]string // machine IDs by request ID
 	nextID   int
 }
 
-// CloudCall is a rental or a deletion that changed something.
+// CloudCall is a rental that got machines or a deletion that ended machines.
 type CloudCall struct {
 	At       model.Micros
 	Request  string // the request ID of a rental, "" for a deletion
 	Machines []string
 }
 
-// neverUp stands in the place of the time when a machine is up.
+// neverUp is the upAt of a machine that never comes up.
 const neverUp = -1
 
 type machine struct {
 	worker        *Worker
 	rentedAt      model.Micros
-	upAt          model.Micros // when it is up, or neverUp
+	upAt          model.Micros // when it comes up, or neverUp
 	goneAt        model.Micros
 	gone          bool
 	workerStarted bool
@@ -57,12 +58,13 @@
 		gangs: map[gangKey]map[*Task]bool{}, rentals: map[string][]string{}, TaskDuration: func(j *model.Job) model.Micros { return j.EstimatedRun }}
 }
 
+// capacityKey returns the key of Cloud.Capacity for a kind of machine.
 func capacityKey(machineType, zone string, spot bool) string {
 	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
 
-// Rent rents machines, as many of the wanted ones as there are: POST /rentals. A request
-// that is repeated gets the machines that it got before.
+// Rent rents the requested machines, or as many of them as the capacity allows: POST
+// /rentals. A repeated request gets the same machines again.
 func (c *Cloud) Rent(rental *cloud.Rental) ([]string, error) {
 	if c.Down {
 		return nil, cloud.ErrUnavailable
@@ -71,7 +73,7 @@
 		return previous, nil
 	}
 	if rental.Count < 1 || rental.Count > 50 {
-		panic("rental of a bad count")
+		panic("rental count is not between 1 and 50")
 	}
 	granted := min(rental.Count, c.freeCapacity(rental))
 	if granted <= 0 {
@@ -89,7 +91,7 @@
 	return machineIDs, nil
 }
 
-// free is how many machines of the wanted kind the cloud still has.
+// freeCapacity returns how many more machines of the requested kind can be rented.
 func (c *Cloud) freeCapacity(rental *cloud.Rental) int {
 	used := 0
 	for _, m := range c.machines {
@@ -114,10 +116,10 @@
 	return m
 }
 
-// bootFailure is the chance that a rented machine never comes up.
+// bootFailureChance is the probability that a rented machine never comes up.
 const bootFailureChance = 0.03
 
-// boot has a machine come up after a while, unless it is one of those that never do.
+// boot draws when a machine comes up, if at all, and schedules the start of its worker.
 func (c *Cloud) boot(m *machine, machineType *model.MachineType) {
 	if c.sim.Chance(bootFailureChance) {
 		m.upAt = neverUp
@@ -135,7 +137,8 @@
 	})
 }
 
-// Delete gives machines back: POST /rentals/delete. Those that are gone are passed over.
+// Delete ends the rental of machines: POST /rentals/delete. Machines that are already gone
+// are ignored.
 func (c *Cloud) Delete(machineIDs []string) error {
 	if c.Down {
 		return cloud.ErrUnavailable
@@ -158,7 +161,8 @@
 	return nil
 }
 
-// List returns the rented machines as they were some time ago: GET /rentals.
+// List returns the rented machines as they were between half of ListLag and twice ListLag
+// ago: GET /rentals.
 func (c *Cloud) List() ([]cloud.Machine, error) {
 	if c.Down {
 		return nil, cloud.ErrUnavailable
@@ -179,7 +183,7 @@
 	return listed, nil
 }
 
-// Workers are the workers of the machines that are up.
+// Workers returns the workers of the machines that are up.
 func (c *Cloud) Workers() (workers []*Worker) {
 	for _, m := range c.machines {
 		if m.workerStarted && !m.gone && !m.worker.dead {
@@ -189,7 +193,7 @@
 	return workers
 }
 
-// Rented is the number of machines that are paid for.
+// RentedCount returns the number of machines that are being paid for.
 func (c *Cloud) RentedCount() (n int) {
 	for _, m := range c.machines {
 		if !m.gone {
@@ -199,7 +203,7 @@
 	return n
 }
 
-// Describe lists the machines with their tasks, for failure messages.
+// Describe returns the machines with their tasks, for failure messages.
 func (c *Cloud) Describe() string {
 	var b strings.Builder
 	for _, w := range c.Workers() {
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -10,35 +10,35 @@
 	"woadweir/internal/state"
 )
 
-// DutyHistory checks that each duty has one holder at a time. It goes by the logs of the
-// stand-ins alone: from which controller each write came and what it says, not by the
-// conditions under which it was accepted, since these are what is tested.
+// DutyChecker checks that each duty has one holder at a time. It uses only the logs of the
+// test doubles: which controller sent each write and what the write contains. It does not
+// use the conditions under which a write was accepted, since these are what is tested.
 type DutyChecker struct {
-	// Broken says which write or call broke a rule, when and how.
+	// Violations describe each write or call that broke a rule: time, controller and rule.
 	Violations []string
 
 	holder      map[duty.Name]string
 	token       map[duty.Name]uint64
-	openRentals map[string]bool // requests of rental intents that were ever open
-	returned    map[string]bool // machines that stand in a return intent
+	openRentals map[string]bool // request IDs of all rental intents that were ever open
+	returned    map[string]bool // machines named in a return intent
 	bound       map[string]map[taskAttempt]bool
-	// intentsFrom is when the leader has said that it acts through intents, and its
-	// calls from before are over; -1: not yet.
+	// intentsRequiredFrom is the time from which every call of the cloud needs an intent:
+	// the leader has recorded that it uses intents, and calls that it began before are
+	// over. -1 while it has not.
 	intentsRequiredFrom model.Micros
 }
 
-// callsOver is how long after it has begun to act through intents a leader's calls from
-// before may still come.
+// oldCallsTimeout is how long calls without an intent may still arrive after a leader has
+// begun to use intents.
 const oldCallsTimeout = 10 * model.Second
 
-// boundTask is an attempt of a task.
+// taskAttempt identifies an attempt of a task.
 type taskAttempt struct {
 	job           string
 	task, attempt uint64
 }
 
-// CheckDuties checks the writes of a State and the calls of a Cloud, each in the order of
-// their times.
+// CheckDuties checks the writes of a State and the calls of a Cloud, each sorted by time.
 func CheckDuties(writes []TxnRecord, calls []CloudCall) *DutyChecker {
 	checker := &DutyChecker{holder: map[duty.Name]string{}, token: map[duty.Name]uint64{}, openRentals: map[string]bool{}, returned: map[string]bool{},
 		bound: map[string]map[taskAttempt]bool{}, intentsRequiredFrom: -1}
@@ -64,35 +64,35 @@
 	c.Violations = append(c.Violations, fmt.Sprintf(format, args...))
 }
 
-// accepted takes a change of an accepted write.
+// checkWrite checks one change of an accepted transaction and updates the checker's state.
 func (c *DutyChecker) checkWrite(write *TxnRecord, op state.Op) {
-	switch r := op.Value.(type) {
+	switch record := op.Value.(type) {
 	case state.LeaderRecord:
 		switch {
-		case !r.UsesIntents && c.intentsRequiredFrom >= 0:
-			c.addViolation("%.3f %s leads without intents", write.At.Seconds(), write.Node)
-		case r.UsesIntents && c.intentsRequiredFrom < 0:
+		case !record.UsesIntents && c.intentsRequiredFrom >= 0:
+			c.addViolation("%.3f %s leads without intents after a leader used them", write.At.Seconds(), write.Node)
+		case record.UsesIntents && c.intentsRequiredFrom < 0:
 			c.intentsRequiredFrom = write.At + oldCallsTimeout
 		}
 	case duty.Lease:
 		name := duty.Name(strings.TrimPrefix(op.Set, duty.KeyPrefix))
-		c.holder[name], c.token[name] = r.Holder, write.Revision
+		c.holder[name], c.token[name] = record.Holder, write.Revision
 	case duty.Rental:
-		if r.State == duty.Open {
-			c.openRentals[r.Request] = true
+		if record.State == duty.Open {
+			c.openRentals[record.Request] = true
 			return
 		}
-		c.checkToken(write, duty.Renting, r.Token)
+		c.checkToken(write, duty.Renting, record.Token)
 	case duty.Return:
-		if r.State != duty.Open {
-			c.checkToken(write, duty.Returning, r.Token)
+		if record.State != duty.Open {
+			c.checkToken(write, duty.Returning, record.Token)
 			return
 		}
-		for _, machine := range r.Machines {
+		for _, machine := range record.Machines {
 			c.returned[machine] = true
 		}
 	case shard.BundleRecord:
-		c.checkBindings(write, r)
+		c.checkBindings(write, record)
 	case nil:
 		if op.Drop != "" && c.holder[duty.Cleanup] != write.Node {
 			c.addViolation("%.3f %s removes %s while %s holds cleanup", write.At.Seconds(), write.Node, op.Drop, c.holder[duty.Cleanup])
@@ -100,14 +100,14 @@
 	}
 }
 
-// performed takes a write under a duty: no other token may have been granted since.
+// checkToken checks a write made under a duty: its token has to be the last one granted.
 func (c *DutyChecker) checkToken(write *TxnRecord, name duty.Name, token uint64) {
 	if token != c.token[name] || c.holder[name] != write.Node {
-		c.addViolation("%.3f %s writes under token %d of %s, held by %s under %d", write.At.Seconds(), write.Node, token, name, c.holder[name], c.token[name])
+		c.addViolation("%.3f %s writes with token %d of duty %s, which %s holds with token %d", write.At.Seconds(), write.Node, token, name, c.holder[name], c.token[name])
 	}
 }
 
-// bundle takes bindings: none may be new on a machine that is to be returned.
+// checkBindings checks that no task is newly bound to a machine that is to be returned.
 func (c *DutyChecker) checkBindings(write *TxnRecord, bundle shard.BundleRecord) {
 	for machine, record := range bundle.Machines {
 		bound := map[taskAttempt]bool{}
@@ -127,20 +127,21 @@
 	}
 }
 
-// call takes a call of the cloud that changed something.
+// checkCall checks that a call of the cloud has an intent, if one is required by then, and
+// that no machine is rented by two requests.
 func (c *DutyChecker) checkCall(call CloudCall, rented map[string]string) {
 	throughIntents := c.intentsRequiredFrom >= 0 && call.At >= c.intentsRequiredFrom
 	for _, machine := range call.Machines {
 		switch {
 		case call.Request == "" && !c.returned[machine] && throughIntents:
-			c.addViolation("%.3f %s is deleted without an intent", call.At.Seconds(), machine)
+			c.addViolation("%.3f %s is deleted without a return intent", call.At.Seconds(), machine)
 		case call.Request != "" && rented[machine] != "":
-			c.addViolation("%.3f %s is rented by %s and by %s", call.At.Seconds(), machine, rented[machine], call.Request)
+			c.addViolation("%.3f %s is rented by requests %s and %s", call.At.Seconds(), machine, rented[machine], call.Request)
 		case call.Request != "":
 			rented[machine] = call.Request
 		}
 	}
 	if call.Request != "" && !c.openRentals[call.Request] && throughIntents {
-		c.addViolation("%.3f %s is rented without an intent", call.At.Seconds(), call.Request)
+		c.addViolation("%.3f %s rents machines without a rental intent", call.At.Seconds(), call.Request)
 	}
 }
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -8,72 +8,78 @@
 	"woadweir/internal/core/model"
 )
 
-// Rules checks the invariants that hold under every failure. It learns from the workers what
-// is on machines, and from the users what they asked for and were answered.
+// InvariantChecker checks the invariants that must hold under every failure. The workers
+// tell it which tasks are on machines, and the users tell it what they requested and how
+// they were answered.
 type InvariantChecker struct {
 	Teams map[string]*model.Team
-	// Cancel is how long after a confirmed cancellation the job's tasks may be on machines.
+	// CancelLimit is how long a job's tasks may stay on machines after a user was told of
+	// its cancellation.
 	CancelLimit model.Micros
-	// Broken says which rule was broken, when and how.
+	// Violations describe each breach of a rule: time, rule and details.
 	Violations []string
 
-	// Subs are the jobs that users submitted, also those that were not accepted.
+	// Submitted has the jobs that users submitted, including those that were not accepted.
 	Submitted map[string]*model.Job
-	// Homes are the cells at which jobs were submitted, where there are several.
+	// HomeCells are the cells at which jobs were submitted, if there are several cells.
 	HomeCells map[string]string
-	// Accepted are the jobs that a user was told are accepted.
+	// Accepted has the jobs that a user was told are accepted.
 	Accepted map[string]bool
-	// Awaits are, for each job, those that it directly depends on.
+	// Awaits are the jobs that each job directly depends on.
 	Awaits map[string][]string
-	// Calm is when all failures were over, 0 if they are not.
+	// FaultsOverAt is when all injected failures had ended, 0 if they have not.
 	FaultsOverAt model.Micros
-	// Finished, if set, is called at the moment when a job's last task completes.
+	// OnJobCompleted, if set, is called when a job's last task completes.
 	OnJobCompleted func(jobID string)
-	// Starts counts the tasks that came onto a machine.
+	// Starts counts the tasks that got their image and came onto a machine.
 	Starts int
-	// CancelledStarts are starts of tasks whose job had been reported as withdrawn:
-	// commands that were on their way. They break no rule while cancel lasts.
+	// CancelledStarts counts starts of tasks whose job had already been reported as
+	// withdrawn: the start command was still in flight. They are violations only after
+	// CancelLimit.
 	CancelledStarts int
-	// Unknowing are the cells whose workers find no description of other cells' jobs.
+	// LocalJobsOnly are the cells whose workers find no description of jobs that were
+	// submitted at another cell.
 	LocalJobsOnly map[string]bool
-	// Observe, if set, is told of every task that comes onto a machine, and whether it had
-	// completed before.
+	// OnTaskStarted, if set, is called for each task that comes onto a machine;
+	// completedBefore says whether the task had completed before.
 	OnTaskStarted func(cell string, task model.TaskID, completedBefore bool)
-	// ExecutedAgain are starts of tasks that had completed before: no word of that had
-	// come to the service, as after the loss of a machine.
+	// ExecutedAgain counts starts of tasks that had completed before: the service had not
+	// learned of the completion, for example because the machine was lost.
 	ExecutedAgain int
-	// Mistaken are jobs that were submitted with a mistake: their tasks fail on every
-	// machine. MistakenTries counts the tasks of theirs that got their image and failed.
+	// FailingJobs are jobs that were submitted with an error: their tasks fail on every
+	// machine. FailingJobAttempts counts those of their tasks that got their image and
+	// failed.
 	FailingJobs        map[string]bool
 	FailingJobAttempts int
 
 	sim               *Sim
-	onMachines        map[model.TaskID]map[*Task]bool // what is on machines
+	onMachines        map[model.TaskID]map[*Task]bool // attempts that are on machines
 	used              map[limitKey]model.Resources
 	completed         map[model.TaskID]bool
-	cancelRequestedAt map[string]model.Micros // when a user asked to cancel a job
-	reportedEnd       map[string]string       // the end that a user was told of a job
+	cancelRequestedAt map[string]model.Micros // when a user requested that a job be cancelled
+	reportedEnd       map[string]string       // the final status of a job that a user was told
 	endReportedAt     map[string]model.Micros
-	lastAnsweredAt    map[string]model.Micros // when a question about a job was last answered
-	waitingSince      map[string]model.Micros // since when a job waits although there is room
+	lastAnsweredAt    map[string]model.Micros // when a request about a job was last answered
+	waitingSince      map[string]model.Micros // since when a job waits although machines have room
 }
 
-// NewRules returns rules of which none is broken yet.
+// NewInvariantChecker returns a checker without jobs and violations.
 func NewInvariantChecker(sim *Sim, teams map[string]*model.Team, cancelLimit model.Micros) *InvariantChecker {
 	return &InvariantChecker{sim: sim, Teams: teams, CancelLimit: cancelLimit, Submitted: map[string]*model.Job{}, onMachines: map[model.TaskID]map[*Task]bool{},
 		used: map[limitKey]model.Resources{}, HomeCells: map[string]string{}, completed: map[model.TaskID]bool{}, cancelRequestedAt: map[string]model.Micros{},
 		reportedEnd: map[string]string{}, endReportedAt: map[string]model.Micros{}, Accepted: map[string]bool{}, Awaits: map[string][]string{}, lastAnsweredAt: map[string]model.Micros{}, waitingSince: map[string]model.Micros{}}
 }
 
-// forgottenAfter is how long no question about an accepted job may stay without an
-// answer once all troubles are over, however others fare.
+// maxUnanswered is how long all requests about an accepted job may go unanswered once all
+// failures are over, regardless of whether requests about other jobs are answered.
 const maxUnanswered = 75 * model.Second
 
 func (c *InvariantChecker) addViolation(format string, args ...any) {
 	c.Violations = append(c.Violations, fmt.Sprintf("%.3f ", c.sim.Now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// enter notes that a task is on its machine: it has its image.
+// taskStarted records that a task is on its machine, which it is from when it has its
+// image, and checks that it may be there.
 func (c *InvariantChecker) taskStarted(t *Task) {
 	c.Starts++
 	job := t.job
@@ -99,18 +105,19 @@
 	for _, key := range c.limitKeys(t) {
 		c.used[key] = c.used[key].Plus(job.Request)
 		if !c.Teams[job.Team].WithinLimit(c.used[key]) {
-			c.addViolation("quota: %v uses %v", key, c.used[key])
+			c.addViolation("quota: %v uses %v, more than the team's limit", key, c.used[key])
 		}
 	}
 	if c.reportedEnd[job.ID] == model.JobCancelled {
 		c.CancelledStarts++
 	}
 	if c.cancelOverdue(job.ID) {
-		c.addViolation("ran_cancelled: %s starts", t.id)
+		c.addViolation("ran_cancelled: %s starts too long after its cancellation", t.id)
 	}
 }
 
-// checkZones checks that a task comes into a zone where the job's other tasks allow it.
+// checkZones checks that a task may start in its zone, given the zones of the job's other
+// tasks.
 func (c *InvariantChecker) checkZones(t *Task) {
 	job := t.job
 	if !job.SameZone && !job.Spread {
@@ -127,18 +134,18 @@
 		}
 	}
 	if job.SameZone && elsewhere > 0 || inZone+1 > job.MaxPerZone() {
-		c.addViolation("wrong_place: %s in %s: %d there, %d elsewhere", t.id, t.worker.Zone, inZone, elsewhere)
+		c.addViolation("wrong_place: %s in zone %s: %d other tasks there, %d elsewhere", t.id, t.worker.Zone, inZone, elsewhere)
 	}
 }
 
-// overdue tells that a user was told of a job's cancellation so long ago that none of
-// its tasks may be on a machine any more.
+// cancelOverdue reports whether a user was told of a job's cancellation so long ago that
+// none of its tasks may still be on a machine.
 func (c *InvariantChecker) cancelOverdue(jobID string) bool {
 	return c.reportedEnd[jobID] == model.JobCancelled && c.sim.Now > c.endReportedAt[jobID]+c.CancelLimit
 }
 
-// Check checks what is on machines now: a task that never leaves would not be
-// noticed otherwise.
+// CheckCancelled checks that no task of a job cancelled too long ago is on a machine now. A
+// task that never leaves its machine would not be noticed otherwise.
 func (c *InvariantChecker) CheckCancelled() {
 	for id, tasks := range c.onMachines {
 		if !c.cancelOverdue(id.Job) {
@@ -150,7 +157,7 @@
 	}
 }
 
-// finish notes that a task has completed.
+// taskCompleted records that a task has completed.
 func (c *InvariantChecker) taskCompleted(id model.TaskID) {
 	c.completed[id] = true
 	if c.OnJobCompleted != nil && c.isComplete(id.Job) {
@@ -158,7 +165,7 @@
 	}
 }
 
-// complete tells whether all of a job's tasks are done.
+// isComplete reports whether all tasks of a job have completed.
 func (c *InvariantChecker) isComplete(jobID string) bool {
 	for index := range c.Submitted[jobID].Tasks {
 		if !c.completed[model.TaskID{Job: jobID, Index: index}] {
@@ -168,7 +175,7 @@
 	return true
 }
 
-// DoneTasks tells how many tasks of a job have completed.
+// CompletedTasks returns how many tasks of a job have completed.
 func (c *InvariantChecker) CompletedTasks(jobID string) (n int) {
 	for id := range c.completed {
 		if id.Job == jobID {
@@ -178,7 +185,8 @@
 	return n
 }
 
-// before calls f for every job that a job needs, directly or through others.
+// eachDependency calls visit once for each job that a job depends on, directly or
+// indirectly.
 func (c *InvariantChecker) eachDependency(jobID string, visit func(jobID string)) {
 	seen := map[string]bool{}
 	for queue := slices.Clone(c.Awaits[jobID]); len(queue) > 0; queue = queue[1:] {
@@ -190,7 +198,7 @@
 	}
 }
 
-// leave notes that a task is off its machine.
+// taskRemoved records that a task is no longer on its machine.
 func (c *InvariantChecker) taskRemoved(t *Task) {
 	if !c.onMachines[t.id][t] {
 		return
@@ -200,14 +208,14 @@
 		c.used[key] = c.used[key].Minus(t.job.Request)
 	}
 	if c.cancelOverdue(t.job.ID) {
-		c.addViolation("ran_cancelled: %s was on %s for %.1f s", t.id, t.worker.ID, (c.sim.Now - c.endReportedAt[t.job.ID]).Seconds())
+		c.addViolation("ran_cancelled: %s was on %s until %.1f s after its cancellation was reported", t.id, t.worker.ID, (c.sim.Now - c.endReportedAt[t.job.ID]).Seconds())
 	}
 }
 
-// tell checks an answer whose body has been read.
+// checkAnswer checks an answer of which the body has been decoded.
 func (c *InvariantChecker) checkAnswer(jobID string, code int, status string, sentAt model.Micros) {
 	if endedAt, ok := c.endReportedAt[jobID]; ok && sentAt <= endedAt {
-		return // asked before the end was told: either answer is right
+		return // sent before the final status was reported: both statuses are correct
 	}
 	if code != 200 && code != 201 {
 		c.checkRefusal(jobID, code)
@@ -232,7 +240,7 @@
 	}
 }
 
-// checkRefusal checks an answer that refuses a request about a job, or the lack of one.
+// checkRefusal checks a refused or unanswered request about a job.
 func (c *InvariantChecker) checkRefusal(jobID string, code int) {
 	if !c.Accepted[jobID] {
 		return
@@ -242,12 +250,13 @@
 		c.addViolation("forgotten: %s answered %d", jobID, code)
 	default:
 		if c.FaultsOverAt > 0 && c.sim.Now-max(c.FaultsOverAt, c.lastAnsweredAt[jobID]) > maxUnanswered {
-			c.addViolation("forgotten: no question about %s is answered", jobID)
+			c.addViolation("forgotten: requests about %s have not been answered for too long", jobID)
 		}
 	}
 }
 
-// checkStatus checks a status against what has happened, and tells whether it is an end.
+// checkStatus checks a reported status against what has happened, and reports whether it is
+// final.
 func (c *InvariantChecker) checkStatus(jobID, status string, sentAt model.Micros) (ended bool) {
 	switch status {
 	case "done":
@@ -257,7 +266,7 @@
 		return true
 	case model.JobCancelled:
 		if !c.cancelRequested(jobID) {
-			c.addViolation("went_back: %s withdrawn unasked", jobID)
+			c.addViolation("went_back: %s is withdrawn, but nobody requested that", jobID)
 		}
 		return true
 	}
@@ -269,7 +278,8 @@
 	return false
 }
 
-// cancellationAsked tells whether a user asked to cancel a job, or one that it needs.
+// cancelRequested reports whether a user requested the cancellation of a job or of one of
+// its dependencies.
 func (c *InvariantChecker) cancelRequested(jobID string) bool {
 	_, requested := c.cancelRequestedAt[jobID]
 	c.eachDependency(jobID, func(dependency string) {
@@ -279,10 +289,11 @@
 	return requested
 }
 
-// Ended is the status of a job that has ended, as users were told it, or "".
+// ReportedEnd returns the final status of a job that users were told, or "" if they were
+// told none.
 func (c *InvariantChecker) ReportedEnd(jobID string) string { return c.reportedEnd[jobID] }
 
-// OnMachine tells how many tasks are on machines.
+// TasksOnMachines returns how many task attempts are on machines.
 func (c *InvariantChecker) TasksOnMachines() (n int) {
 	for _, tasks := range c.onMachines {
 		n += len(tasks)
@@ -290,7 +301,7 @@
 	return n
 }
 
-// OnMachineOf tells how many tasks of a job are on machines.
+// JobTasksOnMachines returns how many task attempts of a job are on machines.
 func (c *InvariantChecker) JobTasksOnMachines(jobID string) (n int) {
 	for id, tasks := range c.onMachines {
 		if id.Job == jobID {
@@ -300,30 +311,31 @@
 	return n
 }
 
-// ToldAt is when a user was first told of a job's end, 0 if that has not happened.
+// EndReportedAt returns when a user was first told a job's final status, or 0 if no user was.
 func (c *InvariantChecker) EndReportedAt(jobID string) model.Micros { return c.endReportedAt[jobID] }
 
-// Used is what a team's tasks take of machines.
+// Used returns the resources of machines that a team's tasks use, where there is one cell.
 func (c *InvariantChecker) Used(team string) model.Resources { return c.used[limitKey{team: team}] }
 
-// account is what counts towards a team's limit: its tasks on a cell's machines, or those
-// of the jobs that were submitted at a cell, wherever they run.
+// limitKey identifies a set of tasks whose resources must stay within a team's limit: the
+// team's tasks on the machines of a cell or, with byHome, the tasks of the team's jobs that
+// were submitted at a cell, wherever they run.
 type limitKey struct {
 	team, cell string
 	byHome     bool
 }
 
-// accounts are those to which a task counts.
+// limitKeys returns the two sets that a task counts towards.
 func (c *InvariantChecker) limitKeys(t *Task) [2]limitKey {
 	return [2]limitKey{{t.job.Team, t.worker.Cell, false}, {t.job.Team, c.HomeCells[t.job.ID], true}}
 }
 
-// waitsMost is how long a job may wait, with all troubles over, while a machine that
-// fits has room and its team is under its limit.
+// maxWait is how long a job may wait, once all failures are over, while suitable machines
+// have room and its team is below its limit.
 const maxWait = 90 * model.Second
 
-// Room checks that no job waits longer than that. It is to be called about every second,
-// with the machines that are up and can be reached.
+// CheckWaiting checks that no job waits longer than maxWait. It is meant to be called about
+// every second, with the workers that are up and reachable.
 func (c *InvariantChecker) CheckWaiting(workers []*Worker) {
 	for jobID := range c.Accepted {
 		if !c.isWaiting(jobID) || !c.canStart(c.Submitted[jobID], workers) {
@@ -334,13 +346,13 @@
 		if !ok {
 			c.waitingSince[jobID] = c.sim.Now
 		} else if c.sim.Now-since > maxWait {
-			c.addViolation("left waiting: %s, for %.0f s beside room", jobID, (c.sim.Now - since).Seconds())
+			c.addViolation("left waiting: %s waits for %.0f s although machines have room", jobID, (c.sim.Now - since).Seconds())
 			c.waitingSince[jobID] = c.sim.Now
 		}
 	}
 }
 
-// idle tells that a job could run, and nothing of it is on a machine.
+// isWaiting reports whether a job may run but none of its tasks is on a machine.
 func (c *InvariantChecker) isWaiting(jobID string) bool {
 	if _, cancelled := c.cancelRequestedAt[jobID]; cancelled || c.reportedEnd[jobID] != "" || c.JobTasksOnMachines(jobID) > 0 || c.isComplete(jobID) {
 		return false
@@ -353,7 +365,8 @@
 	return true
 }
 
-// fits tells whether a job could begin: one task of it, or all of a gang.
+// canStart reports whether the machines and the team's limit have room for one task of a
+// job, or for all tasks of a gang.
 func (c *InvariantChecker) canStart(job *model.Job, workers []*Worker) bool {
 	count := 1
 	if job.Kind == model.Gang {
@@ -382,7 +395,7 @@
 	return !job.SameZone && sum >= count
 }
 
-// Tell checks an answer that a user got, to a request that was made at that time.
+// CheckAnswer checks the answer that a user got to a request sent at sentAt.
 func (c *InvariantChecker) CheckAnswer(jobID string, code int, body []byte, sentAt model.Micros) {
 	var answer struct {
 		Ref    string `json:"ref"`
@@ -390,12 +403,12 @@
 	}
 	if code == 200 || code == 201 {
 		if err := json.Unmarshal(body, &answer); err != nil || answer.Ref != jobID {
-			c.addViolation("answer about %s is %s", jobID, body)
+			c.addViolation("answer about %s is not valid JSON or names another job: %s", jobID, body)
 			return
 		}
 	}
 	c.checkAnswer(jobID, code, answer.Status, sentAt)
 }
 
-// Ask notes that a user asks to cancel a job.
+// CancelRequested records that a user requests the cancellation of a job.
 func (c *InvariantChecker) CancelRequested(jobID string) { c.cancelRequestedAt[jobID] = c.sim.Now }
--- a/internal/standin/sim.go
+++ b/internal/standin/sim.go
@@ -1,8 +1,9 @@
-// Package standin simulates what lies outside the service, in simulated time and
-// deterministically for a seed: the state service, the cloud and the machines with their
-// workers. Rules checks the invariants that hold under every failure. Everything here is
-// written from the published protocols, not from the service's own code, so that a mistake
-// there does not cancel out. The package is for tests and simulations only.
+// Package standin provides test doubles for the systems around the service: the state
+// service, the cloud and the machines with their workers. They run in simulated time, and a
+// run is determined by its seed. InvariantChecker checks the invariants that must hold under
+// every failure. The package is written from the published protocols, not from the
+// service's own code: if both shared a mistake, tests would not find it. It is for tests and
+// simulations only.
 package standin
 
 import (
@@ -12,8 +13,8 @@
 	"woadweir/internal/core/model"
 )
 
-// Sim is a simulated clock with a queue of events and the source of all chance, so that a
-// run depends on the seed alone.
+// Sim is a simulated clock with an event queue and the only source of randomness, so that
+// a run depends on the seed alone.
 type Sim struct {
 	Now    model.Micros
 	Rand   *rand.Rand
@@ -21,7 +22,7 @@
 	seq    int
 }
 
-// NewSim returns a clock at zero with a seeded source of chance.
+// NewSim returns a clock at zero whose random numbers are seeded with seed.
 func NewSim(seed uint64) *Sim { return &Sim{Rand: rand.New(rand.NewPCG(seed, 7))} }
 
 type event struct {
@@ -45,16 +46,16 @@
 	return last
 }
 
-// At has f run at that time, or at once if it has passed.
+// At schedules f at time t, or at the current time if t has passed.
 func (s *Sim) At(t model.Micros, f func()) {
 	s.seq++
 	heap.Push(&s.events, event{max(t, s.Now), s.seq, f})
 }
 
-// After has f run after that time.
+// After schedules f to run after the delay d.
 func (s *Sim) After(d model.Micros, f func()) { s.At(s.Now+d, f) }
 
-// Run carries out all events up to that time, and sets the clock to it.
+// Run runs all events up to and including until, and sets the clock to until.
 func (s *Sim) Run(until model.Micros) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		e := heap.Pop(&s.events).(event)
@@ -64,7 +65,7 @@
 	s.Now = until
 }
 
-// Between draws a time from lo up to but not including hi.
+// Between returns a uniformly random time in [lo, hi), or lo if hi is not greater.
 func (s *Sim) Between(lo, hi model.Micros) model.Micros {
 	if hi <= lo {
 		return lo
@@ -72,5 +73,5 @@
 	return lo + model.Micros(s.Rand.Int64N(int64(hi-lo)))
 }
 
-// Chance is true with that probability.
+// Chance returns true with probability p.
 func (s *Sim) Chance(p float64) bool { return s.Rand.Float64() < p }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -10,23 +10,24 @@
 	"woadweir/internal/state"
 )
 
-// State is a stand-in for the state service: a key-value store with transactions, leases
-// and a watch. After an outage every lease has its full time again.
+// State is a test double for the state service: a key-value store with transactions, leases
+// and a watch. When an outage ends, every lease starts again with its full TTL.
 type State struct {
-	// TxnOps and ValueKB are the limits on a transaction's changes and on a value.
+	// TxnOps limits the number of changes of a transaction, ValueKB the size of a value.
 	TxnOps  int
 	ValueKB int
-	// Refused are the nodes whose requests alone are refused.
+	// RefusedNodes are the nodes whose requests are refused while other nodes are served.
 	RefusedNodes map[string]bool
-	// Kept is the number of events that are kept for watches.
+	// KeptEvents is the number of latest events that a watch can return.
 	KeptEvents int
-	// Writes counts the changes that were asked for, Reads the watch requests, and TooBig
-	// the transactions that were refused as too large.
+	// RequestedWrites counts the changes of all transactions within the limits, also of
+	// those whose conditions failed. WatchRequests counts the watch requests, and
+	// TooBigTxns the transactions that were refused as too large.
 	RequestedWrites int
 	WatchRequests   int
 	TooBigTxns      int
-	// Log, if KeepLog is set, is every transaction that was accepted, or refused by a
-	// condition.
+	// Log has every transaction that was accepted, or rejected by a condition or an ended
+	// lease. It is kept only if KeepLog is set.
 	Log     []TxnRecord
 	KeepLog bool
 
@@ -37,20 +38,21 @@
 	events   []state.Event
 	leases   map[uint64]*lease
 	nextID   uint64
-	// Once the limits are lowered, what is too large is refused, and so is what exceeds
-	// the rate of writes. writeBudget is what was left of that rate at budgetAt.
+	// Once the limits are lowered, transactions that are too large or exceed the write
+	// rate are refused. writeBudget is the number of writes that were allowed at budgetAt;
+	// it grows by writeRate per second, up to writeRate.
 	limitsLowered bool
 	writeRate     float64
 	writeBudget   float64
 	budgetAt      model.Micros
 }
 
-// Write is a transaction that was answered, as it stands in State.Log.
+// TxnRecord is a transaction with its outcome, as recorded in State.Log.
 type TxnRecord struct {
 	At       model.Micros
 	Node     string
 	Txn      *state.Txn
-	Revision uint64   // of an accepted one
+	Revision uint64   // the revision that an accepted transaction created
 	Rejected []string // keys whose conditions failed, or that were to be attached to an ended lease
 }
 
@@ -64,15 +66,15 @@
 		KeptEvents: 10_000, leases: map[uint64]*lease{}}
 }
 
-// LowerLimits lowers the limits, as the service may at any time. What is stored stays, even
-// where it exceeds them.
+// LowerLimits lowers the limits, as the service may do at any time. Stored values stay, even
+// those that exceed the new limits.
 func (s *State) LowerLimits(valueKB, txnOps int, writes float64) {
 	s.ValueKB, s.TxnOps, s.writeRate, s.limitsLowered = valueKB, txnOps, writes, true
 	s.writeBudget, s.budgetAt = writes, s.sim.Now
 }
 
-// tooBig tells whether a transaction exceeds the limits. Before they are lowered nobody
-// may send one.
+// tooBig reports whether a transaction exceeds the limits. It panics if one does before the
+// limits are lowered, since no controller may send such a transaction then.
 func (s *State) tooBig(txn *state.Txn) bool {
 	raw, err := json.Marshal(txn)
 	reason := ""
@@ -93,7 +95,7 @@
 	return reason != ""
 }
 
-// SetOutage begins or ends an outage, in which the requests of all nodes are refused.
+// SetOutage begins or ends an outage, during which the requests of all nodes are refused.
 func (s *State) SetOutage(on bool) {
 	s.expireLeases()
 	s.outage = on
@@ -104,6 +106,7 @@
 	}
 }
 
+// expireLeases removes the leases that have run out. None runs out during an outage.
 func (s *State) expireLeases() {
 	if s.outage {
 		return
@@ -115,6 +118,7 @@
 	}
 }
 
+// removeLease removes a lease and the keys attached to it, all in one revision.
 func (s *State) removeLease(id uint64) {
 	delete(s.leases, id)
 	var removed []string
@@ -134,12 +138,13 @@
 	}
 }
 
+// refuses reports whether requests of a node are refused now.
 func (s *State) refuses(node string) bool {
 	s.expireLeases()
 	return s.outage || s.RefusedNodes[node]
 }
 
-// Get reads one key: GET /keys/{key}.
+// Get returns the entry of a key: GET /keys/{key}.
 func (s *State) Get(node, key string) (*state.Entry, error) {
 	if s.refuses(node) {
 		return nil, state.ErrRefused
@@ -150,7 +155,8 @@
 	return nil, state.ErrMissing
 }
 
-// List reads all keys, in the order of their paths: GET /keys with all pages.
+// List returns all entries, sorted by path, and the current revision: GET /keys with all
+// pages.
 func (s *State) List(node string) ([]state.Entry, uint64, error) {
 	if s.refuses(node) {
 		return nil, 0, state.ErrRefused
@@ -163,7 +169,7 @@
 	return entries, s.revision, nil
 }
 
-// Watch returns the events after a revision: GET /watch without waiting.
+// Watch returns the events after revision from: GET /watch without waiting.
 func (s *State) Watch(node string, from uint64) (*state.Changes, error) {
 	s.WatchRequests++
 	if s.refuses(node) {
@@ -182,7 +188,7 @@
 	return changes, nil
 }
 
-// Commit carries out a transaction if all its conditions hold: POST /commit.
+// Commit applies a transaction if all its conditions hold: POST /commit.
 func (s *State) Commit(node string, txn *state.Txn) (*state.Result, error) {
 	if s.refuses(node) {
 		return nil, state.ErrRefused
@@ -207,7 +213,8 @@
 	return result, nil
 }
 
-// withinWriteRate takes that many writes out of the budget, if it has them.
+// withinWriteRate reports whether the budget allows that many writes, and deducts them if
+// it does.
 func (s *State) withinWriteRate(writes int) bool {
 	if s.writeRate == 0 {
 		return true
@@ -221,8 +228,8 @@
 	return true
 }
 
-// keyWithoutLease is the first key that is to be attached to a lease that has ended, or
-// "" if there is none.
+// keyWithoutLease returns the first key that the transaction attaches to a lease that has
+// ended, or "" if there is none.
 func (s *State) keyWithoutLease(txn *state.Txn) string {
 	for _, op := range txn.Then {
 		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
@@ -232,7 +239,7 @@
 	return ""
 }
 
-// failedConditions are the keys whose revision is not the expected one.
+// failedConditions returns the keys whose revision differs from the expected one.
 func (s *State) failedConditions(txn *state.Txn) (failed []string) {
 	for _, condition := range txn.Conditions {
 		if s.keys[condition.Path].Revision != condition.Revision {
@@ -242,7 +249,7 @@
 	return failed
 }
 
-// apply carries out the changes of a transaction whose conditions hold.
+// apply applies the changes of a transaction whose conditions hold.
 func (s *State) apply(txn *state.Txn, result *state.Result) {
 	result.OK = true
 	if len(txn.Then) == 0 {
@@ -271,7 +278,7 @@
 	}
 }
 
-// Grant begins a lease: POST /grants.
+// GrantLease creates a lease: POST /grants.
 func (s *State) GrantLease(node string, ttl model.Micros) (uint64, error) {
 	if s.refuses(node) {
 		return 0, state.ErrRefused
@@ -281,7 +288,7 @@
 	return s.nextID, nil
 }
 
-// Touch renews a lease: POST /grants/{id}/touch.
+// RenewLease renews a lease for its full TTL: POST /grants/{id}/touch.
 func (s *State) RenewLease(node string, id uint64) error {
 	if s.refuses(node) {
 		return state.ErrRefused
@@ -294,7 +301,7 @@
 	return nil
 }
 
-// End ends a lease and removes the keys attached to it: DELETE /grants/{id}.
+// EndLease ends a lease and removes the keys attached to it: DELETE /grants/{id}.
 func (s *State) EndLease(node string, id uint64) error {
 	if s.refuses(node) {
 		return state.ErrRefused
@@ -306,7 +313,7 @@
 	return nil
 }
 
-// Keys returns the number of keys with a prefix.
+// KeyCount returns the number of keys with a prefix.
 func (s *State) KeyCount(prefix string) (n int) {
 	for key := range s.keys {
 		if strings.HasPrefix(key, prefix) {
@@ -316,5 +323,5 @@
 	return n
 }
 
-// Has tells whether a key exists.
+// HasKey reports whether a key exists.
 func (s *State) HasKey(key string) bool { _, ok := s.keys[key]; return ok }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -11,25 +11,25 @@
 
 // Net is the network between workers and controllers.
 type Net interface {
-	// Checkin carries a worker's report to a node and calls answer with the response, if
-	// one arrives.
+	// SendHeartbeat sends a worker's heartbeat to a node and calls answer with the
+	// response, if one arrives.
 	SendHeartbeat(w *Worker, node string, body []byte, answer func(code int, body []byte))
-	// Nodes are the names of all controllers.
+	// Nodes returns the names of all controllers.
 	Nodes() []string
 }
 
-// Times are the workers' settings: the interval of reports, the lease on the machine's
-// tasks, how long a task waits for the others of its gang, and after how long it notices
-// that one of them has gone.
+// WorkerTimes are the workers' settings: the heartbeat interval, the lease on the machine's
+// tasks, how long a task waits for the others of its gang (GangWait), and how long it takes
+// to notice that one of them has gone (GangPeer).
 type WorkerTimes struct{ HeartbeatInterval, Lease, GangWait, GangPeer model.Micros }
 
-// Worker is a stand-in for a machine with its worker.
+// Worker is a test double for a machine with its worker.
 type Worker struct {
 	ID, MachineType, Zone string
 	Spot                  bool
 	Size                  model.Resources
 	FailsTasks            bool   // every task fails on this machine
-	Cell                  string // the cell that the machine belongs to, "": there is one
+	Cell                  string // the cell that the machine belongs to, "" if there is only one cell
 
 	sim          *Sim
 	net          Net
@@ -46,21 +46,21 @@
 	images       map[string]bool
 
 	nodeIndex       int
-	leasedFrom      model.Micros // when the last answered report was sent
+	leasedFrom      model.Micros // when the latest answered heartbeat was sent
 	awaitingAnswer  bool
 	lastHeartbeatAt model.Micros
-	nextHeartbeatAt model.Micros // when the next report goes out
-	heartbeatTimer  int
-	recallAt        model.Micros // when a spot machine is taken away, 0: no notice was given
+	nextHeartbeatAt model.Micros // when the next heartbeat is sent
+	heartbeatTimer  int          // number of the scheduled heartbeat; earlier ones are void
+	recallAt        model.Micros // when a spot machine is taken away, 0 if no notice was given
 }
 
-// gangKey names an attempt of a gang: its tasks find each other by it.
+// gangKey identifies an attempt of a gang, by which its tasks find each other.
 type gangKey struct {
 	job     string
 	attempt uint64
 }
 
-// Statuses of a task in a report, as the protocol names them.
+// Task statuses in heartbeats, as the protocol names them.
 const (
 	statusPulling   = "pulling"
 	statusGathering = "gathering"
@@ -77,14 +77,14 @@
 	worker       *Worker
 	status       string
 	cause        string // why it ended
-	stateSaved   bool   // its state was saved before it ended
-	timerVersion int    // planned events with an older number are void
+	stateSaved   bool   // whether its state was saved before it ended
+	timerVersion int    // scheduled events with an older version are void
 }
 
 func (t *Task) gangKey() gangKey { return gangKey{t.job.ID, t.attempt} }
 
-// Messages of the workers' protocol. They are declared here anew, so that a mistake in the
-// service's own declarations is found.
+// Messages of the workers' protocol. They are declared separately from the service's own
+// declarations, so that tests find a mistake in those.
 type (
 	wireTask struct {
 		TaskID     string `json:"piece"`
@@ -118,9 +118,10 @@
 	}
 )
 
-// answerTimeout is how long a worker waits for the answer to a report.
+// answerTimeout is how long a worker waits for the answer to a heartbeat.
 const answerTimeout = 4 * model.Second
 
+// start starts the worker's first incarnation.
 func (w *Worker) start() {
 	w.incarnation, w.leasedFrom = 1, w.sim.Now
 	w.images = map[string]bool{}
@@ -134,15 +135,16 @@
 	if w.dead {
 		return
 	}
-	// A hanging machine resumes within its lease or not at all, so its tasks
-	// count as gone from then on.
+	// A hung machine resumes within its lease or never, so its tasks count as gone
+	// once the lease has run out.
 	if w.sim.Now-w.leasedFrom > w.times.Lease {
 		w.Restart()
 	}
 	w.sim.At(w.leasedFrom+w.times.Lease+1, w.watchLease)
 }
 
-// plan has the next report go out after that delay, unless one is due earlier.
+// scheduleHeartbeat schedules the next heartbeat after a delay, unless an earlier one is
+// scheduled.
 func (w *Worker) scheduleHeartbeat(delay model.Micros) {
 	at := w.sim.Now + delay
 	if w.nextHeartbeatAt > w.sim.Now && w.nextHeartbeatAt <= at {
@@ -158,11 +160,13 @@
 	})
 }
 
-// changed has a report go out soon, but not within half a second of the last one.
+// heartbeatSoon schedules a heartbeat for now, or for half a second after the last one if
+// that is later.
 func (w *Worker) heartbeatSoon() {
 	w.scheduleHeartbeat(max(0, w.lastHeartbeatAt+model.Second/2-w.sim.Now))
 }
 
+// sendHeartbeat sends a heartbeat, unless the last one still awaits its answer.
 func (w *Worker) sendHeartbeat() {
 	if w.dead || w.awaitingAnswer {
 		return
@@ -189,7 +193,7 @@
 	w.net.SendHeartbeat(w, nodes[w.nodeIndex%len(nodes)], body, receive)
 }
 
-// reportBody is the report of what is on the machine now.
+// heartbeatBody returns a heartbeat with the machine's current tasks.
 func (w *Worker) heartbeatBody() []byte {
 	msg := wireHeartbeat{MachineID: w.ID, Address: "10.1.0.1:9000", MachineType: w.MachineType, Zone: w.Zone, Spot: w.Spot,
 		Incarnation: w.incarnation, Sequence: w.sequence, Token: w.holderToken, Tasks: []wireTask{}}
@@ -207,7 +211,8 @@
 	return body
 }
 
-// answer takes the answer to a report that was sent at that time, in that session.
+// handleAnswer handles the answer to a heartbeat that was sent at sentAt by the given
+// incarnation of the worker.
 func (w *Worker) handleAnswer(code int, body []byte, sentAt model.Micros, incarnation uint64) {
 	var answer wireAnswer
 	if len(body) > 0 {
@@ -240,11 +245,11 @@
 	}
 }
 
-// carryOut does what a command of an answer says.
+// execute executes a command from an answer.
 func (w *Worker) execute(command wireCommand) {
 	id, ok := model.ParseTaskID(command.TaskID)
 	if !ok {
-		panic("bad piece " + command.TaskID)
+		panic("invalid task ID in a command: " + command.TaskID)
 	}
 	switch command.Verb {
 	case "start":
@@ -258,7 +263,7 @@
 			w.tasks = slices.DeleteFunc(w.tasks, func(other *Task) bool { return other == t })
 		}
 	default:
-		panic("bad verb " + command.Verb)
+		panic("unknown command verb: " + command.Verb)
 	}
 }
 
@@ -271,6 +276,8 @@
 	return nil
 }
 
+// startTask handles a start command. A task that can't run here ends at once, with the cause
+// that the protocol names for it.
 func (w *Worker) startTask(id model.TaskID, attempt uint64) {
 	if w.findTask(id, attempt) != nil {
 		return
@@ -296,8 +303,8 @@
 	w.heartbeatSoon()
 }
 
-// after runs f unless the task has changed or left meanwhile; a hanging machine
-// waits with it.
+// after calls run after a delay, unless the task has changed or ended before then. On a hung
+// machine the call waits until the machine resumes.
 func (t *Task) after(delay model.Micros, run func()) {
 	t.timerVersion++
 	version := t.timerVersion
@@ -315,7 +322,7 @@
 	t.worker.sim.After(delay, fire)
 }
 
-// ready begins a task whose image has been pulled.
+// imagePulled starts a task whose image is on the machine.
 func (t *Task) imagePulled() {
 	w := t.worker
 	w.images[t.job.Image] = true
@@ -343,7 +350,8 @@
 	}
 }
 
-// joinGang has a task wait for the others of its gang; the last one has all of them run.
+// joinGang makes a task wait for the other tasks of its gang. The last one to join starts
+// all of them.
 func (t *Task) joinGang() {
 	w, key := t.worker, t.gangKey()
 	t.status = statusGathering
@@ -365,13 +373,15 @@
 	}
 }
 
-// gangMembers are the tasks of a gang that are there, in their order.
+// gangMembers returns the tasks of a gang that have joined and not left, sorted by index.
 func (w *Worker) gangMembers(key gangKey) []*Task {
 	members := slices.Collect(maps.Keys(w.gangs[key]))
 	slices.SortFunc(members, func(a, b *Task) int { return a.id.Index - b.id.Index })
 	return members
 }
 
+// finishGang ends all tasks of a gang at the end of its run time, or only this task if the
+// gang is not complete any more.
 func (t *Task) finishGang(key gangKey) {
 	if len(t.worker.gangs[key]) < t.job.Tasks {
 		t.end("mates_gone")
@@ -386,6 +396,7 @@
 	}
 }
 
+// stop handles a stop command: the task saves its state first if the grace period allows it.
 func (t *Task) stop(grace model.Micros) {
 	switch {
 	case t.status == statusEnded:
@@ -399,6 +410,7 @@
 	}
 }
 
+// end ends the task with a cause. The worker reports it until the controller clears it.
 func (t *Task) end(cause string) {
 	t.leaveGang(cause == "done")
 	t.worker.rules.taskRemoved(t)
@@ -407,13 +419,16 @@
 	t.worker.heartbeatSoon()
 }
 
-// vanish is an end without a trace: the machine or its lease is gone.
+// discard removes the task without reporting its end, because the machine or its lease is
+// gone.
 func (t *Task) discard() {
 	t.leaveGang(false)
 	t.worker.rules.taskRemoved(t)
 	t.timerVersion++
 }
 
+// leaveGang removes the task from its gang. Unless it is done, the others that run end once
+// they notice, after GangPeer.
 func (t *Task) leaveGang(done bool) {
 	if t.job == nil || t.job.Kind != model.Gang || t.status == statusEnded {
 		return
@@ -433,7 +448,7 @@
 	}
 }
 
-// Die ends the machine with everything on it, for good.
+// Terminate ends the machine and its tasks permanently.
 func (w *Worker) Terminate() {
 	if w.dead {
 		return
@@ -444,10 +459,10 @@
 	w.tasks, w.dead = nil, true
 }
 
-// Hang stops the machine, or has it resume with its tasks as they were.
+// SetHung suspends the machine, or resumes it with its tasks as they were.
 func (w *Worker) SetHung(hung bool) { w.hung = hung }
 
-// Restart ends the worker's session with all its tasks, and begins the next at once.
+// Restart ends the worker's incarnation with all its tasks, and starts the next at once.
 func (w *Worker) Restart() {
 	for _, t := range slices.Clone(w.tasks) {
 		t.discard()
@@ -458,7 +473,8 @@
 	w.heartbeatSoon()
 }
 
-// used is what the tasks on the machine take, fetching ones included.
+// used returns the resources of all tasks on the machine, including those that still pull
+// their image.
 func (w *Worker) used() (n model.Resources) {
 	for _, t := range w.tasks {
 		if t.status != statusEnded {
@@ -468,12 +484,12 @@
 	return n
 }
 
-// Has tells whether a task of a job is on the machine and has not ended.
+// HasTaskOf reports whether a task of a job is on the machine and has not ended.
 func (w *Worker) HasTaskOf(jobID string) bool {
 	return slices.ContainsFunc(w.tasks, func(t *Task) bool { return t.status != statusEnded && t.id.Job == jobID })
 }
 
-// Tasks is the number of tasks on the machine that have not ended.
+// TaskCount returns the number of tasks on the machine that have not ended.
 func (w *Worker) TaskCount() (n int) {
 	for _, t := range w.tasks {
 		if t.status != statusEnded {
@@ -483,15 +499,15 @@
 	return n
 }
 
-// Recall gives the notice that a spot machine is taken away, and takes it away after that
-// time.
+// Recall announces that a spot machine will be taken away, and takes it away after the
+// notice period.
 func (w *Worker) Recall(notice model.Micros) {
 	w.recallAt = w.sim.Now + notice
 	w.heartbeatSoon()
 	w.sim.After(notice, w.Terminate)
 }
 
-// Describe lists the machine's tasks with their statuses, for failure messages.
+// Describe returns the machine's tasks with their statuses, for failure messages.
 func (w *Worker) Describe() string {
 	var b strings.Builder
 	for _, t := range w.tasks {
