--- a/internal/cellrpc/cellrpc.go
+++ b/internal/cellrpc/cellrpc.go
@@ -1,4 +1,4 @@
-// Package cellrpc is the transport of calls between cells: gRPC, with every message checked
+// Package cellrpc implements the calls between cells over gRPC. Every message is validated
 // against the rules in cell.proto.
 package cellrpc
 
@@ -22,17 +22,17 @@
 	"woadweir/internal/spill"
 )
 
-// Handler answers other cells' calls. An error of spill.ErrNotHolder means that another
-// controller has to be asked.
+// Handler answers calls of other cells. The error spill.ErrNotHolder means that another
+// controller of this cell has to be called.
 type Handler interface {
 	Offer(offer *spill.Offer) (*spill.OfferAnswer, error)
 	Renew(renewal *spill.Renewal) (*spill.RenewalAnswer, error)
 }
 
-// validator is made when the first message is checked.
+// newValidator returns the validator, which is created when the first message is validated.
 var newValidator = sync.OnceValues(func() (protovalidate.Validator, error) { return protovalidate.New() })
 
-// check validates a message; the error names the field at fault.
+// validate validates a message. The error names the invalid field.
 func validate(message proto.Message) error {
 	validator, err := newValidator()
 	if err != nil {
@@ -41,13 +41,13 @@
 	return validator.Validate(message)
 }
 
-// server checks calls and passes them to a handler.
+// server validates calls and passes them to a handler.
 type server struct {
 	UnimplementedCellServer
 	handler Handler
 }
 
-// Register adds the service to a server.
+// Register registers the service, answered by handler, with a gRPC server.
 func Register(registrar grpc.ServiceRegistrar, handler Handler) {
 	RegisterCellServer(registrar, &server{handler: handler})
 }
@@ -109,7 +109,8 @@
 	return reply, nil
 }
 
-// asStatus tells a caller whether another controller may answer.
+// toStatus converts a handler's error to a gRPC status, whose code says whether the
+// controller is not the holder.
 func toStatus(err error) error {
 	if errors.Is(err, spill.ErrNotHolder) {
 		return status.Error(codes.FailedPrecondition, err.Error())
@@ -117,15 +118,16 @@
 	return status.Error(codes.Unavailable, err.Error())
 }
 
-// Client calls one other cell, at whichever of its controllers holds the shard.
+// Client calls one other cell, at the controller that holds the shard.
 type Client struct {
 	cell         string
 	mu           sync.Mutex
 	controllers  []CellClient
-	lastAnswered int // the controller that answered last
+	lastAnswered int // index of the controller that answered last
 }
 
-// Dial prepares a client; it connects when it is first used.
+// Dial returns a client for a cell with controllers at the addresses. It connects when it is
+// first used.
 func Dial(cell string, addresses []string) (*Client, error) {
 	client := &Client{cell: cell}
 	for _, address := range addresses {
@@ -138,10 +140,11 @@
 	return client, nil
 }
 
-// controllerTimeout is how long one controller may take.
+// controllerTimeout limits a call to one controller.
 const controllerTimeout = 800 * time.Millisecond
 
-// call asks the controllers in turn, beginning with the one that answered last.
+// call calls the controllers in turn, beginning with the one that answered last, until one
+// answers or refuses the message as invalid.
 func (c *Client) call(ctx context.Context, invoke func(context.Context, CellClient) error) error {
 	c.mu.Lock()
 	first := c.lastAnswered
@@ -165,18 +168,18 @@
 	return fmt.Errorf("%w: %v", spill.ErrUnreachable, err)
 }
 
-// checkCell checks an answer, and that the cell is the one it is taken for.
+// checkReply validates a reply, and checks that it comes from the expected cell.
 func (c *Client) checkReply(reply proto.Message, cell string) error {
 	if err := validate(reply); err != nil {
 		return err
 	}
 	if cell != c.cell {
-		return fmt.Errorf("the cell calls itself %q, not %q", cell, c.cell)
+		return fmt.Errorf("reply comes from cell %q, want cell %q", cell, c.cell)
 	}
 	return nil
 }
 
-// Offer offers the cell a job.
+// Offer offers a job to the cell.
 func (c *Client) Offer(ctx context.Context, offer *spill.Offer, spec []byte) (*spill.OfferAnswer, error) {
 	var reply *OfferReply
 	err := c.call(ctx, func(ctx context.Context, rpc CellClient) (err error) {
@@ -198,7 +201,7 @@
 	}, nil
 }
 
-// Renew asks the cell for the right to run what it has lent.
+// Renew asks the cell to renew the execution leases of the jobs that it has lent.
 func (c *Client) Renew(ctx context.Context, renewal *spill.Renewal) (*spill.RenewalAnswer, error) {
 	request := &RenewRequest{Guest: renewal.ExecutionCell, WorkerLeaseUs: int64(renewal.WorkerLease)}
 	for _, report := range renewal.Jobs {
--- a/internal/cellrpc/cellrpc_test.go
+++ b/internal/cellrpc/cellrpc_test.go
@@ -14,7 +14,7 @@
 	"woadweir/internal/spill"
 )
 
-// holder answers as a cell's holder; others refuse.
+// fakeController answers calls if it is the holder, and refuses them otherwise.
 type fakeController struct {
 	isHolder bool
 	cell     string
@@ -47,8 +47,9 @@
 	return listener.Addr().String()
 }
 
-// Calls find the holder, and come back as they were; what breaks the rules of a message is
-// refused with its field, by whoever gets it.
+// Calls reach the holder, and its answers come back unchanged. A request that breaks the
+// validation rules is refused with the name of the field before it reaches the handler. A
+// reply from a cell other than the one that was called is refused too.
 func TestCallsReachHolderAndAreValidated(t *testing.T) {
 	nonHolder, holder := &fakeController{}, &fakeController{isHolder: true, cell: "south"}
 	addresses := []string{startServer(t, nonHolder), startServer(t, holder)}
@@ -59,16 +60,16 @@
 	const spec = `{"ref":"j-1","jobclass":"c","owner":"red","shape":"sweep","rank":"standard","pieces":2,"cores":1,"bundle":"i"}`
 	offerAnswer, err := client.Offer(t.Context(), &spill.Offer{Home: "north", Token: 3, Done: []byte{1}}, []byte(spec))
 	if want := (&spill.OfferAnswer{Cell: "south", Refusal: spill.Busy, Detail: "j-1", RetryAfter: 5, WorkerLease: 18}); err != nil || !reflect.DeepEqual(offerAnswer, want) {
-		t.Errorf("%+v, %v", offerAnswer, err)
+		t.Errorf("offer: got %+v, %v, want %+v", offerAnswer, err, want)
 	}
 	renewal := &spill.Renewal{ExecutionCell: "west", WorkerLease: 18 * model.Second, Jobs: []spill.JobReport{{Job: "j-1", Token: 3, Running: 1, Done: []byte{2}}}}
 	renewalAnswer, err := client.Renew(t.Context(), renewal)
 	want := &spill.RenewalAnswer{Home: "south", Age: 7, Jobs: []spill.Verdict{{Job: "j-1", Token: 3, Kind: spill.Ended, End: "done", Confirmed: []byte{2}}}}
 	if err != nil || !reflect.DeepEqual(renewalAnswer, want) {
-		t.Errorf("%+v, %v", renewalAnswer, err)
+		t.Errorf("renewal: got %+v, %v, want %+v", renewalAnswer, err, want)
 	}
 	if nonHolder.calls != 1 {
-		t.Errorf("the controller that does not hold the block was asked %d times", nonHolder.calls)
+		t.Errorf("the controller that does not hold the shard was called %d times, want once", nonHolder.calls)
 	}
 	callsBefore := holder.calls
 	for want, call := range map[string]func() error{
@@ -89,18 +90,18 @@
 		"worker_lease_us": func() error { _, err := client.Renew(t.Context(), &spill.Renewal{ExecutionCell: "west"}); return err },
 	} {
 		if err := call(); !errors.Is(err, spill.ErrUnreachable) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("invalid request: got error %v, want one with %q", err, want)
 		}
 	}
 	if holder.calls != callsBefore {
-		t.Error("a message that breaks the rules came to the holder")
+		t.Error("an invalid message reached the holder's handler")
 	}
 	west, err := Dial("west", addresses)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := west.Renew(t.Context(), renewal); err == nil || !strings.Contains(err.Error(), `calls itself "south"`) {
-		t.Errorf("a cell that answers under another name: %v", err)
+	if _, err := west.Renew(t.Context(), renewal); err == nil || !strings.Contains(err.Error(), `comes from cell "south"`) {
+		t.Errorf("reply from another cell: got error %v, want one with its name", err)
 	}
 }
 
--- a/internal/cellrpc/protodeps/main.go
+++ b/internal/cellrpc/protodeps/main.go
@@ -1,5 +1,6 @@
-// Command protodeps writes the descriptors that cell.proto imports, for protoc's
-// --descriptor_set_in: the validation rules come as a Go module, without their source.
+// Command protodeps writes the descriptors that cell.proto imports to standard output, for
+// protoc's --descriptor_set_in. The validation rules come as a Go module, which does not
+// include their .proto source.
 package main
 
 import (
@@ -26,7 +27,7 @@
 	}
 }
 
-// addFile adds a file after all that it imports.
+// addFile adds a file to the set, after all files that it imports.
 func addFile(set *descriptorpb.FileDescriptorSet, added map[string]bool, file protoreflect.FileDescriptor) {
 	if added[file.Path()] {
 		return
--- a/internal/lab/cell.go
+++ b/internal/lab/cell.go
@@ -12,12 +12,13 @@
 	"woadweir/internal/standin"
 )
 
-// Settings of every cell: short times, so that a run is short.
+// Settings of every cell, with short times so that a run is short.
 const (
 	heartbeatS, leaseS, cancelS = 1, 8, 24
 	controllersPerCell          = 2
 )
 
+// settingsFormat is the format of a controller's settings file.
 const settingsFormat = `node_name = "%s"
 area = "a"
 serve_on = "%s"
@@ -51,15 +52,15 @@
 
 var machineTypes = []model.MachineType{{Name: "small", Cores: 8, MemoryGB: 32, CacheGB: 20, FetchGBps: 5, Price: 1, SpotPrice: 0.3, BootS: 2, Zones: []string{"a", "b"}}}
 
-// Teams are the teams of every cell.
+// Teams returns the teams of every cell.
 func Teams() map[string]*model.Team {
 	return map[string]*model.Team{"red": {Name: "red", Limit: model.Resources{Cores: 10_000_000, GPUs: model.NoLimit}}}
 }
 
-// Cancel is how long a cancellation may take.
+// CancelLimit is how long the tasks of a cancelled job may stay on machines.
 const CancelLimit = cancelS * model.Second
 
-// Cell is a cell whose controllers are processes of the program.
+// Cell is a cell whose controllers run as processes of the woadweir binary.
 type Cell struct {
 	*CellServices
 	binary, dir   string
@@ -67,7 +68,7 @@
 	processes     []*exec.Cmd
 }
 
-// freeAddresses finds addresses on loopback that nobody uses now.
+// freeAddresses returns loopback addresses whose ports are currently unused.
 func freeAddresses(count int) (addresses []string, err error) {
 	for range count {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -80,7 +81,8 @@
 	return addresses, nil
 }
 
-// NewCell prepares a cell with so many machines of each kind in each zone.
+// NewCell prepares a cell in which machinesPerKind spot and as many on-demand machines can be
+// rented in each zone.
 func (e *Environment) NewCell(name, binary, dir string, machinesPerKind int) (*Cell, error) {
 	addresses, err := freeAddresses(2 * controllersPerCell)
 	if err != nil {
@@ -104,7 +106,7 @@
 	return cell, os.MkdirAll(cell.dir, 0o755)
 }
 
-// Addresses are those at which the cell's users ask.
+// Addresses returns the addresses at which the cell's controllers serve users.
 func (c *Cell) Addresses() (addresses []string) {
 	for _, node := range c.nodes {
 		addresses = append(addresses, node.Address)
@@ -112,8 +114,8 @@
 	return addresses
 }
 
-// WriteFiles writes the settings of the cell's controllers, and its spill file if it has
-// neighbours.
+// WriteFiles writes the settings files of the cell's controllers and, if the cell has
+// neighbours, its spill file.
 func (c *Cell) WriteFiles(neighbours []*Cell) error {
 	for i, node := range c.nodes {
 		text := fmt.Sprintf(settingsFormat, node.Name, node.Address, c.peerAddresses[i], c.Address, c.Address, heartbeatS, leaseS, cancelS)
@@ -140,6 +142,7 @@
 func (c *Cell) settingsPath(index int) string {
 	return filepath.Join(c.dir, fmt.Sprintf("node-%d.toml", index))
 }
+
 func (c *Cell) spillPath() string { return filepath.Join(c.dir, "spill.xml") }
 
 // Start starts the cell's controllers.
@@ -158,17 +161,17 @@
 		if err := process.Start(); err != nil {
 			return err
 		}
-		_ = logFile.Close() // the process has its own
+		_ = logFile.Close() // the process has its own descriptor
 		c.processes[i] = process
 	}
 	return nil
 }
 
-// Kill ends the cell's controllers at once.
+// Kill kills the cell's controllers.
 func (c *Cell) Kill() {
 	for i, process := range c.processes {
 		if process != nil {
-			_ = process.Process.Kill() // it may have ended by itself
+			_ = process.Process.Kill() // the process may have exited already
 			_ = process.Wait()
 			c.processes[i] = nil
 		}
--- a/internal/lab/environment.go
+++ b/internal/lab/environment.go
@@ -1,6 +1,6 @@
-// Package lab runs cells of real controllers on loopback: the stand-ins of internal/standin
-// live in real time and are served over HTTP by the published protocol, and what happens is
-// kept as a history. It is for experiments; no test needs it.
+// Package lab runs cells of real controllers on loopback. The test doubles of
+// internal/standin follow the real time and are served over HTTP by the published protocols,
+// and events are recorded in a history. It is for experiments; no test needs it.
 package lab
 
 import (
@@ -22,7 +22,7 @@
 	"woadweir/internal/state"
 )
 
-// World is the stand-ins of all cells, on one clock.
+// Environment has the test doubles of all cells, on one clock.
 type Environment struct {
 	mu        sync.Mutex
 	sim       *standin.Sim
@@ -31,8 +31,8 @@
 	startedAt time.Time
 }
 
-// NewWorld starts the clock; tasks of teams beyond their limits, or in two places at once,
-// are noted.
+// NewEnvironment returns an environment without cells and starts its clock. Breaches of the
+// invariants, such as a team over its limit or a task in two places at once, are recorded.
 func NewEnvironment(teams map[string]*model.Team, cancelLimit model.Micros) *Environment {
 	sim := standin.NewSim(1)
 	env := &Environment{sim: sim, rules: standin.NewInvariantChecker(sim, teams, cancelLimit), history: &History{}, startedAt: time.Now()}
@@ -47,7 +47,7 @@
 	return env
 }
 
-// clockStep is how often the stand-ins' time is brought up to the real one.
+// clockStep is the interval at which the simulated clock is advanced to the real time.
 const clockStep = 2 * time.Millisecond
 
 func (e *Environment) run() {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Do runs f in the stand-ins' time.
+// Do advances the simulated clock to the real time and then calls f. Calls are serialised.
 func (e *Environment) Do(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -64,13 +64,13 @@
 	f()
 }
 
-// Now is the time since the world began.
+// Now returns the time since the environment was created.
 func (e *Environment) Now() (now model.Micros) {
 	e.Do(func() { now = e.sim.Now })
 	return now
 }
 
-// Note adds a row to the history, at the present time.
+// Record adds a row to the history, with the current time.
 func (e *Environment) Record(row Row) {
 	e.Do(func() {
 		row.AtUs = int64(e.sim.Now)
@@ -78,10 +78,10 @@
 	})
 }
 
-// History is what happened; the world must not be used while it is read.
+// History returns the recorded history. The environment must not be used while it is read.
 func (e *Environment) History() *History { return e.history }
 
-// Finish notes each broken rule, and ends the history.
+// RecordViolations adds each breach of a rule to the history. It is called once, at the end.
 func (e *Environment) RecordViolations() {
 	e.Do(func() {
 		e.rules.CheckCancelled()
@@ -91,10 +91,11 @@
 	})
 }
 
-// Node is a controller as workers know it.
+// Node is a controller, as known to workers.
 type Node struct{ Name, Address string }
 
-// Region is what lies outside one cell's controllers: state service, cloud and workers.
+// CellServices are the systems around one cell's controllers: the state service, and the
+// cloud with the workers.
 type CellServices struct {
 	Name    string
 	Address string // of the state service and the cloud
@@ -105,7 +106,7 @@
 	clients map[string]*jsonhttp.Client
 }
 
-// NewRegion serves a cell's state service and cloud at an address.
+// NewCellServices creates a cell's state service and cloud and serves them on the listener.
 func (e *Environment) NewCellServices(name string, listener net.Listener, nodes []Node, machineTypes []model.MachineType, capacity map[string]int, times standin.WorkerTimes) *CellServices {
 	services := &CellServices{Name: name, Address: listener.Addr().String(), env: e, nodes: nodes, clients: map[string]*jsonhttp.Client{}}
 	e.Do(func() {
@@ -117,11 +118,11 @@
 		services.clients[node.Name] = jsonhttp.New(node.Address, 512)
 	}
 	server := &fasthttp.Server{Handler: services.serve, Name: "stand-in"}
-	go func() { _ = server.Serve(listener) }() // until the process ends
+	go func() { _ = server.Serve(listener) }() // it serves until the process exits
 	return services
 }
 
-// Nodes are the names of the controllers that workers know.
+// Nodes returns the names of the controllers that workers know.
 func (s *CellServices) Nodes() (names []string) {
 	for _, node := range s.nodes {
 		names = append(names, node.Name)
@@ -129,20 +130,21 @@
 	return names
 }
 
+// workerTimeout is how long a worker waits for the answer to a heartbeat.
 const workerTimeout = 4 * model.Second
 
-// Checkin carries a worker's report to a controller.
+// SendHeartbeat sends a worker's heartbeat to a controller.
 func (s *CellServices) SendHeartbeat(_ *standin.Worker, node string, body []byte, answer func(int, []byte)) {
 	go func() {
 		_ = s.clients[node].Do("POST", "/checkin", json.RawMessage(body), workerTimeout, func(code int, body []byte) error {
 			body = append([]byte(nil), body...)
 			s.env.Do(func() { answer(code, body) })
 			return nil
-		}) // without a response the worker's own patience ends
+		}) // without a response, the worker's own timeout applies
 	}()
 }
 
-// Keys counts the keys with a prefix in the state service.
+// KeyCount returns the number of keys with a prefix in the state service.
 func (s *CellServices) KeyCount(prefix string) (n int) {
 	s.env.Do(func() { n = s.state.KeyCount(prefix) })
 	return n
@@ -158,7 +160,7 @@
 		case path == "/commit":
 			code, body = s.commit(request.PostBody())
 		case path == "/watch":
-			from, _ := strconv.ParseUint(string(args.Peek("from")), 10, 64) // 0 if there is none
+			from, _ := strconv.ParseUint(string(args.Peek("from")), 10, 64) // 0 if it is missing
 			changes, err := s.state.Watch("", from)
 			code, body = stateStatus(err), changes
 		case path == "/keys":
@@ -183,7 +185,7 @@
 	request.SetBody(raw)
 }
 
-// status is the HTTP status of an error of the state service.
+// stateStatus returns the HTTP status for an error of the state service, 200 for nil.
 func stateStatus(err error) int {
 	switch {
 	case err == nil:
@@ -198,7 +200,7 @@
 	return 503
 }
 
-// commit carries a transaction out, and notes the changes of records of spilling.
+// commit commits a transaction, and adds its changes of spill records to the history.
 func (s *CellServices) commit(raw []byte) (int, any) {
 	var input struct {
 		Conditions []state.Condition `json:"guards"`
@@ -237,12 +239,14 @@
 	return 200, result
 }
 
-// isLending tells a record that lends a job from later versions of it.
+// isLending reports whether a record is the first version written for a lent job, not a
+// later one.
 func isLending(value json.RawMessage) bool {
 	var record spill.OutRecord
 	return json.Unmarshal(value, &record) == nil && record.State == spill.Lent && record.Running == 0
 }
 
+// lease serves the requests that create, renew and end leases.
 func (s *CellServices) lease(method, path string, raw []byte) (int, any) {
 	parts := strings.Split(path, "/") // "", "grants", id, "touch"
 	if len(parts) == 2 {
@@ -263,6 +267,7 @@
 	return stateStatus(s.state.RenewLease("", id)), nil
 }
 
+// rentals serves the cloud's requests: the machine list, rentals and deletions.
 func (s *CellServices) rentals(method, path string, raw []byte) (int, any) {
 	switch {
 	case path == "/rentals" && method == "GET":
@@ -288,6 +293,7 @@
 	return 404, nil
 }
 
+// cloudStatus returns the HTTP status for an error of the cloud, 200 for nil.
 func cloudStatus(err error) int {
 	if err != nil {
 		return 503
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -7,23 +7,23 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Kind tells what a row of the history is about.
+// Kind is the kind of event that a row of the history records.
 type Kind string
 
 // Kinds of rows.
 const (
-	JobSubmitted Kind = "submitted"   // by a user, for the first time
-	JobAccepted  Kind = "accepted"    // as a user was told
-	JobDone      Kind = "done"        // as a user was told
-	JobForgotten Kind = "forgotten"   // a user was told 404 of an accepted job
-	TaskStarted  Kind = "started"     // a task came onto a machine
-	TaskRepeated Kind = "again"       // the same of one that had completed before
-	StateChange  Kind = "change"      // of a record of spilling
-	RuleViolated Kind = "rule broken" // as the stand-ins noted it
-	AllReturned  Kind = "all home"    // no record of spilling is left
+	JobSubmitted Kind = "submitted"   // a user submits a job for the first time
+	JobAccepted  Kind = "accepted"    // a user is told that a job is accepted
+	JobDone      Kind = "done"        // a user is told that a job is done
+	JobForgotten Kind = "forgotten"   // a user gets status 404 for an accepted job
+	TaskStarted  Kind = "started"     // a task comes onto a machine
+	TaskRepeated Kind = "again"       // a task that had completed before comes onto a machine
+	StateChange  Kind = "change"      // a spill record is changed
+	RuleViolated Kind = "rule broken" // the invariant checker found a violation
+	AllReturned  Kind = "all home"    // no spill record is left
 )
 
-// Row is one thing that happened. Times are microseconds since the start.
+// Row is one event. Times are microseconds since the start.
 type Row struct {
 	AtUs  int64  `parquet:"at_us"`
 	Kind  Kind   `parquet:"kind,dict"`
@@ -35,7 +35,7 @@
 	Lent  bool   `parquet:"lent"`
 }
 
-// History is what happened, in order.
+// History has the events of a run in order.
 type History struct {
 	mu   sync.Mutex
 	rows []Row
@@ -54,19 +54,20 @@
 	return parquet.WriteFile(path, h.rows)
 }
 
-// Report is what a history file says.
+// Report summarises a history file.
 type Report struct {
 	Accepted, Finished, Lost  int
-	Duplicated                int // tasks in two places at once, and ends told twice: broken rules
+	Duplicated                int // jobs reported done more than once, plus all violations, such as a task in two places at once
 	ExecutedAgain, Starts     int
 	LentJobs, StateChanges    int
 	StateBytes                int64
-	RanElsewhere              int // jobs of which a task started in another cell than that of its user
+	RanElsewhere              int // jobs of which a task started in another cell than its user's
 	Violations                []string
 	LastDoneUs, AllReturnedUs int64
 	StartWait                 *hdrhistogram.Histogram // milliseconds from submission to a job's first task
 }
 
+// maxStartWaitMs is the longest wait that Report.StartWait distinguishes: one hour.
 const maxStartWaitMs = 3_600_000
 
 // Read computes a report from a Parquet file.
@@ -116,7 +117,7 @@
 	return report, nil
 }
 
-// count sums up what became of the jobs.
+// countJobs adds up the outcomes of the accepted jobs.
 func (r *Report) countJobs(accepted map[string]bool, done map[string]int, ranElsewhere map[string]bool) {
 	r.Accepted = len(accepted)
 	for job := range accepted {
--- a/internal/lab/users.go
+++ b/internal/lab/users.go
@@ -10,21 +10,21 @@
 	"woadweir/internal/jsonhttp"
 )
 
-// Rhythm of users.
+// Timing of the users' requests.
 const (
 	retryInterval = 500 * time.Millisecond
 	pollInterval  = 500 * time.Millisecond
 	userTimeout   = 3 * model.Second
 )
 
-// Users submit jobs to a cell and ask for them until they are done.
+// Users submit jobs to a cell and poll their status until they are done.
 type Users struct {
 	cell    *Cell
 	clients []*jsonhttp.Client
 	running sync.WaitGroup
 }
 
-// NewUsers makes the users of a cell.
+// NewUsers returns the users of a cell.
 func NewUsers(cell *Cell) *Users {
 	u := &Users{cell: cell}
 	for _, address := range cell.Addresses() {
@@ -33,7 +33,8 @@
 	return u
 }
 
-// Submit has a user submit an array and ask for it until it is done or the time is over.
+// Submit submits an array job as a user and polls it in the background until it is done or
+// the deadline has passed.
 func (u *Users) Submit(id string, tasks int, seconds float64, deadline time.Time) {
 	submission := &model.Submission{ID: id, Class: "c", Team: "red", Kind: "sweep", Priority: "standard", Tasks: tasks, Cores: 2, MemoryGB: 2,
 		Image: "img-1", ImageGB: 1, AllowsSpot: true, EstimateS: seconds}
@@ -46,15 +47,16 @@
 	u.running.Go(func() { u.submitAndPoll(submission, deadline) })
 }
 
-// wireSubmission has the fields that a submission may not leave out.
+// submissionFields returns a submission's JSON fields, including those that are required but
+// that the encoder leaves out when false.
 func submissionFields(submission *model.Submission) map[string]any {
-	raw, _ := json.Marshal(submission) // of numbers and strings
+	raw, _ := json.Marshal(submission) // can't fail: the fields are numbers, strings, booleans and lists of strings
 	fields := map[string]any{"samePlace": false, "apart": false}
 	_ = json.Unmarshal(raw, &fields)
 	return fields
 }
 
-// follow retries the submission, then polls.
+// submitAndPoll repeats the submission until it is accepted, then polls the job.
 func (u *Users) submitAndPoll(submission *model.Submission, deadline time.Time) {
 	accepted := false
 	for attempt := 0; time.Now().Before(deadline); attempt++ {
@@ -78,7 +80,8 @@
 	}
 }
 
-// ask makes a request; the code is 0 without a response.
+// request makes a request and returns the response's status code and the job status in it.
+// The code is 0 if there is no response.
 func request(client *jsonhttp.Client, method, path string, body any) (code int, status string) {
 	_ = client.Do(method, path, body, userTimeout, func(responseCode int, raw []byte) error {
 		var response struct{ Status string }
@@ -91,10 +94,10 @@
 	return code, status
 }
 
-// Wait waits until all users have got their answer or given up.
+// Wait waits until all jobs are done or their deadlines have passed.
 func (u *Users) Wait() { u.running.Wait() }
 
-// Ready waits until a controller of the cell takes jobs.
+// WaitReady waits until a controller of the cell accepts jobs.
 func (u *Users) WaitReady(deadline time.Time) error {
 	for time.Now().Before(deadline) {
 		for _, client := range u.clients {
@@ -104,5 +107,5 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	return fmt.Errorf("cell %s does not come up", u.cell.Name)
+	return fmt.Errorf("cell %s: no controller was ready before the deadline", u.cell.Name)
 }
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,5 +1,5 @@
-// Package tracing sends spans of what controllers do together to a collector, by OTLP
-// over gRPC. Until it is set up, spans cost next to nothing and go nowhere.
+// Package tracing exports spans of work that several controllers take part in to a collector,
+// using OTLP over gRPC. Until Setup is called, spans are not recorded and cost very little.
 package tracing
 
 import (
@@ -16,17 +16,18 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Limits of what is kept for a collector that does not answer.
+// Limits of the exporter, which bound what is kept for a collector that does not answer.
 const (
 	exportTimeout  = 2 * time.Second
 	exportInterval = time.Second
 	maxQueuedSpans = 512
 )
 
+// traceParentKey is the carrier key of W3C Trace Context that holds the span's context.
 const traceParentKey = "traceparent"
 
-// Setup begins to send spans of this node to a collector, and returns what ends it.
-// Spans that the collector does not take in time are dropped.
+// Setup starts the export of this node's spans to the collector at endpoint, and returns the
+// function that stops it. Spans that the collector does not accept in time are dropped.
 func Setup(ctx context.Context, endpoint, node string) (shutdown func(context.Context) error, err error) {
 	exporter, err := otlptracegrpc.New(ctx, otlptracegrpc.WithEndpoint(endpoint), otlptracegrpc.WithInsecure(), otlptracegrpc.WithTimeout(exportTimeout))
 	if err != nil {
@@ -39,13 +40,13 @@
 	return provider.Shutdown, nil
 }
 
-// Span is one step of work that may have begun on another controller.
+// Span is one step of work that may have started on another controller.
 type Span struct {
 	span    trace.Span
 	context string
 }
 
-// Start begins a span. The parent is the Context of a span of any controller, or "".
+// Start starts a span. The parent is the Context of a span of any controller, or "".
 func Start(parent, name string, attributes ...attribute.KeyValue) Span {
 	ctx := propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{traceParentKey: parent})
 	ctx, span := otel.Tracer("woadweir").Start(ctx, name, trace.WithAttributes(attributes...))
@@ -54,10 +55,11 @@
 	return Span{span, carrier[traceParentKey]}
 }
 
-// Context names the span to other controllers, "" if it is not recorded.
+// Context returns the trace context that identifies the span to other controllers, or "" if
+// the span is not recorded.
 func (s Span) Context() string { return s.context }
 
-// End ends the span; a failure is told by its reason.
+// End ends the span. If failure is not "", the span gets an error status with that reason.
 func (s Span) End(failure string) {
 	if s.span == nil {
 		return
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc"
 )
 
-// receiver is a collector that keeps what it is sent.
+// fakeCollector is a collector that keeps the spans it receives.
 type fakeCollector struct {
 	collector.UnimplementedTraceServiceServer
 	mu    sync.Mutex
@@ -31,11 +31,11 @@
 	return &collector.ExportTraceServiceResponse{}, nil
 }
 
-// Spans go nowhere until tracing is set up; then they reach the collector, with a parent
-// that another controller has named.
+// Spans are not recorded until Setup is called. After that they reach the collector, and a
+// span started with another span's context is its child.
 func TestSpansReachTheCollector(t *testing.T) {
 	if span := Start("", "before"); span.Context() != "" {
-		t.Errorf("a span is recorded without a collector: %s", span.Context())
+		t.Errorf("a span is recorded before Setup: got context %q, want none", span.Context())
 	}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -61,13 +61,13 @@
 	received.mu.Lock()
 	defer received.mu.Unlock()
 	if len(received.spans) != 2 {
-		t.Fatalf("%d spans", len(received.spans))
+		t.Fatalf("collector got %d spans, want 2", len(received.spans))
 	}
 	child, parent := received.spans[0], received.spans[1]
 	if child.GetName() != "call" || string(child.GetTraceId()) != string(parent.GetTraceId()) || string(child.GetParentSpanId()) != string(parent.GetSpanId()) {
-		t.Errorf("%v is no child of %v", child, parent)
+		t.Errorf("span %v is not the span \"call\" with parent %v", child, parent)
 	}
 	if child.GetStatus().GetMessage() != "refused" || parent.GetStatus().GetMessage() != "" || parent.GetAttributes()[0].GetValue().GetStringValue() != "w1-1" {
-		t.Errorf("%v, %v", child, parent)
+		t.Errorf("wrong status or attributes: child %v, parent %v", child, parent)
 	}
 }
