--- a/cmd/cellbench/main.go
+++ b/cmd/cellbench/main.go
@@ -1,6 +1,6 @@
-// Command cellbench runs three cells of the real program on loopback, with stand-ins for
-// what lies outside, and a burst of jobs on one of them. It prints what became of the jobs,
-// computed from the history that it writes.
+// Command cellbench runs three cells of the woadweir binary on loopback, with test doubles for
+// the systems around them, and submits a burst of jobs to one of the cells. It writes a
+// history of each run and prints a report computed from it.
 package main
 
 import (
@@ -19,7 +19,7 @@
 //go:embed scenarios/*.xml
 var scenarios embed.FS
 
-// scenario is an experiment, as its file says.
+// scenario is an experiment, as described by its file.
 type scenario struct {
 	XMLName       xml.Name `xml:"scenario"`
 	Name          string   `xml:"name,attr"`
@@ -32,11 +32,12 @@
 	LimitS        float64  `xml:"limit-s"`
 }
 
+// cli has the command-line flags. kong derives their names from the field names.
 type cli struct {
-	Binary   string   `default:"target/woadweir" help:"The program, built as the README says."`
-	Out      string   `default:"" help:"Folder for settings, logs and histories. Default: a temporary one."`
-	Short    bool     `help:"One short burst, in under half a minute."`
-	Scenario []string `help:"Scenario files. Default: those built in."`
+	Binary   string   `default:"target/woadweir" help:"The woadweir binary, built as the README describes."`
+	Out      string   `default:"" help:"Directory for settings, logs and histories. Default: a temporary directory."`
+	Short    bool     `help:"Run one short burst, which takes less than half a minute."`
+	Scenario []string `help:"Scenario files to run. Default: the built-in scenarios."`
 }
 
 func main() {
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// load reads the scenarios that are asked for.
+// loadScenarios reads the scenarios that the flags select.
 func (c *cli) loadScenarios() (loaded []scenario, err error) {
 	names, read := []string{"alone", "idle", "busy", "killed"}, func(name string) ([]byte, error) { return scenarios.ReadFile("scenarios/" + name + ".xml") }
 	switch {
@@ -90,16 +91,19 @@
 	return loaded, nil
 }
 
-// Machines of each kind in each zone: the burst's cell is the smallest.
+// Machines that each cell can rent per zone, spot and on-demand separately. The cell that gets
+// the burst is the smallest.
 const (
 	burstMachines     = 1
 	neighbourMachines = 2
-	tasksPerJob       = 4
 )
 
+// tasksPerJob is the number of tasks of every job.
+const tasksPerJob = 4
+
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// play runs a scenario and prints its report.
+// run runs a scenario and prints its report.
 func (s *scenario) run(binary, dir string) error {
 	env := lab.NewEnvironment(lab.Teams(), lab.CancelLimit)
 	var cells []*lab.Cell
@@ -149,7 +153,10 @@
 	return nil
 }
 
-// start starts the cells and waits until they take jobs.
+// readyTimeout is how long each cell may take to accept jobs.
+const readyTimeout = 20 * time.Second
+
+// start starts the cells and waits until they accept jobs.
 func (s *scenario) start(cells []*lab.Cell) (users []*lab.Users, err error) {
 	for i, cell := range cells {
 		var neighbours []*lab.Cell
@@ -167,14 +174,14 @@
 		users = append(users, lab.NewUsers(cell))
 	}
 	for _, u := range users {
-		if err := u.WaitReady(time.Now().Add(20 * time.Second)); err != nil {
+		if err := u.WaitReady(time.Now().Add(readyTimeout)); err != nil {
 			return nil, err
 		}
 	}
 	return users, nil
 }
 
-// load submits the burst, and the neighbours' own jobs.
+// submitJobs submits the burst to the first cell, and the neighbours' own jobs to the others.
 func (s *scenario) submitJobs(users []*lab.Users) {
 	deadline := time.Now().Add(seconds(s.LimitS))
 	for i, u := range users {
@@ -188,10 +195,10 @@
 	}
 }
 
-// drainTimeout is how long records of spilling may take to go after the last job.
+// drainTimeout is how long spill records may remain after the last job.
 const drainTimeout = 60 * time.Second
 
-// waitHome waits until no record of spilling is left.
+// waitReturned waits until no cell has a spill record left, or until drainTimeout has passed.
 func waitReturned(env *lab.Environment, cells []*lab.Cell) {
 	for deadline := time.Now().Add(drainTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		remaining := 0
@@ -205,6 +212,7 @@
 	}
 }
 
+// printReport prints the summary of a run.
 func (s *scenario) printReport(report *lab.Report) {
 	fmt.Printf("%s: %d jobs accepted, %d finished, %d duplicated, %d lost; %d of %d task starts executed again\n",
 		s.Name, report.Accepted, report.Finished, report.Duplicated, report.Lost, report.ExecutedAgain, report.Starts+report.ExecutedAgain)
--- a/cmd/woadweir/duties.go
+++ b/cmd/woadweir/duties.go
@@ -12,9 +12,10 @@
 	"woadweir/internal/state"
 )
 
-// statusTimeout is how long the state service may take for each answer.
+// statusTimeout limits each request to the state service.
 const statusTimeout = 5 * model.Second
 
+// dutiesCmd prints the holders of the single-holder duties.
 type dutiesCmd struct{ files }
 
 func (c *dutiesCmd) Run() error {
@@ -34,6 +35,7 @@
 	return out.Flush()
 }
 
+// formatDuty returns the table row of a duty, its columns separated by tabs.
 func formatDuty(status duty.Status) string {
 	since := "-"
 	if !status.Since.IsZero() {
--- a/cmd/woadweir/main.go
+++ b/cmd/woadweir/main.go
@@ -17,21 +17,24 @@
 	"woadweir/internal/controller"
 )
 
+// cli has the commands. kong derives their names and flags from the field names.
 type cli struct {
-	Run     runCmd     `cmd:"" default:"withargs" help:"Run a controller until it is killed (the default)."`
-	Duties  dutiesCmd  `cmd:"" help:"Tell who holds which single-holder duty, since when, and why the holder before lost it."`
-	Spills  spillsCmd  `cmd:"" help:"Tell which jobs are lent to other cells and by them, since when, and under which token."`
-	Check   checkCmd   `cmd:"" help:"Read and check the settings, and print the first thing wrong."`
+	Run     runCmd     `cmd:"" default:"withargs" help:"Run a controller until it is killed (default command)."`
+	Duties  dutiesCmd  `cmd:"" help:"Show which controller holds each single-holder duty, since when, and why the previous holder lost it."`
+	Spills  spillsCmd  `cmd:"" help:"List the jobs lent to other cells and borrowed from them, since when, and with which token."`
+	Check   checkCmd   `cmd:"" help:"Validate the settings files and print the first error."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
+// files are the flags that name the settings files.
 type files struct {
-	Config   string `required:"" placeholder:"PATH" help:"The platform's settings file (TOML)."`
-	Operator string `placeholder:"PATH" help:"The operators' own settings (XML). Without it, defaults hold."`
-	Duties   string `placeholder:"PATH" help:"Which controllers hold single-holder duties (XML). Without it, the leader does everything."`
-	Spill    string `placeholder:"PATH" help:"Which other cells jobs are lent to and taken from (XML). Without it, none."`
+	Config   string `required:"" placeholder:"PATH" help:"Platform settings file (TOML)."`
+	Operator string `placeholder:"PATH" help:"Operator settings file (XML). Without it, the defaults apply."`
+	Duties   string `placeholder:"PATH" help:"File that says which controllers hold single-holder duties (XML). Without it, the leader performs all duties."`
+	Spill    string `placeholder:"PATH" help:"File that names the cells to lend jobs to and borrow jobs from (XML). Without it, no jobs are lent or borrowed."`
 }
 
+// loadSettings reads and validates all settings files.
 func (f *files) loadSettings() (*config.Settings, *config.OperatorSettings, error) {
 	settings, err := config.Load(f.Config)
 	if err != nil {
@@ -48,22 +51,28 @@
 	return settings, operator, err
 }
 
-// badSettings is reported with exit status 2.
+// settingsError is an error in the settings or the command line. It leads to exit status 2.
 type settingsError struct{ error }
 
+// runCmd runs a controller.
 type runCmd struct{ files }
 
+// memoryLimitShare is the share of the memory quota that is set as the Go runtime's memory
+// limit, unless GOMEMLIMIT sets one.
+const memoryLimitShare = 0.7
+
 func (c *runCmd) Run() error {
 	settings, operator, err := c.loadSettings()
 	if err != nil {
 		return settingsError{err}
 	}
 	if mb := settings.Params.Quota.RAMMB; mb > 0 && os.Getenv("GOMEMLIMIT") == "" {
-		debug.SetMemoryLimit(int64(mb * 0.7 * 1e6))
+		debug.SetMemoryLimit(int64(mb * memoryLimitShare * 1e6))
 	}
 	return controller.Run(context.Background(), settings, operator)
 }
 
+// checkCmd validates the settings.
 type checkCmd struct{ files }
 
 func (c *checkCmd) Run() error {
@@ -74,6 +83,7 @@
 	return nil
 }
 
+// versionCmd prints the version.
 type versionCmd struct{}
 
 func (versionCmd) Run() error {
@@ -81,6 +91,7 @@
 	return nil
 }
 
+// logLevel returns the log level that LOG_LEVEL names. The default is error.
 func logLevel() slog.Level {
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
 	case "debug":
@@ -94,7 +105,7 @@
 func main() {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})))
 	var commands cli
-	parser, err := kong.New(&commands, kong.Name("woadweir"), kong.Description("A cluster scheduler: one controller node."))
+	parser, err := kong.New(&commands, kong.Name("woadweir"), kong.Description("Runs and inspects a controller of the woadweir cluster scheduler."))
 	if err != nil {
 		panic(err)
 	}
--- a/cmd/woadweir/main_test.go
+++ b/cmd/woadweir/main_test.go
@@ -11,7 +11,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Run as the program itself when asked to, so that exit statuses can be seen.
+// The test binary runs as the program itself if WOADWEIR_TEST_MAIN is set, so that tests can
+// check exit statuses.
 func TestMain(m *testing.M) {
 	if os.Getenv("WOADWEIR_TEST_MAIN") != "" {
 		main()
@@ -56,6 +57,8 @@
 	}
 }
 
+// Exit statuses and messages: 0 for success, 2 for errors in the settings or the command
+// line, reported on one line, and 1 for other failures.
 func TestExitStatus(t *testing.T) {
 	badSettings := filepath.Join(t.TempDir(), "bad.toml")
 	writeFile(t, badSettings, `node_name = "x"`)
@@ -92,15 +95,16 @@
 		cmd.Env = append(os.Environ(), "WOADWEIR_TEST_MAIN=1")
 		out, _ := cmd.CombinedOutput()
 		if got := cmd.ProcessState.ExitCode(); got != c.status || !strings.Contains(string(out), c.want) {
-			t.Errorf("%s: status %d, %q; want %d and %q", c.args, got, out, c.status, c.want)
+			t.Errorf("%s: got status %d and output %q, want status %d and %q in the output", c.args, got, out, c.status, c.want)
 		}
 		if c.status == 2 && strings.Count(string(out), "\n") != 1 {
-			t.Errorf("%s: %q is not one line", c.args, out)
+			t.Errorf("%s: got output %q, want a single line", c.args, out)
 		}
 	}
 }
 
-// tell runs a command against a state service that answers so, and gives its lines.
+// runAgainstState runs a command against a state service with the given handler, and returns
+// the lines of its output.
 func runAgainstState(t *testing.T, command string, handler fasthttp.RequestHandler) []string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -121,7 +125,7 @@
 	return strings.Split(string(out), "\n")
 }
 
-// What is lent is read from the state service.
+// The spills command reads the lent and borrowed jobs from the state service.
 func TestSpillsCommand(t *testing.T) {
 	lines := runAgainstState(t, "spills", func(request *fasthttp.RequestCtx) {
 		if string(request.QueryArgs().Peek("starts")) != "spill/" {
@@ -133,12 +137,13 @@
 	})
 	for i, want := range []string{"JOB HOME GUEST STATE TOKEN SINCE", "j-000007 south here returned 5 2023-11-14T22:13:20Z", "j-000001 here west lent 3145733 2023-11-14T22:13:20Z"} {
 		if got := strings.Join(strings.Fields(lines[i]), " "); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("line %d: got %q, want %q", i, got, want)
 		}
 	}
 }
 
-// The duties are read from the state service: who holds each, and why the last one lost it.
+// The duties command reads from the state service who holds each duty, and why the previous
+// holder lost it.
 func TestDutiesCommand(t *testing.T) {
 	lines := runAgainstState(t, "duties", func(request *fasthttp.RequestCtx) {
 		switch string(request.Path()) {
@@ -154,7 +159,7 @@
 	for i, want := range []string{"DUTY HOLDER TOKEN SINCE PREVIOUS ITS TOKEN WHY IT LOST THE DUTY",
 		"renting node-1 44 2023-11-14T22:13:20Z node-2 31 cloud not reached", "returning - 0 - - 0 -", "cleanup - 0 - - 0 -", "reclaiming node-0 12 - - 0 -"} {
 		if got := strings.Join(strings.Fields(lines[i]), " "); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("line %d: got %q, want %q", i, got, want)
 		}
 	}
 }
--- a/cmd/woadweir/spills.go
+++ b/cmd/woadweir/spills.go
@@ -9,6 +9,7 @@
 	"woadweir/internal/state"
 )
 
+// spillsCmd prints the jobs that are lent to other cells or borrowed from them.
 type spillsCmd struct{ files }
 
 func (c *spillsCmd) Run() error {
--- a/woadweir.go
+++ b/woadweir.go
@@ -1,6 +1,6 @@
-// Package woadweir is left for programs that will embed the scheduler; the
-// daemon lives in cmd/woadweir.
+// Package woadweir is reserved for programs that embed the scheduler. The daemon is
+// cmd/woadweir.
 package woadweir
 
-// Version is the release that this source tree builds.
+// Version is the version of the release that this source tree builds.
 const Version = "0.1.0"
