--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -52,7 +52,7 @@
 	At       model.Micros
 	Node     string
 	Txn      *state.Txn
-	Revision uint64   // the revision that an accepted transaction created
+	Revision uint64   // the revision after an accepted transaction
 	Rejected []string // keys whose conditions failed, or that were to be attached to an ended lease
 }
 
@@ -68,9 +68,9 @@
 
 // LowerLimits lowers the limits, as the service may do at any time. Stored values stay, even
 // those that exceed the new limits.
-func (s *State) LowerLimits(valueKB, txnOps int, writes float64) {
-	s.ValueKB, s.TxnOps, s.writeRate, s.limitsLowered = valueKB, txnOps, writes, true
-	s.writeBudget, s.budgetAt = writes, s.sim.Now
+func (s *State) LowerLimits(valueKB, txnOps int, writesPerSecond float64) {
+	s.ValueKB, s.TxnOps, s.writeRate, s.limitsLowered = valueKB, txnOps, writesPerSecond, true
+	s.writeBudget, s.budgetAt = writesPerSecond, s.sim.Now
 }
 
 // tooBig reports whether a transaction exceeds the limits. It panics if one does before the
@@ -96,10 +96,10 @@
 }
 
 // SetOutage begins or ends an outage, during which the requests of all nodes are refused.
-func (s *State) SetOutage(on bool) {
+func (s *State) SetOutage(active bool) {
 	s.expireLeases()
-	s.outage = on
-	if !on {
+	s.outage = active
+	if !active {
 		for _, l := range s.leases {
 			l.expiresAt = s.sim.Now + l.ttl
 		}
