--- a/internal/core/placement/victims.go
+++ b/internal/core/placement/victims.go
@@ -3,40 +3,40 @@
 import "woadweir/internal/core/model"
 
 const (
-	// placementCostDivisor scales the cost of a machine for the comparison with the work
-	// that preemption loses.
+	// placementCostDivisor scales the cost of a machine so that it can be compared with the
+	// work that is lost by preemption.
 	placementCostDivisor = 4
-	// minIdleGPUTime is the least time for which GPUs count as idle beside a task.
+	// minIdleGPUTime is the minimum time for which GPUs count as idle beside a task.
 	minIdleGPUTime = 10 * model.Second
-	// costUnknown stands for a cost that has not been computed yet.
+	// costUnknown marks a cost that has not been computed yet.
 	costUnknown = model.Micros(-1)
 )
 
-// preemptionSlot is where a task would fit if the victims were stopped.
+// preemptionSlot is room for a task on a machine, available once the victims have stopped.
 type preemptionSlot struct {
 	target  *target
 	index   int // among the slots of the machine
 	victims []*model.Binding
 	cost    model.Micros
-	// free tells that the task fits without any stop.
+	// free is set if the task fits without stopping other tasks.
 	free bool
-	// preempted tells that others have been stopped for this slot already.
+	// preempted is set if other tasks have already been stopped for the slot.
 	preempted bool
 }
 
-// preemptionSlots finds the slots that preemption can give to a job, on the machines that
-// suit.
-func (w *Round) preemptionSlots(job *model.JobState, wanted int, suits machineFilter) (slots []preemptionSlot) {
-	limits := w.constraintsOf(job)
-	for i := range w.targets {
-		open := &w.targets[i]
-		machine := open.machine
-		if !job.Request.Fits(machine.Size) || !w.mayUse(job, machine) || w.fragmentsGPUs(job, machine) || !suits(machine) {
+// preemptionSlots finds the slots that a job can get by preemption on the machines that
+// pass a filter, at most as many as wanted on each.
+func (r *Round) preemptionSlots(job *model.JobState, wanted int, accepts machineFilter) (slots []preemptionSlot) {
+	constraints := r.constraintsOf(job)
+	for i := range r.targets {
+		target := &r.targets[i]
+		machine := target.machine
+		if !job.Request.Fits(machine.Size) || !r.mayUse(job, machine) || r.fragmentsGPUs(job, machine) || !accepts(machine) {
 			continue
 		}
-		w.findVictims(open)
-		search := w.newSlotSearch(job, open, limits, wanted)
-		for range min(wanted, w.Executor.TaskSlots(job.Job, machine)) {
+		r.findVictims(target)
+		search := r.newSlotSearch(job, target, constraints, wanted)
+		for range min(wanted, r.Executor.TaskSlots(job.Job, machine)) {
 			slot, found := search.next()
 			if !found {
 				break
@@ -47,73 +47,75 @@
 	return slots
 }
 
-// findVictims finds out which tasks of a machine may be preempted.
-func (w *Round) findVictims(open *target) {
-	if open.victimsKnown {
+// findVictims finds the tasks of a machine that may be preempted.
+func (r *Round) findVictims(target *target) {
+	if target.victimsKnown {
 		return
 	}
-	open.victimsKnown = true
-	for _, binding := range open.machine.Bindings {
+	target.victimsKnown = true
+	for _, binding := range target.machine.Bindings {
 		if binding.Stopping {
-			open.freedByStops = open.freedByStops.Plus(binding.Job.Request)
-		} else if w.isPreemptible(binding.Job) {
-			open.victims = append(open.victims, binding)
+			target.freedByStops = target.freedByStops.Plus(binding.Job.Request)
+		} else if r.isPreemptible(binding.Job) {
+			target.victims = append(target.victims, binding)
 		}
 	}
-	w.sortByLoss(open.victims)
+	r.sortByLoss(target.victims)
 }
 
-// isPreemptible tells whether tasks of a job may be preempted at all.
-func (w *Round) isPreemptible(job *model.Job) bool {
-	return job.Kind != model.Gang && job.Priority < model.ProductionPriority && !w.protectedJobs[job.ID]
+// isPreemptible reports whether tasks of a job may be preempted at all.
+func (r *Round) isPreemptible(job *model.Job) bool {
+	return job.Kind != model.Gang && job.Priority < model.ProductionPriority && !r.protectedJobs[job.ID]
 }
 
-// slotSearch finds the slots of one machine for a job, one after the other, as long as
-// there are victims.
+// slotSearch finds the slots of one machine for a job, one after the other, until no victims
+// are left to make room.
 type slotSearch struct {
-	world  *Round
+	round  *Round
 	job    *model.JobState
 	target *target
 	wanted int
-	// found is how many slots have been found.
-	found int
-	// freeNow is what is left, beside these slots, without any stop.
+	// foundSlots is the number of slots found so far.
+	foundSlots int
+	// freeNow is what the found slots leave free without stopping tasks, negative if they
+	// take more.
 	freeNow model.Resources
-	// freeAfterStops is what is left beside them once their victims are gone.
+	// freeAfterStops is what the found slots leave free once their victims are gone.
 	freeAfterStops model.Resources
 	// victims are the tasks not yet considered, least loss first.
 	victims []*model.Binding
-	// preemptedSlots is how many slots others have been stopped for already.
+	// preemptedSlots is the number of slots for which tasks have already been stopped.
 	preemptedSlots int
 	// placementCost is the cost of the machine for a task, costUnknown until it is needed.
 	placementCost model.Micros
-	// coresTaken are the cores of all slots found, and gpusIdled the GPUs that they idle.
+	// coresTaken are the cores of the found slots, and gpusIdled the GPUs that would be idle
+	// beside them.
 	coresTaken, gpusIdled model.Milli
 }
 
 // newSlotSearch starts a search on a machine whose victims are known.
-func (w *Round) newSlotSearch(job *model.JobState, open *target, limits machineConstraints, wanted int) *slotSearch {
-	usable := open.free()
+func (r *Round) newSlotSearch(job *model.JobState, target *target, constraints machineConstraints, wanted int) *slotSearch {
+	usable := target.free()
 	if job.Priority < model.HighPriority {
-		usable = open.usable(limits)
+		usable = target.usable(constraints)
 	}
 	return &slotSearch{
-		world:          w,
+		round:          r,
 		job:            job,
-		target:         open,
+		target:         target,
 		wanted:         wanted,
-		freeNow:        open.free(),
-		freeAfterStops: usable.Plus(open.freedByStops),
-		victims:        open.victims,
-		preemptedSlots: w.preemptedFor[job][open.machine],
+		freeNow:        target.free(),
+		freeAfterStops: usable.Plus(target.freedByStops),
+		victims:        target.victims,
+		preemptedSlots: r.preemptedFor[job][target.machine],
 		placementCost:  costUnknown,
 	}
 }
 
-// next finds the next slot, if there is another.
+// next returns the next slot, and whether there is one.
 func (s *slotSearch) next() (slot preemptionSlot, found bool) {
 	request := s.job.Request
-	slot = preemptionSlot{target: s.target, index: s.found, free: request.Fits(s.freeNow)}
+	slot = preemptionSlot{target: s.target, index: s.foundSlots, free: request.Fits(s.freeNow)}
 	s.freeNow = s.freeNow.Minus(request)
 	s.addVictims(&slot)
 	if !request.Fits(s.freeAfterStops) {
@@ -122,11 +124,11 @@
 	s.freeAfterStops = s.freeAfterStops.Minus(request)
 	slot.cost += s.machineCost() + s.idleGPUCost()
 	if slot.index < s.preemptedSlots && len(slot.victims) == 0 {
-		// Others have been stopped for this slot already. Any other choice would stop
-		// more tasks elsewhere, and leave this slot to whichever job comes next.
+		// Tasks have already been stopped for this slot. Any other choice would stop more
+		// tasks elsewhere, and leave this slot to whichever job comes next.
 		slot.cost, slot.preempted = 0, true
 	}
-	s.found++
+	s.foundSlots++
 	return slot, true
 }
 
@@ -139,13 +141,14 @@
 			continue
 		}
 		s.freeAfterStops = s.freeAfterStops.Plus(victim.Job.Request)
-		slot.cost += s.world.PreemptionLoss(victim)
+		slot.cost += s.round.PreemptionLoss(victim)
 		slot.victims = append(slot.victims, victim)
 	}
 }
 
-// mayPreemptTask tells whether a job may preempt a task. A task's GPUs are worth more than
-// what one without GPUs would do in its place; only jobs of high priority are worth that.
+// mayPreemptTask reports whether a job may preempt a task. Tasks without GPUs preempt tasks
+// with GPUs only for jobs of high priority, as the GPUs are worth more than what a task
+// without GPUs does in their place.
 func mayPreemptTask(job *model.JobState, victim *model.Binding) bool {
 	if victim.Stopping || victim.Job.Priority >= job.Priority {
 		return false
@@ -153,26 +156,26 @@
 	return job.Request.GPUs > 0 || victim.Job.Request.GPUs == 0 || job.Priority >= model.HighPriority
 }
 
-// machineCost is what the machine itself costs, as core time.
+// machineCost returns the cost of the machine for a task, as core time.
 func (s *slotSearch) machineCost() model.Micros {
 	if s.placementCost == costUnknown {
-		cost := s.world.cost(s.job, s.target, s.wanted)
+		cost := s.round.cost(s.job, s.target, s.wanted)
 		s.placementCost = cost * coreEquivalents(s.job.Request) / placementCostDivisor
 	}
 	return s.placementCost
 }
 
-// idleGPUCost is the cost, as core time, of the wanted GPUs that would be idle beside one
-// more slot for all its run, as too few cores are left for them.
+// idleGPUCost returns the cost, as core time, of the wanted GPUs that one more slot would
+// leave idle for its whole run because too few cores are left for them.
 func (s *slotSearch) idleGPUCost() model.Micros {
-	coresPerGPU := s.world.RequestPerGPU.Cores
-	if s.job.Request.GPUs > 0 || s.world.WantedGPUs <= 0 || coresPerGPU <= 0 {
+	coresPerGPU := s.round.RequestPerGPU.Cores
+	if s.job.Request.GPUs > 0 || s.round.WantedGPUs <= 0 || coresPerGPU <= 0 {
 		return 0
 	}
 	s.coresTaken += s.job.Request.Cores
 	size := s.target.machine.Size
 	usableGPUs := (size.Cores - s.coresTaken) * milliPerUnit / coresPerGPU
-	idle := min(s.world.WantedGPUs, size.GPUs-usableGPUs)
+	idle := min(s.round.WantedGPUs, size.GPUs-usableGPUs)
 	more := idle - s.gpusIdled
 	if more <= 0 {
 		return 0
