--- a/internal/controller/duty_vacancies.go
+++ b/internal/controller/duty_vacancies.go
@@ -9,14 +9,14 @@
 	"woadweir/internal/duty"
 )
 
-// The histogram of the times for which duties were vacant, in milliseconds.
+// Parameters of the histogram of vacancy times, in milliseconds.
 const (
 	maxVacancyMs  = 600_000
-	vacancyDigits = 2
+	vacancyDigits = 2 // significant decimal digits
 	medianPercent = 50
 )
 
-// vacancyTimes measures for how long duties are vacant before this controller holds them.
+// vacancyTimes measures how long duties are vacant before this controller acquires them.
 type vacancyTimes struct {
 	vacantSince map[duty.Name]model.Micros
 	histogram   *hdrhistogram.Histogram // of duties that this controller acquired
@@ -27,23 +27,23 @@
 }
 
 // observe records whether a duty is vacant now.
-func (v *vacancyTimes) observe(name duty.Name, vacant bool, now model.Micros) {
+func (t *vacancyTimes) observe(name duty.Name, vacant bool, now model.Micros) {
 	if !vacant {
-		delete(v.vacantSince, name)
-	} else if _, known := v.vacantSince[name]; !known {
-		v.vacantSince[name] = now
+		delete(t.vacantSince, name)
+	} else if _, known := t.vacantSince[name]; !known {
+		t.vacantSince[name] = now
 	}
 }
 
-// acquired records that this controller holds a duty from now on.
-func (v *vacancyTimes) acquired(name duty.Name, now model.Micros) {
-	since, known := v.vacantSince[name]
+// acquired records that this controller has acquired a duty, and logs how long it was vacant.
+func (t *vacancyTimes) acquired(name duty.Name, now model.Micros) {
+	since, known := t.vacantSince[name]
 	if !known {
 		return
 	}
 	ms := int64((now - since) / model.Millisecond)
-	if err := v.histogram.RecordValue(min(max(1, ms), maxVacancyMs)); err != nil {
-		slog.Debug("vacancy", "err", err)
+	if err := t.histogram.RecordValue(min(max(1, ms), maxVacancyMs)); err != nil {
+		slog.Debug("vacancy time not recorded", "err", err)
 	}
-	slog.Info("duty was vacant", "duty", name, "ms", ms, "median_ms", v.histogram.ValueAtQuantile(medianPercent), "most_ms", v.histogram.Max())
+	slog.Info("duty was vacant", "duty", name, "ms", ms, "median_ms", t.histogram.ValueAtQuantile(medianPercent), "most_ms", t.histogram.Max())
 }
--- a/internal/controller/intent_writes.go
+++ b/internal/controller/intent_writes.go
@@ -7,30 +7,30 @@
 	"woadweir/internal/state"
 )
 
-// findFreeKey finds a key for a draft: one whose intent is finished, or a new one.
-func (l *leader) findFreeKey(draft *intentDraft, taken map[string]bool) string {
+// findFreeKey returns a key for a draft: one whose intent is finished, or a new one.
+func (l *leader) findFreeKey(draft *intentDraft, usedKeys map[string]bool) string {
 	for slot := 0; ; slot++ {
 		key := duty.ReturnKey(slot)
 		if draft.rental != nil {
 			key = duty.RentalKey(slot)
 		}
-		if !taken[key] && l.isKeyFree(key) {
+		if !usedKeys[key] && l.isKeyFree(key) {
 			return key
 		}
 	}
 }
 
-// isKeyFree reports whether a key may be used for another intent.
+// isKeyFree reports whether a key may be reused for another intent.
 func (l *leader) isKeyFree(key string) bool {
 	if rental := l.controller.view.Rentals[key]; rental != nil {
 		at, seen := l.intents.finishedAt[key]
 		return rental.State == duty.Refused || rental.State == duty.Filled && seen && l.controller.now-at >= duty.RetainRental
 	}
-	ret := l.controller.view.Returns[key]
-	return ret == nil || ret.State != duty.Open && l.intents.returns[key] == nil
+	returnIntent := l.controller.view.Returns[key]
+	return returnIntent == nil || returnIntent.State != duty.Open && l.intents.returns[key] == nil
 }
 
-// writeIntents makes the leader's decisions durable, some at a time.
+// writeIntents writes the leader's queued intents, as many as the limits allow.
 func (l *leader) writeIntents() {
 	c := l.controller
 	if !c.lanes.isFree(laneIntent, c.now) || l.resync || len(l.intents.queue) == 0 {
@@ -41,7 +41,7 @@
 		return
 	}
 	txn := &state.Txn{Conditions: []state.Condition{{Path: grantKey, Revision: l.token}}}
-	taken := map[string]bool{}
+	usedKeys := map[string]bool{}
 	machines := 0
 	for len(l.intents.queue) > 0 && len(txn.Then) < limit && machines <= maxTxnMachines {
 		draft := l.intents.queue[0]
@@ -50,14 +50,14 @@
 			l.awaitOutcome(draft)
 			continue
 		}
-		if draft.slotKey == "" || taken[draft.slotKey] || !l.isKeyFree(draft.slotKey) {
-			draft.slotKey = l.findFreeKey(draft, taken)
+		if draft.slotKey == "" || usedKeys[draft.slotKey] || !l.isKeyFree(draft.slotKey) {
+			draft.slotKey = l.findFreeKey(draft, usedKeys)
 		}
-		taken[draft.slotKey] = true
+		usedKeys[draft.slotKey] = true
 		txn.Conditions = append(txn.Conditions, state.Condition{Path: draft.slotKey, Revision: c.view.Revisions[draft.slotKey]})
 		txn.Then = append(txn.Then, draft.op())
-		if draft.ret != nil {
-			machines += len(draft.ret.Machines)
+		if draft.returnIntent != nil {
+			machines += len(draft.returnIntent.Machines)
 		}
 		l.intents.inFlight = append(l.intents.inFlight, draft)
 	}
@@ -67,15 +67,15 @@
 	}
 }
 
-// op writes a draft's record.
+// op returns the operation that writes a draft's record.
 func (d *intentDraft) op() state.Op {
 	if d.rental != nil {
 		return state.Op{Set: d.slotKey, Value: *d.rental}
 	}
-	return state.Op{Set: d.slotKey, Value: *d.ret}
+	return state.Op{Set: d.slotKey, Value: *d.returnIntent}
 }
 
-// intentsCommitted takes the end of a write of intents.
+// intentsCommitted handles the outcome of a transaction of intents.
 func (l *leader) intentsCommitted(m msgCommitted) {
 	c := l.controller
 	drafts := l.intents.inFlight
@@ -87,7 +87,7 @@
 		}
 		return
 	}
-	// Whether it was carried out is told by the next catch-up.
+	// The next synchronization of the view shows whether the transaction was executed.
 	l.intents.queue = append(drafts, l.intents.queue...)
 	switch {
 	case m.lostGrant():
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -9,23 +9,23 @@
 	"woadweir/internal/spill"
 )
 
-// recallPeriod is how often a job is looked for that this cell has room for again.
+// recallPeriod is how often this cell looks for a lent job that it has room for again.
 const recallPeriod = model.Second
 
-// maxJobsSearched is for how many jobs room is looked for in one search.
+// maxJobsSearched limits for how many jobs one search looks for room.
 const maxJobsSearched = 8
 
-// suspendReasonLent is why nothing of a lent job is bound here, as logged.
+// suspendReasonLent is the logged reason for suspending a lent job in its home cell.
 const suspendReasonLent = "lent to another cell"
 
-// suspendIfLent keeps a job that is lent from being bound when the shard learns of it.
+// suspendIfLent suspends a job that has been added to the shard, if it is lent.
 func (s *spillManager) suspendIfLent(jobID string) {
 	if record := s.leader.controller.view.LentJobs[jobID]; record != nil && record.State != spill.Home {
 		s.suspendLent(jobID)
 	}
 }
 
-// suspendLent has nothing of a job bound here.
+// suspendLent suspends a lent job, so that none of its tasks is bound in this cell.
 func (s *spillManager) suspendLent(jobID string) {
 	job := s.leader.shard.Jobs[jobID]
 	if job == nil || job.FinalStatus != "" {
@@ -34,14 +34,15 @@
 	s.leader.shard.Suspend(job, suspendReasonLent, s.leader.controller.now)
 }
 
-// reservation is what counts towards a team's limit for a job that is lent.
+// reservation is the amount that a lent job counts towards its team's limit.
 type reservation struct {
 	team   string
 	amount model.Resources
 }
 
-// reserve counts all of a lent job towards its team's limit: of a task that is known as
-// finished another attempt may run in the guest, if that has not heard of it.
+// reserve counts all tasks of a lent job towards its team's limit, finished ones too:
+// another attempt of one may run in the execution cell, if that does not know that the task
+// is finished.
 func (s *spillManager) reserve(jobID string, record *spill.OutRecord) {
 	if _, reserved := s.reservations[jobID]; reserved {
 		return
@@ -50,28 +51,28 @@
 	s.leader.shard.ReserveQuota(record.Team, record.Reserved())
 }
 
-// release ends a reservation.
+// release ends the reservation of a job.
 func (s *spillManager) release(jobID string) {
-	if r, reserved := s.reservations[jobID]; reserved {
+	if reserved, found := s.reservations[jobID]; found {
 		delete(s.reservations, jobID)
-		s.leader.shard.ReleaseQuota(r.team, r.amount)
+		s.leader.shard.ReleaseQuota(reserved.team, reserved.amount)
 	}
 }
 
-// lentJobChanged takes what the view says of a job that is or was lent.
+// lentJobChanged handles a change in the view of the record of a job that is or was lent.
 func (s *spillManager) lentJobChanged(jobID string) {
 	l := s.leader
 	record := l.controller.view.LentJobs[jobID]
 	if record != nil && record.State == spill.Lent {
-		lending := s.lentJobs[jobID]
-		if lending == nil || lending.Record.Token != record.Token {
+		lent := s.lentJobs[jobID]
+		if lent == nil || lent.Record.Token != record.Token {
 			s.lentJobs[jobID] = spill.NewLentJob(*record, l.controller.now)
 			s.suspendLent(jobID)
 			s.reserve(jobID, record)
-			slog.Info("lent", "job", jobID, "cell", record.Cell, "token", record.Token)
+			slog.Info("job lent", "job", jobID, "cell", record.Cell, "token", record.Token)
 			return
 		}
-		lending.Record = *record
+		lent.Record = *record
 		return
 	}
 	if record != nil && record.State == spill.Unreadable {
@@ -79,7 +80,7 @@
 		return
 	}
 	if _, pending := s.pendingChanges[spill.OutKey(jobID)]; pending && record != nil {
-		return // it is to be lent again
+		return // a write that lends the job again is pending
 	}
 	delete(s.lentJobs, jobID)
 	s.release(jobID)
@@ -89,8 +90,9 @@
 	}
 }
 
-// stepLentJobs offers what is lent until it is heard of, takes back what is proven to be
-// gone, and forgets what has ended.
+// stepLentJobs offers lent jobs until the execution cell has sent a renewal, takes back
+// those of which provably nothing is left there, and removes the records of jobs that have
+// ended.
 func (s *spillManager) stepLentJobs() {
 	c := s.leader.controller
 	for _, jobID := range sortedKeys(c.view.LentJobs) {
@@ -99,18 +101,18 @@
 		}
 	}
 	for _, jobID := range sortedKeys(s.lentJobs) {
-		lending, job := s.lentJobs[jobID], s.leader.shard.Jobs[jobID]
-		if job == nil || job.EndPending || job.FinalStatus != "" || lending.Record.State != spill.Lent {
+		lent, job := s.lentJobs[jobID], s.leader.shard.Jobs[jobID]
+		if job == nil || job.EndPending || job.FinalStatus != "" || lent.Record.State != spill.Lent {
 			continue
 		}
-		if reason, proven := lending.TakeBack(c.now); proven {
-			s.takeBack(jobID, lending, reason)
+		if reason, proven := lent.TakeBack(c.now); proven {
+			s.takeBack(jobID, lent, reason)
 			continue
 		}
-		if lending.StartOfferIfDue(c.now) {
-			s.sendOffer(jobID, lending.Record.Cell, lending.Record.Token)
+		if lent.StartOfferIfDue(c.now) {
+			s.sendOffer(jobID, lent.Record.Cell, lent.Record.Token)
 		}
-		s.recordRunning(jobID, lending)
+		s.recordRunning(jobID, lent)
 	}
 	if c.now-s.lastRecallSearchAt >= recallPeriod {
 		s.lastRecallSearchAt = c.now
@@ -118,73 +120,76 @@
 	}
 }
 
-// recallOne has one job come home that has not begun in its guest and could begin here.
+// recallOne recalls one job that has not started in its execution cell and could start here.
 func (s *spillManager) recallOne() {
-	looked := 0
+	searched := 0
 	for _, jobID := range sortedKeys(s.lentJobs) {
-		lending, job := s.lentJobs[jobID], s.leader.shard.Jobs[jobID]
-		if job == nil || job.EndPending || job.FinalStatus != "" || lending.HasStarted() || lending.IsRecalled() {
+		lent, job := s.lentJobs[jobID], s.leader.shard.Jobs[jobID]
+		if job == nil || job.EndPending || job.FinalStatus != "" || lent.HasStarted() || lent.IsRecalled() {
 			continue
 		}
-		if looked++; looked > maxJobsSearched {
+		if searched++; searched > maxJobsSearched {
 			return
 		}
-		if s.shouldRecall(job, lending) {
-			lending.Recall(s.leader.controller.now)
+		if s.shouldRecall(job, lent) {
+			lent.Recall(s.leader.controller.now)
 			return
 		}
 	}
 }
 
-// forgetEnded removes the record of a job that has ended, once nothing of it can be in the
-// guest: until then it counts towards its team's limit.
+// forgetEnded removes the record of a job that has ended, once nothing of it can be left in
+// the execution cell. Until then it counts towards its team's limit.
 func (s *spillManager) forgetEnded(jobID string) {
-	lending := s.lentJobs[jobID]
-	if lending != nil {
-		if _, proven := lending.TakeBack(s.leader.controller.now); !proven {
+	lent := s.lentJobs[jobID]
+	if lent != nil {
+		if _, proven := lent.TakeBack(s.leader.controller.now); !proven {
 			return
 		}
 	}
 	s.queueChange(spill.OutKey(jobID), spillChange{})
 }
 
-// shouldRecall tells that a job that has not begun in its guest is better off at home.
-func (s *spillManager) shouldRecall(job *model.JobState, lending *spill.LentJob) bool {
-	if s.policy == nil || !s.policy.HasNeighbour(lending.Record.Cell) {
+// shouldRecall reports whether a job that has not started in its execution cell is better
+// run here: this cell has room for it soon, or the execution cell is no longer a neighbour.
+func (s *spillManager) shouldRecall(job *model.JobState, lent *spill.LentJob) bool {
+	if s.policy == nil || !s.policy.HasNeighbour(lent.Record.Cell) {
 		return true
 	}
-	return s.leader.shard.HasRoomSoonFor(job.Job, s.minTasksPlaced(job), s.leader.controller.now) && !s.leader.shard.OwnWorkWaits(ownJobMaxWait, s.leader.controller.now)
+	return s.leader.shard.HasRoomSoonFor(job.Job, s.minTasksToFit(job), s.leader.controller.now) && !s.leader.shard.OwnWorkWaits(ownJobMaxWait, s.leader.controller.now)
 }
 
-// takeBack has a job come home. Nothing of it is bound here before that is durable.
-func (s *spillManager) takeBack(jobID string, lending *spill.LentJob, reason spill.TakeBackReason) {
+// takeBack queues the write that makes a lent job this cell's own again. None of its tasks
+// is bound here before that is durable.
+func (s *spillManager) takeBack(jobID string, lent *spill.LentJob, reason spill.TakeBackReason) {
 	key := spill.OutKey(jobID)
-	record := lending.Record
+	record := lent.Record
 	if change, ok := s.pendingChanges[key].value.(spill.OutRecord); ok && change.State == spill.Home {
 		return
 	}
 	record.State, record.SinceMs, record.Running = spill.Home, s.leader.controller.wallClockMs(), 0
 	recordSpan(record.Trace, "take back", jobID, attribute.String("why", string(reason)))
 	s.queueChange(key, spillChange{value: record})
-	slog.Info("taken back", "job", jobID, "cell", record.Cell, "token", record.Token, "why", reason)
+	slog.Info("taking back lent job", "job", jobID, "cell", record.Cell, "token", record.Token, "why", reason)
 }
 
-// recordRunning has the users' answers say that a lent job runs, once.
-func (s *spillManager) recordRunning(jobID string, lending *spill.LentJob) {
-	if lending.Record.Running > 0 || !lending.HasStarted() {
+// recordRunning queues, once per lending, the write that lets status reads show that a lent
+// job runs.
+func (s *spillManager) recordRunning(jobID string, lent *spill.LentJob) {
+	if lent.Record.Running > 0 || !lent.HasStarted() {
 		return
 	}
 	if _, pending := s.pendingChanges[spill.OutKey(jobID)]; pending {
 		return
 	}
-	record := lending.Record
-	record.Running = max(1, lending.RunningTasks())
+	record := lent.Record
+	record.Running = max(1, lent.RunningTasks())
 	s.queueChange(spill.OutKey(jobID), spillChange{value: record})
 }
 
-// minTasksPlaced is how many tasks have to find room for a job to be well served: all of a
-// gang, half of what is left of an array.
-func (s *spillManager) minTasksPlaced(job *model.JobState) int {
+// minTasksToFit returns how many tasks a cell needs room for to be suitable for a job: all
+// remaining tasks of a gang, half of those of an array.
+func (s *spillManager) minTasksToFit(job *model.JobState) int {
 	left := job.Tasks - job.Done.Len()
 	if job.Kind == model.Gang {
 		return left
--- a/internal/core/autoscaler/waiting.go
+++ b/internal/core/autoscaler/waiting.go
@@ -6,14 +6,14 @@
 	"woadweir/internal/core/model"
 )
 
-// unplacedTasks is a number of a job's tasks without a place.
+// unplacedTasks is a number of a job's tasks that fit nowhere.
 type unplacedTasks struct {
 	demand Demand
 	count  int
 	zones  *zoneLimits
 }
 
-// countTasks sums up the tasks without a place.
+// countTasks returns the total number of unplaced tasks.
 func countTasks(unplaced []unplacedTasks) (count int) {
 	for _, tasks := range unplaced {
 		count += tasks.count
@@ -21,12 +21,13 @@
 	return count
 }
 
-// unplaceable remembers what found no room: room only gets less, so nothing that may
-// use the same machines and needs as much, for no more tasks, has to look again.
+// unplaceable records tasks that found no room. Room only shrinks within a round, so tasks
+// that may use the same machines and need at least as much find none either, unless there
+// are more of them. They are not tried.
 type unplaceable []unplacedTasks
 
-// covers reports whether so many tasks of a job can't find room, as others like them
-// have found none.
+// covers reports whether this number of a job's tasks can't find room, because at least as
+// many that need no more each and may use the same machines have found none.
 func (u unplaceable) covers(job *model.JobState, count int) bool {
 	for i := range u {
 		failed := u[i].demand.Job
@@ -43,28 +44,29 @@
 		(a.Request.GPUs > 0) == (b.Request.GPUs > 0) && slices.Equal(a.MachineTypes, b.MachineTypes)
 }
 
-// splitWaiting parts the waiting tasks into those that are served first and those that may
-// use spot machines, which take what the first and the placeholders leave of the
-// ordinary ones. Where no work needs ordinary machines all are alike.
-func (in *Input) splitWaiting() (first, flexible []Demand) {
+// splitWaiting splits the waiting tasks into those that need on-demand machines, which are
+// placed first, and spot-tolerant ones, which use what the former and the placeholders
+// leave of the on-demand machines. If no work needs on-demand machines, all tasks are
+// returned as the first group.
+func (in *Input) splitWaiting() (first, spotTolerant []Demand) {
 	if len(in.OnDemandSizes) == 0 {
 		return in.Waiting, nil
 	}
 	for _, demand := range in.Waiting {
 		if demand.Job.AllowsSpot {
-			flexible = append(flexible, demand)
+			spotTolerant = append(spotTolerant, demand)
 		} else {
 			first = append(first, demand)
 		}
 	}
-	return first, flexible
+	return first, spotTolerant
 }
 
-// placeWaiting puts waiting tasks on machines and returns those that found no room.
-func placeWaiting(candidates []*candidateMachine, waiting []Demand, flexible bool) (unplaced []unplacedTasks) {
+// placeWaiting assigns waiting tasks to machines and returns those that found no room.
+func placeWaiting(candidates []*candidateMachine, waiting []Demand, spotTolerant bool) (unplaced []unplacedTasks) {
 	var failed unplaceable
 	for _, demand := range waiting {
-		zones := newZoneLimits(demand.Job, flexible)
+		zones := newZoneLimits(demand.Job, spotTolerant)
 		if failed.covers(demand.Job, 1) {
 			if demand.Count > 0 {
 				unplaced = append(unplaced, unplacedTasks{demand, demand.Count, zones})
@@ -87,7 +89,7 @@
 	return unplaced
 }
 
-// placeTasks puts up to count tasks on machines and returns how many found no room.
+// placeTasks assigns up to count tasks to machines and returns how many found no room.
 func placeTasks(candidates []*candidateMachine, zones *zoneLimits, count int) (left int) {
 	left = count
 	for _, candidate := range candidates {
@@ -104,15 +106,15 @@
 	return left
 }
 
-// rentForTasks adds the machines that unplaced tasks need to those to be rented.
-func (l *Provisioner) rentForTasks(in *Input, toRent []*candidateMachine, unplaced []unplacedTasks) []*candidateMachine {
+// rentForTasks adds the machines that unplaced tasks need to the machines to be rented.
+func (p *Provisioner) rentForTasks(in *Input, toRent []*candidateMachine, unplaced []unplacedTasks) []*candidateMachine {
 	var failed unplaceable
 	for _, tasks := range unplaced {
 		if failed.covers(tasks.demand.Job, tasks.count) {
 			continue
 		}
 		var complete bool
-		toRent, complete = l.rentForJob(in, toRent, tasks)
+		toRent, complete = p.rentForJob(in, toRent, tasks)
 		if !complete && !tasks.zones.applies() {
 			failed = append(failed, tasks)
 		}
@@ -120,9 +122,9 @@
 	return toRent
 }
 
-// rentForJob adds the machines that one job's unplaced tasks need. It reports whether all
-// of them have a place on these.
-func (l *Provisioner) rentForJob(in *Input, toRent []*candidateMachine, tasks unplacedTasks) (_ []*candidateMachine, complete bool) {
+// rentForJob adds the machines that one job's unplaced tasks need. complete reports
+// whether all of the tasks fit on the machines to be rented.
+func (p *Provisioner) rentForJob(in *Input, toRent []*candidateMachine, tasks unplacedTasks) (_ []*candidateMachine, complete bool) {
 	job, zones := tasks.demand.Job, tasks.zones
 	left := tasks.count
 	for left > 0 {
@@ -139,8 +141,8 @@
 			break
 		}
 		need := rentalNeed{request: job.Request, count: left, anyPrice: job.Priority >= model.HighPriority, allows: zones.allows}
-		candidate := l.cheapest(in, toRent, need)
-		if candidate == nil && l.isZoneExhausted(in, zones) {
+		candidate := p.cheapest(in, toRent, need)
+		if candidate == nil && p.isZoneExhausted(in, zones) {
 			zones.excludeChosenZone()
 			left = tasks.demand.Count
 			continue
