--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -8,11 +8,12 @@
 	"woadweir/internal/state"
 )
 
-// maxTxnBytes keeps a transaction within the state service's 64 KiB, with room for keys
-// and conditions.
+// maxTxnBytes limits the values of a transaction, so that it stays within the state
+// service's 64 KiB with room for keys and conditions.
 const maxTxnBytes = 48 << 10
 
-// writeBindings makes the scheduler's changes durable, one transaction at a time.
+// writeBindings writes the scheduler's changes to the state service, one transaction at a
+// time.
 func (l *leader) writeBindings() {
 	c := l.controller
 	if !c.lanes.isFree(laneBindings, c.now) || l.resync || l.shard.PendingWrites() == 0 {
@@ -28,26 +29,26 @@
 		return
 	}
 	for i := range writes {
-		if end, ok := writes[i].Value.(shard.JobRecord); ok {
-			end.EndedMs = c.wallClockMs()
-			writes[i].Value = end
+		if record, ok := writes[i].Value.(shard.JobRecord); ok {
+			record.EndedMs = c.wallClockMs()
+			writes[i].Value = record
 		}
 	}
 	c.send(laneBindings, msgCommitted{txn: l.bindingsTxn(writes), writes: writes, token: l.token})
 }
 
-// bindingsTxn makes a transaction of the scheduler's writes. Its conditions are the
-// grant, and the known revision of every key, so that a copy that is executed late
+// bindingsTxn returns the transaction for the scheduler's writes. It is conditional on the
+// grant and on the known revision of every key, so that a duplicate that is executed late
 // changes nothing.
 func (l *leader) bindingsTxn(writes []shard.Write) *state.Txn {
 	txn := &state.Txn{Conditions: []state.Condition{{Path: grantKey, Revision: l.token}}}
-	for _, w := range writes {
-		key := w.Key
+	for _, write := range writes {
+		key := write.Key
 		if key == "" {
-			key = state.BundleKey(shardName, w.Slot)
+			key = state.BundleKey(shardName, write.Slot)
 		}
 		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: l.controller.view.Revisions[key]})
-		txn.Then = append(txn.Then, state.Op{Set: key, Value: w.Value})
+		txn.Then = append(txn.Then, state.Op{Set: key, Value: write.Value})
 	}
 	return txn
 }
@@ -62,7 +63,7 @@
 		c.view.Apply(m.txn, m.result.Revision)
 		l.shard.Committed(m.writes, c.now)
 	default:
-		slog.Info("conflict", "keys", m.result.Failed)
+		slog.Info("transaction of bindings refused: records have changed since the view was read", "keys", m.result.Failed)
 		if m.lostGrant() {
 			c.stepDown(reasonGrantLost)
 			return
@@ -72,10 +73,10 @@
 	}
 }
 
-// bindingsFailed has the scheduler retry writes that were refused or got no answer, in
+// bindingsFailed makes the scheduler retry writes that were refused or got no answer, in
 // smaller pieces if they were too large.
 func (l *leader) bindingsFailed(m msgCommitted) {
-	slog.Debug("commit", "err", m.err)
+	slog.Debug("transaction of bindings failed", "err", m.err)
 	if errors.Is(m.err, state.ErrTooBig) {
 		l.controller.lowerStateLimits(m.err)
 		l.shard.Params.MaxValue = l.controller.maxValueBytes()
