--- a/internal/controller/duties_bench_test.go
+++ b/internal/controller/duties_bench_test.go
@@ -13,30 +13,30 @@
 )
 
 // handOvers is how many losses of a holder are measured with each number of controllers.
-const handOvers = 120
+const holderFailureCount = 120
 
 // loss is a way in which a holder loses its duties.
-type loss struct {
+type holderFailure struct {
 	name string
 	// strike begins it, and end ends it.
-	strike, end func(*simNode)
+	inject, restore func(*simNode)
 }
 
-func losses() []loss {
-	pause := func(d model.Micros) loss {
-		return loss{fmt.Sprintf("paused %2.0f s", d.Seconds()), func(n *simNode) { n.pauseFor(d) }, func(*simNode) {}}
+func holderFailures() []holderFailure {
+	pause := func(d model.Micros) holderFailure {
+		return holderFailure{fmt.Sprintf("paused %2.0f s", d.Seconds()), func(n *simNode) { n.pauseFor(d) }, func(*simNode) {}}
 	}
-	return []loss{
+	return []holderFailure{
 		pause(5 * model.Second), pause(12 * model.Second), pause(40 * model.Second),
-		{"ends, back in 20 s", func(n *simNode) { n.crash(); n.w.After(20*model.Second, n.start) }, func(*simNode) {}},
-		{"ends, back in 0.2 s", func(n *simNode) { n.crash(); n.w.After(200*model.Millisecond, n.start) }, func(*simNode) {}},
-		{"no state service", func(n *simNode) { n.setCut(dropped) }, func(n *simNode) { n.setCut(open) }},
-		{"no cloud", func(n *simNode) { n.noCloud = true }, func(n *simNode) { n.noCloud = false }},
+		{"ends, back in 20 s", func(n *simNode) { n.crash(); n.sim.After(20*model.Second, n.start) }, func(*simNode) {}},
+		{"ends, back in 0.2 s", func(n *simNode) { n.crash(); n.sim.After(200*model.Millisecond, n.start) }, func(*simNode) {}},
+		{"no state service", func(n *simNode) { n.setStateLink(linkDropping) }, func(n *simNode) { n.setStateLink(linkOpen) }},
+		{"no cloud", func(n *simNode) { n.cloudUnavailable = true }, func(n *simNode) { n.cloudUnavailable = false }},
 	}
 }
 
 // severalControllers is a small deployment with more than three controllers.
-func severalControllers(b *testing.B, seed uint64, controllers int, policy func(string) *duty.Policy) *world {
+func newDeploymentWithControllers(b *testing.B, seed uint64, controllers int, policy func(string) *duty.Policy) *simDeployment {
 	names := make([]string, controllers)
 	for i := range names {
 		names[i] = fmt.Sprintf("node-%d", i)
@@ -51,67 +51,67 @@
 		}
 		return s
 	}
-	w := newDeployment(&testing.T{}, seed, settings, capacity(4, 2))
-	for _, name := range names[len(w.nodes):] {
-		w.nodes = append(w.nodes, &simNode{w: w, name: name, workers: true})
+	sim := newDeployment(&testing.T{}, seed, settings, cloudCapacity(4, 2))
+	for _, name := range names[len(sim.nodes):] {
+		sim.nodes = append(sim.nodes, &simNode{sim: sim, name: name, reachableByWorkers: true})
 	}
-	w.state.KeepLog, w.policy = true, policy
-	for _, n := range w.nodes {
+	sim.state.KeepLog, sim.policy = true, policy
+	for _, n := range sim.nodes {
 		n.crash()
 		n.start()
 	}
-	return w
+	return sim
 }
 
 // measured is what a run of hand-overs has shown.
-type measured struct {
-	without  map[string]*hdrhistogram.Histogram // time without an able holder, ms, by loss
-	kept     map[string]int                     // losses that the holder outlived
-	rejected int
-	broken   []string
+type handOverResults struct {
+	withoutHolderMs map[string]*hdrhistogram.Histogram // time without an able holder, ms, by loss
+	keptByHolder    map[string]int                     // losses that the holder outlived
+	rejectedWrites  int
+	violations      []string
 }
 
 // measureHandOvers has the holder of renting fail again and again.
-func measureHandOvers(w *world) measured {
-	m := measured{without: map[string]*hdrhistogram.Histogram{}, kept: map[string]int{}}
-	all := losses()
+func measureHandOvers(sim *simDeployment) handOverResults {
+	m := handOverResults{withoutHolderMs: map[string]*hdrhistogram.Histogram{}, keptByHolder: map[string]int{}}
+	all := holderFailures()
 	for _, l := range all {
-		m.without[l.name] = hdrhistogram.New(1, 600_000, 3)
+		m.withoutHolderMs[l.name] = hdrhistogram.New(1, 600_000, 3)
 	}
-	w.somework(handOvers*10, 8*model.Second)
-	w.Run(60 * model.Second)
-	for i := range handOvers {
+	sim.scheduleArrayJobs(holderFailureCount*10, 8*model.Second)
+	sim.Run(60 * model.Second)
+	for i := range holderFailureCount {
 		l := all[i%len(all)]
-		first := w.holderOf(duty.Renting)
+		first := sim.dutyHolder(duty.Renting)
 		if first == nil {
-			w.Run(w.Now + 10*model.Second)
+			sim.Run(sim.Now + 10*model.Second)
 			continue
 		}
-		before, from := w.leaseWrites(duty.Renting), w.Now
-		l.strike(first)
-		for w.Now < from+50*model.Second && w.leaseWrites(duty.Renting) == before {
-			w.Run(w.Now + 20*model.Millisecond)
+		before, from := sim.countLeaseWrites(duty.Renting), sim.Now
+		l.inject(first)
+		for sim.Now < from+50*model.Second && sim.countLeaseWrites(duty.Renting) == before {
+			sim.Run(sim.Now + 20*model.Millisecond)
 		}
-		if w.leaseWrites(duty.Renting) == before {
-			m.kept[l.name]++
-		} else if err := m.without[l.name].RecordValue(int64((w.Now - from) / model.Millisecond)); err != nil {
+		if sim.countLeaseWrites(duty.Renting) == before {
+			m.keptByHolder[l.name]++
+		} else if err := m.withoutHolderMs[l.name].RecordValue(int64((sim.Now - from) / model.Millisecond)); err != nil {
 			panic(err)
 		}
-		w.Run(from + 55*model.Second)
-		l.end(first)
-		w.Run(w.Now + 30*model.Second)
+		sim.Run(from + 55*model.Second)
+		l.restore(first)
+		sim.Run(sim.Now + 30*model.Second)
 	}
-	for _, write := range w.state.Log {
-		if len(write.Rejected) > 0 && fenced(write.Txn) {
-			m.rejected++
+	for _, write := range sim.state.Log {
+		if len(write.Rejected) > 0 && writesDutyRecord(write.Txn) {
+			m.rejectedWrites++
 		}
 	}
-	m.broken = append(w.rules.Violations, w.dutyHistory()...)
+	m.violations = append(sim.invariants.Violations, sim.dutyViolations()...)
 	return m
 }
 
 // fenced tells whether a write is one of duties.
-func fenced(t *state.Txn) bool {
+func writesDutyRecord(t *state.Txn) bool {
 	for _, op := range t.Then {
 		switch op.Value.(type) {
 		case duty.Lease, duty.Rental, duty.Return:
@@ -122,11 +122,11 @@
 }
 
 // changesPerSecond is how many changes a quiet world asks of the state service.
-func changesPerSecond(b *testing.B, policy func(string) *duty.Policy) float64 {
-	w := severalControllers(b, 3, 3, policy)
-	w.somework(60, 4*model.Second)
-	w.Run(300 * model.Second)
-	return float64(w.state.RequestedWrites) / 300
+func requestedWritesPerSecond(b *testing.B, policy func(string) *duty.Policy) float64 {
+	sim := newDeploymentWithControllers(b, 3, 3, policy)
+	sim.scheduleArrayJobs(60, 4*model.Second)
+	sim.Run(300 * model.Second)
+	return float64(sim.state.RequestedWrites) / 300
 }
 
 // BenchmarkDutyHandOver measures, in simulated time, how long renting is without a holder
@@ -140,23 +140,23 @@
 	}
 	spread := func(string) *duty.Policy { return policy }
 	b.Logf("simulated; changes a second at the state service, 3 controllers: %.2f without the file, %.2f with the leader's duties, %.2f spread",
-		changesPerSecond(b, nil), changesPerSecond(b, func(string) *duty.Policy { return duty.LeaderOnly() }), changesPerSecond(b, spread))
+		requestedWritesPerSecond(b, nil), requestedWritesPerSecond(b, func(string) *duty.Policy { return duty.LeaderOnly() }), requestedWritesPerSecond(b, spread))
 	for _, controllers := range []int{3, 5, 9} {
 		b.Run(fmt.Sprint(controllers), func(b *testing.B) { reportHandOvers(b, controllers, spread) })
 	}
 }
 
 func reportHandOvers(b *testing.B, controllers int, policy func(string) *duty.Policy) {
-	w := severalControllers(b, uint64(controllers), controllers, policy)
-	m := measureHandOvers(w)
+	sim := newDeploymentWithControllers(b, uint64(controllers), controllers, policy)
+	m := measureHandOvers(sim)
 	b.Logf("simulated; %d controllers, session %.1f s: %d fenced writes rejected, %d violations", controllers,
-		w.nodes[0].ctl.authority.Times.TTL.Seconds(), m.rejected, len(m.broken))
-	for _, l := range losses() {
-		h := m.without[l.name]
+		sim.nodes[0].ctl.authority.Times.TTL.Seconds(), m.rejectedWrites, len(m.violations))
+	for _, l := range holderFailures() {
+		h := m.withoutHolderMs[l.name]
 		b.Logf("simulated; %d controllers, %-19s: %3d hand-overs, ms without holder: median %d, 0.9 %d, most %d; outlived %d", controllers, l.name,
-			h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.Max(), m.kept[l.name])
+			h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.Max(), m.keptByHolder[l.name])
 	}
-	if len(m.broken) > 0 {
-		b.Errorf("violations: %v", m.broken[:min(4, len(m.broken))])
+	if len(m.violations) > 0 {
+		b.Errorf("violations: %v", m.violations[:min(4, len(m.violations))])
 	}
 }
--- a/internal/controller/duties_test.go
+++ b/internal/controller/duties_test.go
@@ -25,7 +25,7 @@
 
 const leaderDuties = `<duties/>`
 
-func simPolicy(t *testing.T, file string) func(string) *duty.Policy {
+func simDutyPolicy(t *testing.T, file string) func(string) *duty.Policy {
 	return func(string) *duty.Policy {
 		p, err := duty.ParseSettings([]byte(file), []string{"node-0", "node-1", "node-2"}, 60*model.Second)
 		if err != nil {
@@ -36,20 +36,20 @@
 }
 
 // newDutyWorld is a small deployment with a duties file, whose stand-ins keep logs.
-func newDutyWorld(t *testing.T, seed uint64, file string) *world {
-	w := newWorld(t, seed)
-	w.state.KeepLog = true
-	w.policy = simPolicy(t, file)
-	for _, n := range w.nodes {
+func newDutyDeployment(t *testing.T, seed uint64, file string) *simDeployment {
+	sim := newSmallDeployment(t, seed)
+	sim.state.KeepLog = true
+	sim.policy = simDutyPolicy(t, file)
+	for _, n := range sim.nodes {
 		n.crash()
 		n.start()
 	}
-	return w
+	return sim
 }
 
 // holderOf is the node that the state service's records name for a duty.
-func (w *world) holderOf(name duty.Name) *simNode {
-	e, err := w.state.Get("", name.Key())
+func (sim *simDeployment) dutyHolder(name duty.Name) *simNode {
+	e, err := sim.state.Get("", name.Key())
 	if err != nil {
 		return nil
 	}
@@ -57,26 +57,26 @@
 	if err := json.Unmarshal(e.Value, &lease); err != nil {
 		panic(err)
 	}
-	return w.nodes[slices.Index(w.Nodes(), lease.Holder)]
+	return sim.nodes[slices.Index(sim.Nodes(), lease.Holder)]
 }
 
 // dutyHistory judges the logs of the stand-ins.
-func (w *world) dutyHistory() []string {
-	return standin.CheckDuties(w.state.Log, w.cloud.Calls).Violations
+func (sim *simDeployment) dutyViolations() []string {
+	return standin.CheckDuties(sim.state.Log, sim.cloud.Calls).Violations
 }
 
-func (w *world) checkDuties() {
-	w.t.Helper()
-	w.check()
-	if broken := w.dutyHistory(); len(broken) > 0 {
-		w.t.Fatalf("%d violations: %v", len(broken), broken[:min(5, len(broken))])
+func (sim *simDeployment) checkDuties() {
+	sim.t.Helper()
+	sim.requireInvariants()
+	if broken := sim.dutyViolations(); len(broken) > 0 {
+		sim.t.Fatalf("%d violations: %v", len(broken), broken[:min(5, len(broken))])
 	}
 }
 
 // rejected counts the rejected writes of a node that were guarded by a key with that
 // prefix which failed.
-func (w *world) rejected(node, prefix string) (n int) {
-	for _, write := range w.state.Log {
+func (sim *simDeployment) countRejectedWrites(node, prefix string) (n int) {
+	for _, write := range sim.state.Log {
 		if write.Node == node && slices.ContainsFunc(write.Rejected, func(key string) bool { return strings.HasPrefix(key, prefix) }) {
 			n++
 		}
@@ -85,55 +85,55 @@
 }
 
 // somework keeps machines being rented and returned.
-func (w *world) somework(jobs int, every model.Micros) {
+func (sim *simDeployment) scheduleArrayJobs(jobs int, every model.Micros) {
 	for i := range jobs {
-		w.At(w.Now+model.Micros(i)*every, func() { w.submit(arrayJob(i, 6, 6), 0) })
+		sim.At(sim.Now+model.Micros(i)*every, func() { sim.submit(arrayJob(i, 6, 6), 0) })
 	}
 }
 
 // endAll lets time pass until every accepted job has ended.
-func (w *world) endAll(until model.Micros) {
-	w.t.Helper()
-	w.Run(until)
-	for ref := range w.rules.Accepted {
-		if w.rules.ReportedEnd(ref) == "" {
-			w.t.Errorf("%s never ended; %s", ref, w.describe())
+func (sim *simDeployment) requireAllEndBy(until model.Micros) {
+	sim.t.Helper()
+	sim.Run(until)
+	for ref := range sim.invariants.Accepted {
+		if sim.invariants.ReportedEnd(ref) == "" {
+			sim.t.Errorf("%s never ended; %s", ref, sim.describe())
 		}
 	}
-	if len(w.rules.Accepted) == 0 {
-		w.t.Error("nothing was accepted")
+	if len(sim.invariants.Accepted) == 0 {
+		sim.t.Error("nothing was accepted")
 	}
 }
 
 // Duties that are spread are held by others than the leader, work runs, machines come
 // and go, and the cloud hears of them from the holders alone.
 func TestDutiesSpread(t *testing.T) {
-	w := newDutyWorld(t, 5, spreadDuties)
-	w.somework(8, 15*model.Second)
-	w.Run(60 * model.Second)
+	sim := newDutyDeployment(t, 5, spreadDuties)
+	sim.scheduleArrayJobs(8, 15*model.Second)
+	sim.Run(60 * model.Second)
 	for _, name := range []duty.Name{duty.Renting, duty.Returning} {
-		if h := w.holderOf(name); h == nil || h == w.leader() {
+		if h := sim.dutyHolder(name); h == nil || h == sim.leader() {
 			t.Errorf("%s is at %v", name, h)
 		}
 	}
-	w.endAll(400 * model.Second)
-	w.checkDuties()
-	if n := w.cloud.RentedCount(); n > 3 {
+	sim.requireAllEndBy(400 * model.Second)
+	sim.checkDuties()
+	if n := sim.cloud.RentedCount(); n > 3 {
 		t.Errorf("%d machines are still rented", n)
 	}
-	if len(w.cloud.Calls) < 4 {
-		t.Errorf("%d calls of the cloud", len(w.cloud.Calls))
+	if len(sim.cloud.Calls) < 4 {
+		t.Errorf("%d calls of the cloud", len(sim.cloud.Calls))
 	}
 }
 
 // Without the file nothing of duties is written by any controller.
 func TestNoDutiesFile(t *testing.T) {
-	w := newWorld(t, 5)
-	w.state.KeepLog = true
-	w.somework(4, 10*model.Second)
-	w.Run(200 * model.Second)
-	w.check()
-	for _, write := range w.state.Log {
+	sim := newSmallDeployment(t, 5)
+	sim.state.KeepLog = true
+	sim.scheduleArrayJobs(4, 10*model.Second)
+	sim.Run(200 * model.Second)
+	sim.requireInvariants()
+	for _, write := range sim.state.Log {
 		raw, err := json.Marshal(write.Txn)
 		if err != nil {
 			t.Fatal(err)
@@ -149,16 +149,16 @@
 // A holder that stands still past its lease, at whichever point, and goes on: its writes
 // are refused by the state service, and nothing is rented or returned that was not
 // decided once.
-func TestHolderPausedPastItsLease(t *testing.T) {
+func TestDutyHolderPausedPastItsLease(t *testing.T) {
 	t.Parallel()
-	for point := beforeLease; point < pausePoints; point++ {
+	for point := beforeLease; point < pausePointCount; point++ {
 		for seed := range uint64(4) {
-			w := newDutyWorld(t, 100+seed, spreadDuties)
-			w.somework(30, 4*model.Second)
-			w.Run(50 * model.Second)
+			sim := newDutyDeployment(t, 100+seed, spreadDuties)
+			sim.scheduleArrayJobs(30, 4*model.Second)
+			sim.Run(50 * model.Second)
 			var paused *simNode
-			for _, n := range w.nodes {
-				n.pauseAt = func(at pausePoint) bool {
+			for _, n := range sim.nodes {
+				n.shouldPause = func(at pausePoint) bool {
 					if at != point || paused != nil {
 						return false
 					}
@@ -169,22 +169,22 @@
 			}
 			if point == beforeHandOver || point == beforeLease || point == leaseAnswer {
 				// Something has to change hands.
-				w.At(70*model.Second, func() { w.holderOf(duty.Renting).noCloud = true })
-				w.At(75*model.Second, func() { w.holderOf(duty.Returning).crash() })
+				sim.At(70*model.Second, func() { sim.dutyHolder(duty.Renting).cloudUnavailable = true })
+				sim.At(75*model.Second, func() { sim.dutyHolder(duty.Returning).crash() })
 			}
-			w.Run(140 * model.Second)
+			sim.Run(140 * model.Second)
 			if paused == nil && point != beforeRemoval {
 				t.Errorf("point %d, seed %d: nobody came there", point, seed)
 			}
-			for _, n := range w.nodes {
-				n.noCloud = false
+			for _, n := range sim.nodes {
+				n.cloudUnavailable = false
 				if !n.alive {
 					n.start()
 				}
 			}
-			w.endAll(420 * model.Second)
-			w.checkDuties()
-			if prefix := guardAt(point); paused != nil && prefix != "" && w.rejected(paused.name, prefix) == 0 {
+			sim.requireAllEndBy(420 * model.Second)
+			sim.checkDuties()
+			if prefix := guardPrefixAt(point); paused != nil && prefix != "" && sim.countRejectedWrites(paused.name, prefix) == 0 {
 				t.Errorf("point %d, seed %d: no write of %s was rejected for %s", point, seed, paused.name, prefix)
 			}
 		}
@@ -193,7 +193,7 @@
 
 // guardAt is what refuses the write that a process sends on waking, "" if it has none to
 // send.
-func guardAt(point pausePoint) string {
+func guardPrefixAt(point pausePoint) string {
 	switch point {
 	case beforeIntent:
 		return "grant/"
@@ -205,45 +205,45 @@
 
 // A holder that the cloud does not answer hands over, and says why; it does not get the
 // duty back while it is avoided. When the cloud answers nobody, the duty stays.
-func TestHolderWithoutCloud(t *testing.T) {
-	w := newDutyWorld(t, 7, spreadDuties)
-	w.somework(30, 5*model.Second)
-	w.Run(60 * model.Second)
-	first := w.holderOf(duty.Renting)
-	first.noCloud = true
-	w.Run(95 * model.Second)
-	second := w.holderOf(duty.Renting)
+func TestDutyHolderWithoutCloud(t *testing.T) {
+	sim := newDutyDeployment(t, 7, spreadDuties)
+	sim.scheduleArrayJobs(30, 5*model.Second)
+	sim.Run(60 * model.Second)
+	first := sim.dutyHolder(duty.Renting)
+	first.cloudUnavailable = true
+	sim.Run(95 * model.Second)
+	second := sim.dutyHolder(duty.Renting)
 	if second == first {
 		t.Fatal("the duty stays with a holder that can't perform it")
 	}
 	if lease := second.ctl.view.Duties[duty.Renting]; lease.Why != duty.ReasonNoCloud || lease.Previous != first.name {
 		t.Errorf("lease %+v", lease)
 	}
-	first.noCloud = false
-	w.Run(110 * model.Second)
-	if w.holderOf(duty.Renting) == first {
+	first.cloudUnavailable = false
+	sim.Run(110 * model.Second)
+	if sim.dutyHolder(duty.Renting) == first {
 		t.Error("the duty came back at once")
 	}
-	for _, n := range w.nodes {
-		n.noCloud = true
+	for _, n := range sim.nodes {
+		n.cloudUnavailable = true
 	}
-	moves := w.leaseWrites(duty.Renting)
-	w.Run(150 * model.Second)
-	if more := w.leaseWrites(duty.Renting) - moves; more > 2 {
+	moves := sim.countLeaseWrites(duty.Renting)
+	sim.Run(150 * model.Second)
+	if more := sim.countLeaseWrites(duty.Renting) - moves; more > 2 {
 		t.Errorf("%d moves while the cloud answers nobody", more)
 	}
-	for _, n := range w.nodes {
-		n.noCloud = false
+	for _, n := range sim.nodes {
+		n.cloudUnavailable = false
 	}
-	w.endAll(500 * model.Second)
-	w.checkDuties()
+	sim.requireAllEndBy(500 * model.Second)
+	sim.checkDuties()
 }
 
 // A cloud that is asked too often, or has no capacity, does answer.
-func TestBusyCloudIsReached(t *testing.T) {
-	w := newDutyWorld(t, 17, spreadDuties)
-	w.Run(20 * model.Second)
-	d := w.nodes[0].ctl.duties
+func TestBusyCloudCountsAsReachable(t *testing.T) {
+	sim := newDutyDeployment(t, 17, spreadDuties)
+	sim.Run(20 * model.Second)
+	d := sim.nodes[0].ctl.duties
 	for _, err := range []error{cloud.ErrBusy, cloud.ErrNoCapacity, nil} {
 		if d.cloudAnswered(cloud.ErrUnavailable); d.cloudFailingSince == 0 {
 			t.Error("trouble is no answer")
@@ -255,8 +255,8 @@
 }
 
 // leaseWrites counts the accepted writes of a duty's lease.
-func (w *world) leaseWrites(name duty.Name) (n int) {
-	for _, write := range w.state.Log {
+func (sim *simDeployment) countLeaseWrites(name duty.Name) (n int) {
+	for _, write := range sim.state.Log {
 		for _, op := range write.Txn.Then {
 			if op.Set == name.Key() && len(write.Rejected) == 0 {
 				n++
@@ -268,30 +268,30 @@
 
 // A holder that loses the state service stands down by itself; another takes the duty,
 // and the former one comes back without taking what has moved.
-func TestHolderWithoutStateService(t *testing.T) {
-	for _, kind := range []int{dropped, refused} {
-		w := newDutyWorld(t, 8, spreadDuties)
-		w.somework(20, 8*model.Second)
-		w.Run(60 * model.Second)
-		first := w.holderOf(duty.Renting)
+func TestDutyHolderWithoutStateService(t *testing.T) {
+	for _, kind := range []int{linkDropping, linkRefusing} {
+		sim := newDutyDeployment(t, 8, spreadDuties)
+		sim.scheduleArrayJobs(20, 8*model.Second)
+		sim.Run(60 * model.Second)
+		first := sim.dutyHolder(duty.Renting)
 		token := first.ctl.duties.held[duty.Renting]
-		first.setCut(kind)
-		w.Run(85 * model.Second)
+		first.setStateLink(kind)
+		sim.Run(85 * model.Second)
 		if n := len(first.ctl.duties.held); n != 0 {
 			t.Errorf("cut %d: it still holds %d duties", kind, n)
 		}
-		second := w.holderOf(duty.Renting)
+		second := sim.dutyHolder(duty.Renting)
 		if second == nil || second == first {
 			t.Fatalf("cut %d: nobody took over", kind)
 		}
-		first.setCut(open)
-		w.Run(88 * model.Second)
-		if w.holderOf(duty.Renting) != second || first.ctl.duties.held[duty.Renting] != 0 {
+		first.setStateLink(linkOpen)
+		sim.Run(88 * model.Second)
+		if sim.dutyHolder(duty.Renting) != second || first.ctl.duties.held[duty.Renting] != 0 {
 			t.Errorf("cut %d: the duty came back at once", kind)
 		}
-		w.endAll(420 * model.Second)
-		w.checkDuties()
-		if now := w.holderOf(duty.Renting).ctl.duties.held[duty.Renting]; now <= token {
+		sim.requireAllEndBy(420 * model.Second)
+		sim.checkDuties()
+		if now := sim.dutyHolder(duty.Renting).ctl.duties.held[duty.Renting]; now <= token {
 			t.Errorf("cut %d: token %d after %d", kind, now, token)
 		}
 	}
@@ -299,17 +299,17 @@
 
 // While any controller may run the version in production, the leader does everything
 // itself and no record of duties is written; once none does, duties spread.
-func TestDutiesWaitForEveryController(t *testing.T) {
-	w := newDutyWorld(t, 9, spreadDuties)
-	w2 := newWorld(t, 9)
+func TestDutiesWaitForEveryControllersUpgrade(t *testing.T) {
+	sim := newDutyDeployment(t, 9, spreadDuties)
+	w2 := newSmallDeployment(t, 9)
 	w2.state.KeepLog = true
-	w2.policy = w.policy
+	w2.policy = sim.policy
 	for i, n := range w2.nodes {
 		n.crash()
-		n.old = i == 2
+		n.runsProductionVersion = i == 2
 		n.start()
 	}
-	w2.somework(20, 10*model.Second)
+	w2.scheduleArrayJobs(20, 10*model.Second)
 	w2.Run(100 * model.Second)
 	if n := w2.state.KeyCount("duty/") + w2.state.KeyCount("intent/"); n > 0 {
 		t.Errorf("%d records of duties beside production", n)
@@ -320,7 +320,7 @@
 	// One goes back to production before the last is upgraded.
 	version := func(n *simNode, old bool) {
 		n.crash()
-		n.old = old
+		n.runsProductionVersion = old
 		n.start()
 	}
 	version(w2.nodes[1], true)
@@ -335,52 +335,52 @@
 	if w2.state.KeyCount("duty/") != len(duty.Movable) {
 		t.Errorf("%d duties are held once all are upgraded", w2.state.KeyCount("duty/"))
 	}
-	w2.endAll(500 * model.Second)
-	w2.check()
+	w2.requireAllEndBy(500 * model.Second)
+	w2.requireInvariants()
 }
 
 // All controllers end at once, in the middle of renting: what was decided is carried out
 // once, by whoever comes back.
 func TestAllControllersEndWhileRenting(t *testing.T) {
 	for seed := range uint64(6) {
-		w := newDutyWorld(t, 20+seed, spreadDuties)
-		w.somework(12, 6*model.Second)
-		w.Run(40*model.Second + model.Micros(seed)*700*model.Millisecond)
-		for i, n := range w.nodes {
-			n.crashFor(model.Micros(i)*900*model.Millisecond + w.Between(50*model.Millisecond, 2*model.Second))
+		sim := newDutyDeployment(t, 20+seed, spreadDuties)
+		sim.scheduleArrayJobs(12, 6*model.Second)
+		sim.Run(40*model.Second + model.Micros(seed)*700*model.Millisecond)
+		for i, n := range sim.nodes {
+			n.crashFor(model.Micros(i)*900*model.Millisecond + sim.Between(50*model.Millisecond, 2*model.Second))
 		}
-		w.endAll(360 * model.Second)
-		w.checkDuties()
+		sim.requireAllEndBy(360 * model.Second)
+		sim.checkDuties()
 	}
 }
 
 // A leader that starts without the file where duties are in use goes on through intents.
-func TestLeaderWithoutTheFileRespectsRecords(t *testing.T) {
-	w := newDutyWorld(t, 11, spreadDuties)
-	w.somework(14, 8*model.Second)
-	w.Run(50 * model.Second)
-	w.policy = nil
-	for i, n := range w.nodes {
-		w.After(model.Micros(i)*20*model.Second, func() { n.crash(); n.start() })
-	}
-	w.endAll(400 * model.Second)
-	w.checkDuties()
-	if h := w.holderOf(duty.Renting); h == nil || h != w.leader() {
+func TestLeaderWithoutDutiesFileUsesIntents(t *testing.T) {
+	sim := newDutyDeployment(t, 11, spreadDuties)
+	sim.scheduleArrayJobs(14, 8*model.Second)
+	sim.Run(50 * model.Second)
+	sim.policy = nil
+	for i, n := range sim.nodes {
+		sim.After(model.Micros(i)*20*model.Second, func() { n.crash(); n.start() })
+	}
+	sim.requireAllEndBy(400 * model.Second)
+	sim.checkDuties()
+	if h := sim.dutyHolder(duty.Renting); h == nil || h != sim.leader() {
 		t.Error("without the file the leader holds the duties")
 	}
 }
 
 // Two controllers that acquire a duty at the same time: one gets it, the other's write
 // stands in the log of rejected ones.
-func TestTwoAcquireAtOnce(t *testing.T) {
-	w := newDutyWorld(t, 13, spreadDuties)
-	w.somework(10, 5*model.Second)
-	w.Run(40 * model.Second)
-	first := w.holderOf(duty.Renting)
+func TestConcurrentDutyAcquisition(t *testing.T) {
+	sim := newDutyDeployment(t, 13, spreadDuties)
+	sim.scheduleArrayJobs(10, 5*model.Second)
+	sim.Run(40 * model.Second)
+	first := sim.dutyHolder(duty.Renting)
 	held := map[string]func(){}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		n.intercept = func(m msgCommitted) bool {
-			if n == first || pointOf(m) != beforeLease || m.txn.Then[0].Set != duty.Renting.Key() || held[n.name] != nil {
+			if n == first || pausePointBefore(m) != beforeLease || m.txn.Then[0].Set != duty.Renting.Key() || held[n.name] != nil {
 				return false
 			}
 			held[n.name] = func() { n.commit(m) }
@@ -388,61 +388,61 @@
 		}
 	}
 	first.crash()
-	w.Run(65 * model.Second)
+	sim.Run(65 * model.Second)
 	if len(held) != 2 {
 		t.Fatalf("%d controllers acquire", len(held))
 	}
-	before, rejected := w.leaseWrites(duty.Renting), 0
+	before, rejected := sim.countLeaseWrites(duty.Renting), 0
 	for _, send := range held {
 		send()
 	}
-	w.Run(67 * model.Second)
+	sim.Run(67 * model.Second)
 	for name := range held {
-		rejected += w.rejected(name, duty.Renting.Key())
+		rejected += sim.countRejectedWrites(name, duty.Renting.Key())
 	}
-	if n := w.leaseWrites(duty.Renting) - before; n != 1 || rejected == 0 {
+	if n := sim.countLeaseWrites(duty.Renting) - before; n != 1 || rejected == 0 {
 		t.Errorf("%d acquisitions were accepted, %d rejected", n, rejected)
 	}
 	first.start()
-	w.endAll(360 * model.Second)
-	w.checkDuties()
+	sim.requireAllEndBy(360 * model.Second)
+	sim.checkDuties()
 }
 
 // All duties on one controller, then each on another, and then all controllers but one
 // end: the duties follow, and work goes on.
-func TestDutiesFollowTheFile(t *testing.T) {
-	w := newDutyWorld(t, 14, `<duties><duty name="renting"><prefer>node-1</prefer></duty><duty name="returning"><prefer>node-1</prefer></duty>
+func TestDutiesFollowPreferredNodes(t *testing.T) {
+	sim := newDutyDeployment(t, 14, `<duties><duty name="renting"><prefer>node-1</prefer></duty><duty name="returning"><prefer>node-1</prefer></duty>
 		<duty name="cleanup"><prefer>node-1</prefer></duty><settle-s>5</settle-s></duties>`)
 	at := func(want map[duty.Name]string) {
 		t.Helper()
 		for name, node := range want {
-			if h := w.holderOf(name); h == nil || h.name != node {
-				t.Errorf("%.0f s: %s is at %v, not at %s", w.Now.Seconds(), name, h, node)
+			if h := sim.dutyHolder(name); h == nil || h.name != node {
+				t.Errorf("%.0f s: %s is at %v, not at %s", sim.Now.Seconds(), name, h, node)
 			}
 		}
 	}
-	w.somework(40, 5*model.Second)
-	w.Run(50 * model.Second)
+	sim.scheduleArrayJobs(40, 5*model.Second)
+	sim.Run(50 * model.Second)
 	at(map[duty.Name]string{duty.Renting: "node-1", duty.Returning: "node-1", duty.Cleanup: "node-1"})
-	w.policy = simPolicy(t, `<duties><duty name="renting"><prefer>node-0</prefer></duty><duty name="returning"><prefer>node-1</prefer></duty>
+	sim.policy = simDutyPolicy(t, `<duties><duty name="renting"><prefer>node-0</prefer></duty><duty name="returning"><prefer>node-1</prefer></duty>
 		<duty name="cleanup"><prefer>node-2</prefer></duty><settle-s>5</settle-s></duties>`)
-	for i, n := range w.nodes {
-		w.After(model.Micros(i)*15*model.Second, func() { n.crash(); n.start() })
+	for i, n := range sim.nodes {
+		sim.After(model.Micros(i)*15*model.Second, func() { n.crash(); n.start() })
 	}
-	w.Run(130 * model.Second)
+	sim.Run(130 * model.Second)
 	at(map[duty.Name]string{duty.Renting: "node-0", duty.Returning: "node-1", duty.Cleanup: "node-2"})
-	w.nodes[0].crash()
-	w.nodes[1].crash()
-	w.Run(160 * model.Second)
+	sim.nodes[0].crash()
+	sim.nodes[1].crash()
+	sim.Run(160 * model.Second)
 	at(map[duty.Name]string{duty.Renting: "node-2", duty.Returning: "node-2", duty.Cleanup: "node-2"})
-	w.nodes[0].start()
-	w.nodes[1].start()
-	w.endAll(480 * model.Second)
-	w.checkDuties()
+	sim.nodes[0].start()
+	sim.nodes[1].start()
+	sim.requireAllEndBy(480 * model.Second)
+	sim.checkDuties()
 }
 
 // spanParents counts the spans that are recorded meanwhile, by their name and their parent's.
-func spanParents(run func()) map[string]int {
+func countSpansByParent(run func()) map[string]int {
 	exporter := tracetest.NewInMemoryExporter()
 	before := otel.GetTracerProvider()
 	otel.SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter)))
@@ -460,13 +460,13 @@
 }
 
 // The leader's decision and the call of the cloud on another controller are one trace.
-func TestTraceAcrossControllers(t *testing.T) {
-	parents := spanParents(func() {
-		w := newDutyWorld(t, 15, spreadDuties)
-		w.somework(6, 5*model.Second)
-		w.Run(50 * model.Second)
-		w.holderOf(duty.Renting).crash()
-		w.Run(80 * model.Second)
+func TestIntentTraceAcrossControllers(t *testing.T) {
+	parents := countSpansByParent(func() {
+		sim := newDutyDeployment(t, 15, spreadDuties)
+		sim.scheduleArrayJobs(6, 5*model.Second)
+		sim.Run(50 * model.Second)
+		sim.dutyHolder(duty.Renting).crash()
+		sim.Run(80 * model.Second)
 	})
 	if parents["call of intent"] < 2 || parents["acquire of "] < 3 {
 		t.Errorf("spans: %v", parents)
@@ -475,48 +475,50 @@
 
 // The cleaner removes bundles of which nothing counts, under its token, and a late
 // removal does not touch what has been written since.
-func TestCleanup(t *testing.T) {
-	w := newDutyWorld(t, 12, spreadDuties)
-	w.settings = func(name string) *config.Settings {
+func TestDutyCleanup(t *testing.T) {
+	sim := newDutyDeployment(t, 12, spreadDuties)
+	sim.settings = func(name string) *config.Settings {
 		s := simSettings(name)
 		s.Params.State.ValueKB = 1
 		return s
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		n.crash()
 		n.start()
 	}
-	w.somework(30, 2*model.Second)
-	w.Run(100 * model.Second)
-	most := w.state.KeyCount("bound/")
+	sim.scheduleArrayJobs(30, 2*model.Second)
+	sim.Run(100 * model.Second)
+	most := sim.state.KeyCount("bound/")
 	var held func()
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		n.intercept = func(m msgCommitted) bool {
-			if held != nil || pointOf(m) != beforeRemoval {
+			if held != nil || pausePointBefore(m) != beforeRemoval {
 				return false
 			}
 			late := *m.txn
 			held = func() {
-				res, err := w.state.Commit(n.name, &late)
+				res, err := sim.state.Commit(n.name, &late)
 				if err != nil || res.OK {
 					t.Errorf("a late removal was carried out: %+v, %v", res, err)
 				}
 			}
-			w.After(10*model.Millisecond, func() { n.deliver(n.life, msgCommitted{lane: m.lane, txn: m.txn, token: m.token, err: state.ErrLost}) })
+			sim.After(10*model.Millisecond, func() {
+				n.deliver(n.incarnation, msgCommitted{lane: m.lane, txn: m.txn, token: m.token, err: state.ErrLost})
+			})
 			return true
 		}
 	}
-	w.Run(700 * model.Second)
+	sim.Run(700 * model.Second)
 	if held == nil {
 		t.Fatalf("nothing was removed; %d bundles", most)
 	}
-	if left := w.state.KeyCount("bound/"); left >= most {
+	if left := sim.state.KeyCount("bound/"); left >= most {
 		t.Errorf("%d bundles at the most, %d are left", most, left)
 	}
 	held()
-	w.somework(10, model.Second)
-	w.endAll(900 * model.Second)
-	w.checkDuties()
+	sim.scheduleArrayJobs(10, model.Second)
+	sim.requireAllEndBy(900 * model.Second)
+	sim.checkDuties()
 }
 
 // Random pauses, cuts, copies, repeats and ends: no write of a duty is accepted from two
@@ -525,43 +527,43 @@
 	t.Parallel()
 	held := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newDutyWorld(t, rapid.Uint64().Draw(rt, "seed"), rapid.SampledFrom([]string{spreadDuties, leaderDuties}).Draw(rt, "file"))
+		sim := newDutyDeployment(t, rapid.Uint64().Draw(rt, "seed"), rapid.SampledFrom([]string{spreadDuties, leaderDuties}).Draw(rt, "file"))
 		const calm = 110 * model.Second
-		w.somework(rapid.IntRange(4, 12).Draw(rt, "jobs"), w.Between(model.Second, 8*model.Second))
-		w.duplicateHeartbeats = rapid.SampledFrom([]float64{0, 0.1}).Draw(rt, "copies")
-		w.repeats = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "repeats")
+		sim.scheduleArrayJobs(rapid.IntRange(4, 12).Draw(rt, "jobs"), sim.Between(model.Second, 8*model.Second))
+		sim.duplicateHeartbeatChance = rapid.SampledFrom([]float64{0, 0.1}).Draw(rt, "copies")
+		sim.duplicateRequestChance = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "repeats")
 		for range rapid.IntRange(1, 6).Draw(rt, "faults") {
 			kind := rapid.IntRange(0, faultKinds-1).Draw(rt, "kind")
-			long := w.Between(model.Second, 30*model.Second)
-			w.At(w.Between(5*model.Second, calm-30*model.Second), func() { fault(w, kind, long) })
+			long := sim.Between(model.Second, 30*model.Second)
+			sim.At(sim.Between(5*model.Second, calm-30*model.Second), func() { injectFault(sim, kind, long) })
 		}
 		for range rapid.IntRange(1, 4).Draw(rt, "pauses") {
-			point := pausePoint(rapid.IntRange(0, int(pausePoints)-1).Draw(rt, "point"))
-			long := w.Between(2*model.Second, 45*model.Second)
-			n := w.nodes[rapid.IntRange(0, 2).Draw(rt, "node")]
-			w.At(w.Between(8*model.Second, calm-50*model.Second), func() { n.pauseAtNext(point, long) })
+			point := pausePoint(rapid.IntRange(0, int(pausePointCount)-1).Draw(rt, "point"))
+			long := sim.Between(2*model.Second, 45*model.Second)
+			n := sim.nodes[rapid.IntRange(0, 2).Draw(rt, "node")]
+			sim.At(sim.Between(8*model.Second, calm-50*model.Second), func() { n.pauseAtNext(point, long) })
 		}
 		if rapid.Bool().Draw(rt, "no cloud") {
-			n := w.nodes[rapid.IntRange(0, 2).Draw(rt, "without cloud")]
-			w.At(w.Between(10*model.Second, 60*model.Second), func() { n.noCloud = true })
+			n := sim.nodes[rapid.IntRange(0, 2).Draw(rt, "without cloud")]
+			sim.At(sim.Between(10*model.Second, 60*model.Second), func() { n.cloudUnavailable = true })
 		}
-		w.At(calm, func() {
-			(&meeting{world: w}).calm()
-			for _, n := range w.nodes {
-				n.noCloud, n.pauseAt = false, nil
+		sim.At(calm, func() {
+			(&failureScenario{simDeployment: sim}).endFaults()
+			for _, n := range sim.nodes {
+				n.cloudUnavailable, n.shouldPause = false, nil
 			}
 		})
-		w.Run(330 * model.Second)
-		w.rules.CheckCancelled()
-		if broken := append(w.rules.Violations, w.dutyHistory()...); len(broken) > 0 {
+		sim.Run(330 * model.Second)
+		sim.invariants.CheckCancelled()
+		if broken := append(sim.invariants.Violations, sim.dutyViolations()...); len(broken) > 0 {
 			rt.Fatalf("%d violations: %v", len(broken), broken[:min(4, len(broken))])
 		}
-		for ref := range w.rules.Accepted {
-			if w.rules.ReportedEnd(ref) == "" {
-				rt.Fatalf("%s never ended; %s", ref, w.describe())
+		for ref := range sim.invariants.Accepted {
+			if sim.invariants.ReportedEnd(ref) == "" {
+				rt.Fatalf("%s never ended; %s", ref, sim.describe())
 			}
 		}
-		held += w.state.KeyCount("duty/")
+		held += sim.state.KeyCount("duty/")
 	})
 	if held == 0 {
 		t.Error("no duty was ever held")
@@ -572,14 +574,14 @@
 func (n *simNode) pauseAtNext(point pausePoint, long model.Micros) {
 	switch {
 	case !n.alive || n.paused:
-	case point == nowhere:
+	case point == noPausePoint:
 		n.pauseFor(long)
 	default:
-		n.pauseAt = func(at pausePoint) bool {
+		n.shouldPause = func(at pausePoint) bool {
 			if at != point {
 				return false
 			}
-			n.pauseAt = nil
+			n.shouldPause = nil
 			n.resumeAfter(long)
 			return true
 		}
@@ -588,24 +590,24 @@
 
 // Where the state service bears few changes, intents and their outcomes do not queue up
 // behind bindings and submissions: machines would be asked for a minute late.
-func TestIntentsDoNotQueueUp(t *testing.T) {
-	w := newDeployment(t, 16, func(name string) *config.Settings {
+func TestIntentsDoNotWaitBehindOtherWrites(t *testing.T) {
+	sim := newDeployment(t, 16, func(name string) *config.Settings {
 		s := simSettings(name)
 		s.Params.Teams = []config.Team{{Name: "red", CPUsMax: 900}, {Name: "blue", CPUsMax: 900}}
 		s.Params.State.WriteRPS = 6
 		return s
-	}, capacity(8, 2))
-	w.state.KeepLog, w.policy = true, simPolicy(t, spreadDuties)
-	for _, n := range w.nodes {
+	}, cloudCapacity(8, 2))
+	sim.state.KeepLog, sim.policy = true, simDutyPolicy(t, spreadDuties)
+	for _, n := range sim.nodes {
 		n.crash()
 		n.start()
 	}
 	for i := range 600 {
-		w.At(w.Now+model.Micros(i)*100*model.Millisecond, func() { w.submit(arrayJob(i, 3, 8), 0) })
+		sim.At(sim.Now+model.Micros(i)*100*model.Millisecond, func() { sim.submit(arrayJob(i, 3, 8), 0) })
 	}
-	w.Run(70 * model.Second)
+	sim.Run(70 * model.Second)
 	decided, outcomes := map[string]model.Micros{}, 0
-	for _, write := range w.state.Log {
+	for _, write := range sim.state.Log {
 		for _, op := range write.Txn.Then {
 			r, ok := op.Value.(duty.Rental)
 			switch at, known := decided[r.Request]; {
@@ -622,5 +624,5 @@
 	if outcomes < 10 {
 		t.Errorf("%d outcomes", outcomes)
 	}
-	w.check()
+	sim.requireInvariants()
 }
--- a/internal/controller/odd_requests_test.go
+++ b/internal/controller/edge_case_requests_test.go
@@ -8,56 +8,56 @@
 )
 
 // oddRequest is one that a user should not make, and the code that answers it.
-type oddRequest struct {
+type edgeCaseRequest struct {
 	name string
 	msg  func(chan<- userapi.Answer) any
 	code int
 }
 
 // oddRequests are such requests, some about a job that is done and one that is withdrawn.
-func oddRequests(done, withdrawn *user) []oddRequest {
-	return []oddRequest{
-		{"unknown team", submitChanged(func(s *model.Submission) { s.Team = "nobody" }), 422},
-		{"too large for a machine", submitChanged(func(s *model.Submission) { s.Cores = 1000 }), 422},
-		{"beyond the team's limit", submitChanged(func(s *model.Submission) { s.Team, s.GPUs, s.Kind, s.Tasks = "blue", 1, "gang", 5 }), 422},
-		{"no such type", submitChanged(func(s *model.Submission) { s.MachineTypes = []string{"none"} }), 422},
+func edgeCaseRequests(done, withdrawn *user) []edgeCaseRequest {
+	return []edgeCaseRequest{
+		{"unknown team", submitModified(func(s *model.Submission) { s.Team = "nobody" }), 422},
+		{"too large for a machine", submitModified(func(s *model.Submission) { s.Cores = 1000 }), 422},
+		{"beyond the team's limit", submitModified(func(s *model.Submission) { s.Team, s.GPUs, s.Kind, s.Tasks = "blue", 1, "gang", 5 }), 422},
+		{"no such type", submitModified(func(s *model.Submission) { s.MachineTypes = []string{"none"} }), 422},
 		{"a field missing", func(r chan<- userapi.Answer) any {
 			_, ref, err := model.ParseSubmission([]byte(`{"ref":"j-000901","pieces":1}`))
 			return msgSubmit{ref, nil, err, r}
 		}, 400},
 		{"a job never submitted", func(r chan<- userapi.Answer) any { return msgStatusRequest{"j-000999", r} }, 404},
 		{"cancelling one never submitted", func(r chan<- userapi.Answer) any { return msgCancel{"j-000999", r} }, 404},
-		{"cancelling a done job", func(r chan<- userapi.Answer) any { return msgCancel{done.sub.ID, r} }, 200},
-		{"repeating a done job, altered", submitChanged(func(s *model.Submission) { s.ID, s.Team = done.sub.ID, "nobody" }), 200},
-		{"repeating a withdrawn job", submitChanged(func(s *model.Submission) { s.ID = withdrawn.sub.ID }), 200},
+		{"cancelling a done job", func(r chan<- userapi.Answer) any { return msgCancel{done.submission.ID, r} }, 200},
+		{"repeating a done job, altered", submitModified(func(s *model.Submission) { s.ID, s.Team = done.submission.ID, "nobody" }), 200},
+		{"repeating a withdrawn job", submitModified(func(s *model.Submission) { s.ID = withdrawn.submission.ID }), 200},
 	}
 }
 
 // submitChanged submits an ordinary job with a change.
-func submitChanged(change func(s *model.Submission)) func(chan<- userapi.Answer) any {
+func submitModified(change func(s *model.Submission)) func(chan<- userapi.Answer) any {
 	s := arrayJob(900, 1, 5)
 	change(s)
 	return func(r chan<- userapi.Answer) any { return msgSubmit{s.ID, s, nil, r} }
 }
 
 // answer asks a node and gives its answer after two seconds, with code 0 if there is none.
-func (m *meeting) answer(n *simNode, msg func(chan<- userapi.Answer) any) userapi.Answer {
+func (sc *failureScenario) requestAndWait(n *simNode, msg func(chan<- userapi.Answer) any) userapi.Answer {
 	var got userapi.Answer
-	m.call(n, 2*model.Second, msg, func(a userapi.Answer) { got = a })
-	m.Run(m.Now + 2*model.Second)
+	sc.sendUserRequest(n, 2*model.Second, msg, func(a userapi.Answer) { got = a })
+	sc.Run(sc.Now + 2*model.Second)
 	return got
 }
 
 // Odd requests get the answers that are published, on every node, and 503 where it can't
 // be known; none of them costs a write.
-func TestOddRequests(t *testing.T) {
-	m := newMeeting(t, meetingTimes[0], 77)
+func TestEdgeCaseRequests(t *testing.T) {
+	m := newFailureScenario(t, scenarioWorkerTimes[0], 77)
 	done, gone := m.submitArray(1, 2), m.submitArray(1, 300)
-	m.until(60*model.Second, "one is done", func() bool { return m.rules.ReportedEnd(done.sub.ID) == "done" })
+	m.runUntil(60*model.Second, "one is done", func() bool { return m.invariants.ReportedEnd(done.submission.ID) == "done" })
 	gone.cancel(nil)
-	m.withdrawn(10*model.Second, gone)
+	m.waitForCancelled(10*model.Second, gone)
 	m.Run(m.Now + 20*model.Second)
-	cases := oddRequests(done, gone)
+	cases := edgeCaseRequests(done, gone)
 	writes := 0
 	for _, n := range m.nodes {
 		n.intercept = func(c msgCommitted) bool {
@@ -69,7 +69,7 @@
 	}
 	for _, c := range cases {
 		for _, n := range m.nodes {
-			if a := m.answer(n, c.msg); a.Code != c.code {
+			if a := m.requestAndWait(n, c.msg); a.Code != c.code {
 				t.Errorf("%s: %s answers %d %s, want %d", c.name, n.name, a.Code, a.Body, c.code)
 			}
 		}
@@ -81,11 +81,11 @@
 	m.Run(m.Now + 3*model.Second)
 	for _, c := range cases {
 		for _, n := range m.nodes {
-			a := m.answer(n, c.msg)
+			a := m.requestAndWait(n, c.msg)
 			if ended := c.code == 200; ended != (a.Code == 200) || !ended && (a.Code != 503 || a.RetryAfter == 0) {
 				t.Errorf("%s, in an outage: %s answers %d %s", c.name, n.name, a.Code, a.Body)
 			}
 		}
 	}
-	m.check()
+	m.requireInvariants()
 }
--- a/internal/controller/failing_jobs_test.go
+++ b/internal/controller/failing_jobs_test.go
@@ -7,29 +7,29 @@
 )
 
 // watchQuarantine collects the machines that are ever quarantined from now on.
-func (w *world) watchQuarantine() map[string]bool {
+func (sim *simDeployment) recordQuarantinedMachines() map[string]bool {
 	quarantined := map[string]bool{}
 	var watch func()
 	watch = func() {
-		if l := w.leader(); l != nil && l.ctl.leading != nil && l.ctl.leading.shard != nil {
+		if l := sim.leader(); l != nil && l.ctl.leading != nil && l.ctl.leading.shard != nil {
 			for _, m := range l.ctl.leading.shard.Machines {
 				if m.Quarantined {
 					quarantined[m.ID] = true
 				}
 			}
 		}
-		w.After(model.Second/2, watch)
+		sim.After(model.Second/2, watch)
 	}
-	w.After(0, watch)
+	sim.After(0, watch)
 	return quarantined
 }
 
 // requireUnfinished checks that a job is known to a node and has not ended.
 func (u *user) requireUnfinished(n *simNode) {
-	u.w.t.Helper()
-	status, _, _, known := n.ctl.view.Status(u.sub.ID)
-	if !known || u.ended != "" || status == "done" || status == "withdrawn" {
-		u.w.t.Errorf("%s: known %v, status %q, ended %q", u.sub.ID, known, status, u.ended)
+	u.sim.t.Helper()
+	status, _, _, known := n.ctl.view.Status(u.submission.ID)
+	if !known || u.reportedEnd != "" || status == "done" || status == "withdrawn" {
+		u.sim.t.Errorf("%s: known %v, status %q, ended %q", u.submission.ID, known, status, u.reportedEnd)
 	}
 }
 
@@ -38,36 +38,36 @@
 // machines set aside, nor be forgotten: it is retried with backoff, one task at
 // a time, its user is told that it waits, and the other jobs are served.
 func TestJobThatFailsOnEveryMachine(t *testing.T) {
-	w := newWorld(t, 41)
-	w.rules.FailingJobs = map[string]bool{}
+	sim := newSmallDeployment(t, 41)
+	sim.invariants.FailingJobs = map[string]bool{}
 	var healthy, mistaken []*user
 	for i := range 4 {
-		healthy = append(healthy, w.submit(arrayJob(i, 8, 20), 0))
+		healthy = append(healthy, sim.submit(arrayJob(i, 8, 20), 0))
 	}
 	// Other work goes on all the while: where it runs, a failure is not the machine's.
 	for i := range 15 {
-		w.At(model.Micros(10+10*i)*model.Second, func() {
-			healthy = append(healthy, w.submit(arrayJob(100+i, 8, 20), 0))
+		sim.At(model.Micros(10+10*i)*model.Second, func() {
+			healthy = append(healthy, sim.submit(arrayJob(100+i, 8, 20), 0))
 		})
 	}
 	for i := range 2 {
 		sub := arrayJob(10+i, 16, 20)
-		w.rules.FailingJobs[sub.ID] = true
-		mistaken = append(mistaken, w.submit(sub, 0))
+		sim.invariants.FailingJobs[sub.ID] = true
+		mistaken = append(mistaken, sim.submit(sub, 0))
 	}
-	quarantined := w.watchQuarantine()
-	w.Run(60 * model.Second)
-	w.leader().crash()
-	w.Run(w.Now + 180*model.Second)
+	quarantined := sim.recordQuarantinedMachines()
+	sim.Run(60 * model.Second)
+	sim.leader().crash()
+	sim.Run(sim.Now + 180*model.Second)
 	if len(quarantined) > 0 {
 		t.Errorf("healthy machines set aside for jobs that fail everywhere: %v", quarantined)
 	}
 	for _, u := range healthy {
-		if u.ended != "done" {
-			t.Errorf("%s beside jobs that fail everywhere: %q", u.sub.ID, u.ended)
+		if u.reportedEnd != "done" {
+			t.Errorf("%s beside jobs that fail everywhere: %q", u.submission.ID, u.reportedEnd)
 		}
 	}
-	l := w.leader()
+	l := sim.leader()
 	if l == nil {
 		t.Fatal("nobody leads")
 	}
@@ -76,19 +76,19 @@
 	}
 	// Without backoff each of the 32 tasks would be tried every few seconds for
 	// four minutes, some thousands of tries.
-	if n := w.rules.FailingJobAttempts; n > maxMistakenTries {
-		t.Errorf("%d tries of tasks that fail everywhere, more than %d", n, maxMistakenTries)
+	if n := sim.invariants.FailingJobAttempts; n > maxFailingJobAttempts {
+		t.Errorf("%d tries of tasks that fail everywhere, more than %d", n, maxFailingJobAttempts)
 	}
 	for _, u := range mistaken {
 		u.cancel(nil)
 	}
-	w.until(60*model.Second, "the mistaken jobs are withdrawn", func() bool {
-		return mistaken[0].ended == "withdrawn" && mistaken[1].ended == "withdrawn"
+	sim.runUntil(60*model.Second, "the mistaken jobs are withdrawn", func() bool {
+		return mistaken[0].reportedEnd == "withdrawn" && mistaken[1].reportedEnd == "withdrawn"
 	})
-	w.check()
+	sim.requireInvariants()
 }
 
 // maxMistakenTries bounds the tries of two jobs of 16 tasks that fail everywhere
 // in four minutes: each fails on a few machines before it is found out, then one
 // task at a time is tried, with a wait that doubles up to a minute.
-const maxMistakenTries = 120
+const maxFailingJobAttempts = 120
--- a/internal/controller/meeting_world_test.go
+++ b/internal/controller/failure_scenario_test.go
@@ -13,10 +13,10 @@
 // the safety argument carry them.
 
 // meeting is a world in which troubles meet.
-type meeting struct {
-	*world
-	submitted []*user
-	next      int
+type failureScenario struct {
+	*simDeployment
+	submitted     []*user
+	lastJobNumber int
 }
 
 // workerTimes are settings of workers, in seconds.
@@ -24,7 +24,7 @@
 
 // The settings under which each meeting is brought about: short reports, and long ones
 // beside a short cancellation.
-var meetingTimes = []workerTimes{{2.5, 18, 38}, {8, 38, 58}}
+var scenarioWorkerTimes = []workerTimes{{2.5, 18, 38}, {8, 38, 58}}
 
 func (ts workerTimes) settings(name string) *config.Settings {
 	s := simSettings(name)
@@ -33,53 +33,57 @@
 	return s
 }
 
-func newMeeting(t *testing.T, ts workerTimes, seed uint64) *meeting {
-	m := &meeting{world: newDeployment(t, seed, ts.settings, capacity(4, 2))}
+func newFailureScenario(t *testing.T, ts workerTimes, seed uint64) *failureScenario {
+	m := &failureScenario{simDeployment: newDeployment(t, seed, ts.settings, cloudCapacity(4, 2))}
 	m.checksEveryNode = true
 	return m
 }
 
-func (m *meeting) lease() model.Micros { return model.Seconds(m.nodes[0].set.Params.Workers.LeaseS) }
+func (m *failureScenario) workerLease() model.Micros {
+	return model.Seconds(m.nodes[0].settings.Params.Workers.LeaseS)
+}
 
-func (m *meeting) report() model.Micros { return model.Seconds(m.nodes[0].set.Params.Workers.ReportS) }
+func (m *failureScenario) heartbeatInterval() model.Micros {
+	return model.Seconds(m.nodes[0].settings.Params.Workers.ReportS)
+}
 
-func (m *meeting) session() model.Micros {
+func (m *failureScenario) sessionTTL() model.Micros {
 	return m.nodes[0].ctl.authority.Times.TTL
 }
 
-func (m *meeting) add(s *model.Submission) *user {
+func (m *failureScenario) submitAndTrack(s *model.Submission) *user {
 	u := m.submit(s, 0)
 	m.submitted = append(m.submitted, u)
 	return u
 }
 
-func (m *meeting) submitArray(tasks int, guess float64) *user {
-	m.next++
-	return m.add(arrayJob(m.next, tasks, guess))
+func (m *failureScenario) submitArray(tasks int, guess float64) *user {
+	m.lastJobNumber++
+	return m.submitAndTrack(arrayJob(m.lastJobNumber, tasks, guess))
 }
 
-func (m *meeting) submitGang(tasks int, guess float64) *user {
-	m.next++
-	return m.add(gangJob(m.next, tasks, guess))
+func (m *failureScenario) submitGang(tasks int, guess float64) *user {
+	m.lastJobNumber++
+	return m.submitAndTrack(gangJob(m.lastJobNumber, tasks, guess))
 }
 
 // load is a mixed load: what runs long, what is short, and a service.
-func (m *meeting) load() (long *user, gang *user, service *user) {
+func (m *failureScenario) startMixedLoad() (long *user, gang *user, service *user) {
 	long, gang = m.submitArray(6, 300), m.submitGang(3, 300)
 	s := arrayJob(500, 2, 0)
 	s.Kind, s.Priority, s.AllowsSpot, s.Spread = "service", "critical", false, true
-	service = m.add(s)
+	service = m.submitAndTrack(s)
 	for range 3 {
 		m.submitArray(4, 20)
 	}
-	m.until(90*model.Second, "the load runs", func() bool {
-		return m.on(long) == 6 && m.on(gang) == 3 && m.on(service) == 2
+	m.runUntil(90*model.Second, "the load runs", func() bool {
+		return m.tasksOnMachines(long) == 6 && m.tasksOnMachines(gang) == 3 && m.tasksOnMachines(service) == 2
 	})
 	return long, gang, service
 }
 
 // tasksIn is the number of tasks on the machines of a zone.
-func (m *meeting) tasksIn(zone string) (n int) {
+func (m *failureScenario) tasksInZone(zone string) (n int) {
 	for _, x := range m.cloud.Workers() {
 		if x.Zone == zone {
 			n += x.TaskCount()
@@ -88,10 +92,12 @@
 	return n
 }
 
-func (m *meeting) on(u *user) int { return m.rules.JobTasksOnMachines(u.sub.ID) }
+func (m *failureScenario) tasksOnMachines(u *user) int {
+	return m.invariants.JobTasksOnMachines(u.submission.ID)
+}
 
 // readyLeader is the controller that leads and has taken over, nil if there is none.
-func (m *meeting) readyLeader() *simNode {
+func (m *failureScenario) readyLeader() *simNode {
 	if l := m.leader(); l != nil && l.ctl.leading.ready {
 		return l
 	}
@@ -99,14 +105,14 @@
 }
 
 // requireLeader waits until a controller leads and has taken over, and returns it.
-func (m *meeting) requireLeader() *simNode {
+func (m *failureScenario) requireLeader() *simNode {
 	m.t.Helper()
 	m.waitForLeader(60 * model.Second)
 	return m.readyLeader()
 }
 
 // other is a node that is up and is not n.
-func (m *meeting) other(n *simNode) *simNode {
+func (m *failureScenario) otherNode(n *simNode) *simNode {
 	for _, o := range m.nodes {
 		if o != n && o.alive {
 			return o
@@ -117,11 +123,11 @@
 }
 
 // withdrawn waits until users were told that the jobs are withdrawn.
-func (m *meeting) withdrawn(limit model.Micros, us ...*user) {
+func (m *failureScenario) waitForCancelled(limit model.Micros, us ...*user) {
 	m.t.Helper()
-	m.until(limit, "the cancellations are confirmed", func() bool {
+	m.runUntil(limit, "the cancellations are confirmed", func() bool {
 		for _, u := range us {
-			if m.rules.ReportedEnd(u.sub.ID) != "withdrawn" {
+			if m.invariants.ReportedEnd(u.submission.ID) != "withdrawn" {
 				return false
 			}
 		}
@@ -129,7 +135,7 @@
 	})
 }
 
-func (m *meeting) restart(n *simNode, after model.Micros) {
+func (m *failureScenario) restartAfter(n *simNode, after model.Micros) {
 	n.crash()
 	m.After(after, func() {
 		if !n.alive {
@@ -139,56 +145,56 @@
 }
 
 // calm ends all troubles.
-func (m *meeting) calm() {
+func (m *failureScenario) endFaults() {
 	m.state.SetOutage(false)
 	for _, n := range m.nodes {
-		n.setCut(open)
-		n.workers, n.peersCutOff, n.usersCutOff, n.syncsLost = true, false, false, false
+		n.setStateLink(linkOpen)
+		n.reachableByWorkers, n.peersCutOff, n.usersCutOff, n.syncsLost = true, false, false, false
 		if !n.alive {
 			n.start()
 		}
 	}
 	clear(m.responsesLost)
 	clear(m.heartbeatsBlocked)
-	clear(m.cut)
-	m.reaches, m.lag, m.stateLag, m.lateWrites, m.duplicateHeartbeats, m.repeats = nil, 0, 0, 0, 0, 0
+	clear(m.delayedMachines)
+	m.canReach, m.heartbeatLag, m.stateLag, m.lateWriteChance, m.duplicateHeartbeatChance, m.duplicateRequestChance = nil, 0, 0, 0, 0, 0
 	for _, x := range m.cloud.Workers() {
 		x.SetHung(false)
 	}
-	m.rules.FaultsOverAt = m.Now
+	m.invariants.FaultsOverAt = m.Now
 }
 
 // requireServed ends all troubles and checks that the work is served: all that was accepted
 // comes to its end, nothing waits beside room, what comes anew runs, and the rules held.
-func (m *meeting) requireServed() {
+func (m *failureScenario) requireRecovery() {
 	m.t.Helper()
-	m.calm()
+	m.endFaults()
 	m.submitArray(3, 5)
 	m.submitGang(2, 5)
 	for _, u := range m.submitted {
-		if u.sub.Kind == "service" {
+		if u.submission.Kind == "service" {
 			u.cancelAt = m.Now + 40*model.Second
 		}
 	}
 	limit := m.Now + 700*model.Second
 	for m.Now < limit && !m.allEnded() {
 		m.Run(m.Now + model.Second)
-		m.rules.CheckWaiting(m.cloud.Workers())
+		m.invariants.CheckWaiting(m.cloud.Workers())
 	}
-	m.check()
+	m.requireInvariants()
 	for _, u := range m.submitted {
-		if m.rules.Accepted[u.sub.ID] && m.rules.ReportedEnd(u.sub.ID) == "" {
-			m.t.Fatalf("%s never ended: %s", u.sub.ID, m.describe())
+		if m.invariants.Accepted[u.submission.ID] && m.invariants.ReportedEnd(u.submission.ID) == "" {
+			m.t.Fatalf("%s never ended: %s", u.submission.ID, m.describe())
 		}
 	}
-	if n := m.rules.CancelledStarts; n > 0 {
+	if n := m.invariants.CancelledStarts; n > 0 {
 		m.t.Logf("%d starts after a confirmed cancellation", n)
 	}
 }
 
-func (m *meeting) allEnded() bool {
+func (m *failureScenario) allEnded() bool {
 	for _, u := range m.submitted {
-		if m.rules.Accepted[u.sub.ID] && m.rules.ReportedEnd(u.sub.ID) == "" {
+		if m.invariants.Accepted[u.submission.ID] && m.invariants.ReportedEnd(u.submission.ID) == "" {
 			return false
 		}
 	}
@@ -197,13 +203,13 @@
 
 // requireStopped checks that nothing of the jobs is on machines once the time for a cancellation has
 // passed.
-func (m *meeting) requireStopped(us ...*user) {
+func (m *failureScenario) requireStopped(us ...*user) {
 	m.t.Helper()
 	for _, u := range us {
-		m.Run(max(m.Now, m.rules.EndReportedAt(u.sub.ID)+m.rules.CancelLimit))
-		if n := m.on(u); n > 0 {
-			m.t.Fatalf("%d tasks of %s are on machines %v after its cancellation", n, u.sub.ID, m.Now-m.rules.EndReportedAt(u.sub.ID))
+		m.Run(max(m.Now, m.invariants.EndReportedAt(u.submission.ID)+m.invariants.CancelLimit))
+		if n := m.tasksOnMachines(u); n > 0 {
+			m.t.Fatalf("%d tasks of %s are on machines %v after its cancellation", n, u.submission.ID, m.Now-m.invariants.EndReportedAt(u.submission.ID))
 		}
 	}
-	m.check()
+	m.requireInvariants()
 }
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -12,84 +12,84 @@
 )
 
 // until lets time pass until the condition holds.
-func (w *world) until(limit model.Micros, what string, cond func() bool) {
-	w.t.Helper()
-	end := w.Now + limit
+func (sim *simDeployment) runUntil(limit model.Micros, what string, cond func() bool) {
+	sim.t.Helper()
+	end := sim.Now + limit
 	for !cond() {
-		if w.Now >= end {
-			w.t.Fatalf("%.1f s: not within %.1f s: %s\n%s", w.Now.Seconds(), limit.Seconds(), what, w.describe())
+		if sim.Now >= end {
+			sim.t.Fatalf("%.1f s: not within %.1f s: %s\n%s", sim.Now.Seconds(), limit.Seconds(), what, sim.describe())
 		}
-		w.Run(w.Now + 20*model.Millisecond)
+		sim.Run(sim.Now + 20*model.Millisecond)
 	}
 }
 
 // waitForLeader waits until somebody leads and has taken over.
-func (w *world) waitForLeader(limit model.Micros) {
-	w.t.Helper()
-	w.until(limit, "somebody leads", func() bool { l := w.leader(); return l != nil && l.ctl.leading.ready })
+func (sim *simDeployment) waitForLeader(limit model.Micros) {
+	sim.t.Helper()
+	sim.runUntil(limit, "somebody leads", func() bool { l := sim.leader(); return l != nil && l.ctl.leading.ready })
 }
 
 // A cut-off leader is replaced when its session is over, its held transactions
 // are carried out late without effect, and no rule breaks.
 func TestTakeoverWithLateCommits(t *testing.T) {
-	w := newWorld(t, 3)
+	sim := newSmallDeployment(t, 3)
 	for i := range 6 {
-		w.submit(arrayJob(i, 8, 20), 0)
+		sim.submit(arrayJob(i, 8, 20), 0)
 	}
-	w.until(40*model.Second, "something runs", func() bool { return w.rules.TasksOnMachines() > 10 })
-	old := w.leader()
-	old.setCut(holding)
+	sim.runUntil(40*model.Second, "something runs", func() bool { return sim.invariants.TasksOnMachines() > 10 })
+	old := sim.leader()
+	old.setStateLink(linkHolding)
 	for i := 6; i < 9; i++ {
-		w.submit(arrayJob(i, 8, 10), 0)
+		sim.submit(arrayJob(i, 8, 10), 0)
 	}
-	w.until(14*model.Second, "another leads", func() bool { l := w.leader(); return l != nil && l != old })
+	sim.runUntil(14*model.Second, "another leads", func() bool { l := sim.leader(); return l != nil && l != old })
 	if old.ctl.authority.IsValid(old.ctl.clock()) {
 		t.Fatal("two hold authority")
 	}
-	w.Run(w.Now + 20*model.Second)
-	old.setCut(open)
-	w.Run(w.Now + 60*model.Second)
-	w.check()
-	if n := w.rules.TasksOnMachines(); n != 0 {
+	sim.Run(sim.Now + 20*model.Second)
+	old.setStateLink(linkOpen)
+	sim.Run(sim.Now + 60*model.Second)
+	sim.requireInvariants()
+	if n := sim.invariants.TasksOnMachines(); n != 0 {
 		t.Errorf("%d tasks are still on machines", n)
 	}
 }
 
 // A transaction without an answer may be carried out long after a later one for
 // the same key, under the same grant. It must not bring the old value back.
-func TestOwnLateCommitChangesNothing(t *testing.T) {
-	w := newWorld(t, 4)
-	w.waitForLeader(5 * model.Second)
-	n := w.leader()
+func TestOwnLateCommitIsRejected(t *testing.T) {
+	sim := newSmallDeployment(t, 4)
+	sim.waitForLeader(5 * model.Second)
+	n := sim.leader()
 	var held *state.Txn
 	n.intercept = func(m msgCommitted) bool {
 		if m.lane != laneBindings || held != nil {
 			return false
 		}
 		held = m.txn
-		life := n.life
+		life := n.incarnation
 		m.err = state.ErrLost
-		w.After(commitTimeout, func() { n.deliver(life, m) })
+		sim.After(commitTimeout, func() { n.deliver(life, m) })
 		return true
 	}
-	u := w.submit(arrayJob(1, 6, 15), 0)
-	w.until(60*model.Second, "it runs", func() bool { return w.rules.TasksOnMachines() == 6 })
-	if res, err := w.state.Commit(n.name, held); err != nil || res.OK {
+	u := sim.submit(arrayJob(1, 6, 15), 0)
+	sim.runUntil(60*model.Second, "it runs", func() bool { return sim.invariants.TasksOnMachines() == 6 })
+	if res, err := sim.state.Commit(n.name, held); err != nil || res.OK {
 		t.Fatalf("a late copy is carried out: %v, %v", held, err)
 	}
-	w.until(60*model.Second, "done", func() bool { return u.ended == "done" })
-	w.check()
-	if w.rules.Starts != 6 {
-		t.Errorf("%d starts for 6 tasks", w.rules.Starts)
+	sim.runUntil(60*model.Second, "done", func() bool { return u.reportedEnd == "done" })
+	sim.requireInvariants()
+	if sim.invariants.Starts != 6 {
+		t.Errorf("%d starts for 6 tasks", sim.invariants.Starts)
 	}
 }
 
 // A former holder's transaction that is carried out after the takeover changes
 // nothing, even where the new holder has not written the same keys yet.
-func TestFormerHoldersCommitChangesNothing(t *testing.T) {
-	w := newWorld(t, 14)
-	w.waitForLeader(5 * model.Second)
-	n := w.leader()
+func TestFormerLeadersLateCommitIsRejected(t *testing.T) {
+	sim := newSmallDeployment(t, 14)
+	sim.waitForLeader(5 * model.Second)
+	n := sim.leader()
 	var held *state.Txn
 	n.intercept = func(m msgCommitted) bool {
 		if m.lane != laneBindings {
@@ -98,97 +98,97 @@
 		held = m.txn
 		return true
 	}
-	u := w.submit(arrayJob(1, 6, 15), 0)
-	w.until(60*model.Second, "a binding is on its way", func() bool { return held != nil })
+	u := sim.submit(arrayJob(1, 6, 15), 0)
+	sim.runUntil(60*model.Second, "a binding is on its way", func() bool { return held != nil })
 	n.crash()
-	w.state.RefusedNodes[n.name] = false
+	sim.state.RefusedNodes[n.name] = false
 	// The new leader rewrites the grant and nothing else.
-	w.until(15*model.Second, "another leads", func() bool {
-		for _, e := range w.nodes {
+	sim.runUntil(15*model.Second, "another leads", func() bool {
+		for _, e := range sim.nodes {
 			if l := e.ctl.leading; e != n && l != nil {
 				return true
 			}
 		}
 		return false
 	})
-	if res, err := w.state.Commit(n.name, held); err != nil || res.OK {
+	if res, err := sim.state.Commit(n.name, held); err != nil || res.OK {
 		t.Fatalf("a former holder's transaction is carried out: %v, %v", held, err)
 	}
-	w.until(90*model.Second, "done", func() bool { return u.ended == "done" })
-	w.check()
+	sim.runUntil(90*model.Second, "done", func() bool { return u.reportedEnd == "done" })
+	sim.requireInvariants()
 }
 
 // A leader that ends and is back within a fraction of a second takes over from
 // itself: under a new grant, without waiting for its old session.
 func TestRestartWithinTheSession(t *testing.T) {
-	w := newWorld(t, 5)
+	sim := newSmallDeployment(t, 5)
 	for i := range 4 {
-		w.submit(arrayJob(i, 8, 25), 0)
+		sim.submit(arrayJob(i, 8, 25), 0)
 	}
-	w.until(40*model.Second, "something runs", func() bool { return w.rules.TasksOnMachines() > 10 })
-	n := w.leader()
+	sim.runUntil(40*model.Second, "something runs", func() bool { return sim.invariants.TasksOnMachines() > 10 })
+	n := sim.leader()
 	token := n.ctl.leading.token
 	n.crash()
-	w.Run(w.Now + 200*model.Millisecond)
+	sim.Run(sim.Now + 200*model.Millisecond)
 	n.start()
-	w.waitForLeader(3 * model.Second)
-	if now := w.leader().ctl.leading.token; now <= token {
+	sim.waitForLeader(3 * model.Second)
+	if now := sim.leader().ctl.leading.token; now <= token {
 		t.Fatalf("token %d after %d", now, token)
 	}
-	before := w.rules.Starts
-	w.Run(w.Now + 10*model.Second)
-	if w.rules.TasksOnMachines() < 10 && w.rules.Starts == before {
+	before := sim.invariants.Starts
+	sim.Run(sim.Now + 10*model.Second)
+	if sim.invariants.TasksOnMachines() < 10 && sim.invariants.Starts == before {
 		t.Error("running tasks were lost")
 	}
-	w.Run(w.Now + 120*model.Second)
-	w.check()
+	sim.Run(sim.Now + 120*model.Second)
+	sim.requireInvariants()
 }
 
 // The election's answer is lost: the node finds the key under its own session,
 // and leads under a grant of its own.
-func TestElectionWhoseAnswerIsLost(t *testing.T) {
-	w := newWorld(t, 6)
+func TestLostElectionAnswer(t *testing.T) {
+	sim := newSmallDeployment(t, 6)
 	lost := uint64(0)
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		n.intercept = func(m msgCommitted) bool {
 			if m.lane != laneElection || lost != 0 {
 				return false
 			}
-			res, err := w.state.Commit(n.name, m.txn)
+			res, err := sim.state.Commit(n.name, m.txn)
 			if err != nil || !res.OK {
 				return false
 			}
 			lost = res.Revision
-			life := n.life
-			w.After(commitTimeout, func() {
+			life := n.incarnation
+			sim.After(commitTimeout, func() {
 				n.deliver(life, msgCommitted{lane: m.lane, txn: m.txn, session: m.session, err: state.ErrLost})
 			})
 			return true
 		}
 	}
-	w.waitForLeader(10 * model.Second)
-	if token := w.leader().ctl.leading.token; lost == 0 || token <= lost {
+	sim.waitForLeader(10 * model.Second)
+	if token := sim.leader().ctl.leading.token; lost == 0 || token <= lost {
 		t.Fatalf("leads under token %d, the lost election's was %d", token, lost)
 	}
 }
 
 // A submission whose 201 was lost is 200 when it is repeated, anywhere, even if
 // the repetition would be refused by itself.
-func TestLostAcceptance(t *testing.T) {
-	w := newWorld(t, 7)
-	w.until(5*model.Second, "a leader that knows the machine types", func() bool { return len(w.nodes[0].ctl.view.MachineTypes) > 0 })
-	w.Run(w.Now + model.Second)
+func TestRepeatedSubmissionAfterLostAnswer(t *testing.T) {
+	sim := newSmallDeployment(t, 7)
+	sim.runUntil(5*model.Second, "a leader that knows the machine types", func() bool { return len(sim.nodes[0].ctl.view.MachineTypes) > 0 })
+	sim.Run(sim.Now + model.Second)
 	s := arrayJob(1, 3, 5)
-	w.rules.Submitted[s.ID] = s.Job(0)
-	w.nodes[0].ask(msgSubmit{s.ID, s, nil, make(chan userapi.Answer, 1)}, nil)
-	w.until(model.Second, "it is accepted", func() bool { return w.state.HasKey("job/" + s.ID) })
-	w.nodes[0].crash()
+	sim.invariants.Submitted[s.ID] = s.Job(0)
+	sim.nodes[0].send(msgSubmit{s.ID, s, nil, make(chan userapi.Answer, 1)}, nil)
+	sim.runUntil(model.Second, "it is accepted", func() bool { return sim.state.HasKey("job/" + s.ID) })
+	sim.nodes[0].crash()
 	for _, m := range []msgSubmit{{jobID: s.ID, submission: s}, {jobID: s.ID, err: errors.New("malformed")},
 		{jobID: s.ID, submission: func() *model.Submission { c := *s; c.Team = "nobody"; return &c }()}} {
 		reply := make(chan userapi.Answer, 1)
 		m.reply = reply
-		w.nodes[1].ask(m, nil)
-		w.until(model.Second, "an answer", func() bool { return len(reply) == 1 })
+		sim.nodes[1].send(m, nil)
+		sim.runUntil(model.Second, "an answer", func() bool { return len(reply) == 1 })
 		if a := <-reply; a.Code != 200 {
 			t.Errorf("a repeated submission is answered %d %s", a.Code, a.Body)
 		}
@@ -197,31 +197,31 @@
 
 // An ended job is never accepted again, also by a node that does not know it.
 func TestEndedJobIsNotRunAgain(t *testing.T) {
-	w := newWorld(t, 8)
-	u := w.submit(arrayJob(1, 2, 2), 0)
-	w.until(60*model.Second, "done", func() bool { return u.ended == "done" })
-	n := w.nodes[1]
+	sim := newSmallDeployment(t, 8)
+	u := sim.submit(arrayJob(1, 2, 2), 0)
+	sim.runUntil(60*model.Second, "done", func() bool { return u.reportedEnd == "done" })
+	n := sim.nodes[1]
 	n.ctl.view = state.NewView() // a node that knows nothing
 	n.ctl.view.MachineTypes, n.ctl.sync.needsList = simMachineTypes, true
 	reply := make(chan userapi.Answer, 1)
-	n.ask(msgSubmit{"j-000001", arrayJob(1, 2, 2), nil, reply}, nil)
-	w.until(2*model.Second, "an answer", func() bool { return len(reply) == 1 })
+	n.send(msgSubmit{"j-000001", arrayJob(1, 2, 2), nil, reply}, nil)
+	sim.runUntil(2*model.Second, "an answer", func() bool { return len(reply) == 1 })
 	if a := <-reply; a.Code != 200 || !strings.Contains(string(a.Body), "done") {
 		t.Fatalf("answered %d %s", a.Code, a.Body)
 	}
-	w.Run(w.Now + 30*model.Second)
-	if w.rules.Starts != 2 {
-		t.Fatalf("%d starts for 2 tasks", w.rules.Starts)
+	sim.Run(sim.Now + 30*model.Second)
+	if sim.invariants.Starts != 2 {
+		t.Fatalf("%d starts for 2 tasks", sim.invariants.Starts)
 	}
 }
 
 // answerAtOnce asks a node for what it has to refuse, and fails if it holds the request.
-func (n *simNode) answerAtOnce(msg func(chan<- userapi.Answer) any) userapi.Answer {
-	n.w.t.Helper()
+func (n *simNode) requireImmediateAnswer(msg func(chan<- userapi.Answer) any) userapi.Answer {
+	n.sim.t.Helper()
 	reply := make(chan userapi.Answer, 1)
-	n.ask(msg(reply), nil)
+	n.send(msg(reply), nil)
 	if len(reply) != 1 {
-		n.w.t.Fatal("a request that can't be served is held")
+		n.sim.t.Fatal("a request that can't be served is held")
 	}
 	return <-reply
 }
@@ -230,78 +230,78 @@
 // what runs goes on as long as the workers' leases last, and everything is
 // finished afterwards. Submissions are refused at once.
 func TestOutageLongerThanASession(t *testing.T) {
-	w := newWorld(t, 9)
-	u := w.submit(arrayJob(1, 8, 60), 0)
-	w.until(40*model.Second, "it runs", func() bool { return w.rules.TasksOnMachines() == 8 })
-	w.state.SetOutage(true)
-	w.Run(w.Now + 13*model.Second)
-	if w.leader() != nil {
+	sim := newSmallDeployment(t, 9)
+	u := sim.submit(arrayJob(1, 8, 60), 0)
+	sim.runUntil(40*model.Second, "it runs", func() bool { return sim.invariants.TasksOnMachines() == 8 })
+	sim.state.SetOutage(true)
+	sim.Run(sim.Now + 13*model.Second)
+	if sim.leader() != nil {
 		t.Fatal("somebody leads without the state service")
 	}
-	if w.rules.TasksOnMachines() != 8 {
+	if sim.invariants.TasksOnMachines() != 8 {
 		t.Fatal("running tasks were lost in a short outage")
 	}
-	a := w.nodes[1].answerAtOnce(func(r chan<- userapi.Answer) any { return msgSubmit{"j-000002", arrayJob(2, 1, 1), nil, r} })
+	a := sim.nodes[1].requireImmediateAnswer(func(r chan<- userapi.Answer) any { return msgSubmit{"j-000002", arrayJob(2, 1, 1), nil, r} })
 	if a.Code != 503 || a.RetryAfter == 0 {
 		t.Fatalf("answered %d, Retry-After %d", a.Code, a.RetryAfter)
 	}
-	if !w.nodes[1].ctl.isHealthy() {
+	if !sim.nodes[1].ctl.isHealthy() {
 		t.Error("all nodes leave the load balancer in an outage")
 	}
-	w.Run(w.Now + 6*model.Second)
-	w.state.SetOutage(false)
-	w.until(120*model.Second, "it is done", func() bool { return u.ended == "done" })
-	w.check()
-	if w.rules.Starts != 8 {
-		t.Errorf("%d starts for 8 tasks: an outage of 19 s should lose nothing", w.rules.Starts)
+	sim.Run(sim.Now + 6*model.Second)
+	sim.state.SetOutage(false)
+	sim.runUntil(120*model.Second, "it is done", func() bool { return u.reportedEnd == "done" })
+	sim.requireInvariants()
+	if sim.invariants.Starts != 8 {
+		t.Errorf("%d starts for 8 tasks: an outage of 19 s should lose nothing", sim.invariants.Starts)
 	}
 }
 
 // One node alone gets 503s: a sibling answers its users, and if it led, another
 // takes over.
-func TestRefusedNode(t *testing.T) {
-	w := newWorld(t, 10)
-	w.submit(arrayJob(1, 4, 30), 0)
-	w.until(40*model.Second, "it runs", func() bool { return w.rules.TasksOnMachines() == 4 })
-	n := w.leader()
-	n.setCut(refused)
-	w.Run(w.Now + 3*model.Second)
-	a := n.answerAtOnce(func(r chan<- userapi.Answer) any { return msgStatusRequest{"j-000001", r} })
+func TestNodeRefusedByStateService(t *testing.T) {
+	sim := newSmallDeployment(t, 10)
+	sim.submit(arrayJob(1, 4, 30), 0)
+	sim.runUntil(40*model.Second, "it runs", func() bool { return sim.invariants.TasksOnMachines() == 4 })
+	n := sim.leader()
+	n.setStateLink(linkRefusing)
+	sim.Run(sim.Now + 3*model.Second)
+	a := n.requireImmediateAnswer(func(r chan<- userapi.Answer) any { return msgStatusRequest{"j-000001", r} })
 	if a.Code != 503 || a.ForwardTo == "" || a.ForwardTo == n.name {
 		t.Fatalf("answered %+v, want a sibling named", a)
 	}
-	w.until(3*model.Second, "another leads, long before the session runs out",
-		func() bool { l := w.leader(); return l != nil && l != n })
-	w.Run(w.Now + 40*model.Second)
-	w.check()
-	if w.rules.Starts != 4 {
-		t.Errorf("%d starts for 4 tasks", w.rules.Starts)
+	sim.runUntil(3*model.Second, "another leads, long before the session runs out",
+		func() bool { l := sim.leader(); return l != nil && l != n })
+	sim.Run(sim.Now + 40*model.Second)
+	sim.requireInvariants()
+	if sim.invariants.Starts != 4 {
+		t.Errorf("%d starts for 4 tasks", sim.invariants.Starts)
 	}
 }
 
 // A leader that no worker reaches any more hands over to a sibling that they do
 // reach, before their leases run out.
 func TestLeaderWithoutWorkersResigns(t *testing.T) {
-	w := newWorld(t, 15)
-	w.submit(arrayJob(1, 12, 60), 0)
-	w.until(40*model.Second, "it runs", func() bool { return w.rules.TasksOnMachines() == 12 })
-	n := w.leader()
-	n.workers = false
-	w.until(12*model.Second, "another leads", func() bool { l := w.leader(); return l != nil && l != n })
-	w.Run(w.Now + 30*model.Second)
-	w.check()
-	if w.rules.Starts != 12 {
-		t.Errorf("%d starts for 12 tasks", w.rules.Starts)
+	sim := newSmallDeployment(t, 15)
+	sim.submit(arrayJob(1, 12, 60), 0)
+	sim.runUntil(40*model.Second, "it runs", func() bool { return sim.invariants.TasksOnMachines() == 12 })
+	n := sim.leader()
+	n.reachableByWorkers = false
+	sim.runUntil(12*model.Second, "another leads", func() bool { l := sim.leader(); return l != nil && l != n })
+	sim.Run(sim.Now + 30*model.Second)
+	sim.requireInvariants()
+	if sim.invariants.Starts != 12 {
+		t.Errorf("%d starts for 12 tasks", sim.invariants.Starts)
 	}
 }
 
 // The credits of all grants together never exceed the teams' limits, across
 // moves.
 func TestCreditsAcrossATakeover(t *testing.T) {
-	w := newWorld(t, 11)
+	sim := newSmallDeployment(t, 11)
 	for range 4 {
-		w.waitForLeader(20 * model.Second)
-		n := w.leader()
+		sim.waitForLeader(20 * model.Second)
+		n := sim.leader()
 		sum := map[string]model.Resources{}
 		for _, g := range n.ctl.view.Grants {
 			for team, c := range g.Credit {
@@ -314,28 +314,28 @@
 			}
 		}
 		n.crash()
-		w.Run(w.Now + 3*model.Second)
+		sim.Run(sim.Now + 3*model.Second)
 		n.start()
 	}
 }
 
 // A node whose watch is too far behind reads everything again.
-func TestWatchTooOld(t *testing.T) {
-	w := newWorld(t, 12)
-	w.until(5*model.Second, "a leader", func() bool { return w.leader() != nil })
-	w.state.KeptEvents = 2
-	n := w.nodes[0]
-	n.setCut(refused)
+func TestWatchRevisionTooOld(t *testing.T) {
+	sim := newSmallDeployment(t, 12)
+	sim.runUntil(5*model.Second, "a leader", func() bool { return sim.leader() != nil })
+	sim.state.KeptEvents = 2
+	n := sim.nodes[0]
+	n.setStateLink(linkRefusing)
 	for i := range 4 {
-		w.submit(arrayJob(i, 4, 5), 0)
+		sim.submit(arrayJob(i, 4, 5), 0)
 	}
-	w.Run(w.Now + 30*model.Second)
-	n.setCut(open)
-	w.Run(w.Now + 10*model.Second)
-	if got, want := n.ctl.view.Revision, w.nodes[1].ctl.view.Revision; got+50 < want {
+	sim.Run(sim.Now + 30*model.Second)
+	n.setStateLink(linkOpen)
+	sim.Run(sim.Now + 10*model.Second)
+	if got, want := n.ctl.view.Revision, sim.nodes[1].ctl.view.Revision; got+50 < want {
 		t.Fatalf("the view is at %d, another's at %d", got, want)
 	}
-	for ref := range w.rules.Accepted {
+	for ref := range sim.invariants.Accepted {
 		if _, _, _, known := n.ctl.view.Status(ref); !known {
 			t.Errorf("%s is not known", ref)
 		}
@@ -346,19 +346,19 @@
 // service: the stand-in refuses values and transactions that are too large.
 func TestVeryManyTinyTasks(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, 16)
+	sim := newSmallDeployment(t, 16)
 	var us []*user
 	for i := range 2 {
 		s := arrayJob(i, 100_000, 1)
 		s.Cores, s.MemoryGB, s.Team, s.ImageGB = 0.001, 0.001, "red", 0.1
-		us = append(us, w.submit(s, 0))
+		us = append(us, sim.submit(s, 0))
 	}
-	w.until(60*model.Second, "they run", func() bool { return w.rules.TasksOnMachines() > 1000 })
-	w.Run(w.Now + 6*model.Second)
-	w.check()
+	sim.runUntil(60*model.Second, "they run", func() bool { return sim.invariants.TasksOnMachines() > 1000 })
+	sim.Run(sim.Now + 6*model.Second)
+	sim.requireInvariants()
 	done := 0
 	for _, u := range us {
-		s := w.nodes[0].ctl.view.Done(u.sub.ID)
+		s := sim.nodes[0].ctl.view.Done(u.submission.ID)
 		done += s.Len()
 	}
 	if done < 1500 {
@@ -368,20 +368,20 @@
 
 // Without authority no worker gets a 200, however early its lease ends.
 func TestNoAnswerToWorkersWithoutAuthority(t *testing.T) {
-	w := newWorld(t, 13)
-	w.waitForLeader(5 * model.Second)
-	n := w.leader()
+	sim := newSmallDeployment(t, 13)
+	sim.waitForLeader(5 * model.Second)
+	n := sim.leader()
 	leaseTimes := n.ctl.authority.Times
-	for _, o := range w.nodes {
+	for _, o := range sim.nodes {
 		if o != n {
 			o.crash() // nobody is there to resign to
 		}
 	}
-	n.setCut(dropped)
-	w.Run(w.Now + leaseTimes.TTL + model.Second)
+	n.setStateLink(linkDropping)
+	sim.Run(sim.Now + leaseTimes.TTL + model.Second)
 	reply := make(chan workerAnswer, 1)
-	r := simReport("host-z")
-	n.ask(msgHeartbeat{heartbeat: r, reply: reply}, nil)
+	r := simHeartbeat("host-z")
+	n.send(msgHeartbeat{heartbeat: r, reply: reply}, nil)
 	if a := <-reply; a.code == 200 {
 		t.Fatal("a worker was answered without authority")
 	}
@@ -402,10 +402,10 @@
 
 // Now and then the state service takes very long for a transaction. What others
 // submit meanwhile is accepted at once all the same.
-func TestSlowAcceptanceHoldsUpNoOther(t *testing.T) {
-	w := newWorld(t, 43)
-	w.until(10*model.Second, "machine types are known", func() bool { return len(w.nodes[0].ctl.view.MachineTypes) > 0 })
-	n := w.nodes[0]
+func TestSlowWritesDoNotDelayOtherSubmissions(t *testing.T) {
+	sim := newSmallDeployment(t, 43)
+	sim.runUntil(10*model.Second, "machine types are known", func() bool { return len(sim.nodes[0].ctl.view.MachineTypes) > 0 })
+	n := sim.nodes[0]
 	slow := 0
 	n.intercept = func(m msgCommitted) bool {
 		if m.lane >= laneUsers && slow < 2 {
@@ -417,9 +417,9 @@
 	accept := func(i int) (code int) {
 		reply := make(chan userapi.Answer, 1)
 		s := arrayJob(i, 1, 5)
-		n.ask(msgSubmit{s.ID, s, nil, reply}, nil)
+		n.send(msgSubmit{s.ID, s, nil, reply}, nil)
 		for range 30 {
-			w.Run(w.Now + 10*model.Millisecond)
+			sim.Run(sim.Now + 10*model.Millisecond)
 			if len(reply) > 0 {
 				return (<-reply).Code
 			}
@@ -438,43 +438,43 @@
 // without an answer, finds its job ended when it is written: the end stays what it is.
 // Once it was written over, as the guard is taken from the view at that moment: the job
 // had been told done, and was told withdrawn from then on.
-func TestQueuedCancellationMeetsTheEnd(t *testing.T) {
+func TestQueuedCancellationKeepsRecordedEnd(t *testing.T) {
 	for seed := range uint64(5) {
-		w := newWorld(t, 60+seed)
-		u := w.submit(arrayJob(1, 2, 8), 0)
-		w.until(60*model.Second, "it runs", func() bool { return w.rules.TasksOnMachines() == 2 })
-		n := w.nodes[0]
-		if n == w.leader() {
-			n = w.nodes[1]
+		sim := newSmallDeployment(t, 60+seed)
+		u := sim.submit(arrayJob(1, 2, 8), 0)
+		sim.runUntil(60*model.Second, "it runs", func() bool { return sim.invariants.TasksOnMachines() == 2 })
+		n := sim.nodes[0]
+		if n == sim.leader() {
+			n = sim.nodes[1]
 		}
 		release := n.blockUserLanes()
-		w.Run(w.Now + 6*model.Second) // of eight
+		sim.Run(sim.Now + 6*model.Second) // of eight
 		reply := make(chan userapi.Answer, 1)
-		w.rules.CancelRequested(u.sub.ID)
-		n.ask(msgCancel{u.sub.ID, reply}, nil)
-		w.until(4*model.Second, "the end is written while the cancellation waits", func() bool {
-			_, ended := n.ctl.view.EffectiveEnd(u.sub.ID)
+		sim.invariants.CancelRequested(u.submission.ID)
+		n.send(msgCancel{u.submission.ID, reply}, nil)
+		sim.runUntil(4*model.Second, "the end is written while the cancellation waits", func() bool {
+			_, ended := n.ctl.view.EffectiveEnd(u.submission.ID)
 			return ended && len(n.ctl.userWrites.queue) > 0
 		})
 		release()
-		w.until(3*model.Second, "the cancellation is answered", func() bool { return len(reply) == 1 })
+		sim.runUntil(3*model.Second, "the cancellation is answered", func() bool { return len(reply) == 1 })
 		if a := <-reply; a.Code != 200 || !strings.Contains(string(a.Body), "done") {
 			t.Errorf("seed %d: the cancellation of a done job is answered %d %s", seed, a.Code, a.Body)
 		}
-		for _, o := range w.nodes {
-			w.Run(w.Now + model.Second)
-			if end, _ := o.ctl.view.EffectiveEnd(u.sub.ID); end != model.JobDone {
+		for _, o := range sim.nodes {
+			sim.Run(sim.Now + model.Second)
+			if end, _ := o.ctl.view.EffectiveEnd(u.submission.ID); end != model.JobDone {
 				t.Errorf("seed %d: %s says %q of a done job", seed, o.name, end)
 			}
 		}
-		w.check()
+		sim.requireInvariants()
 	}
 }
 
 // blockUserLanes fills all lanes for users' transactions of a node with submissions that get
 // no answer, until the returned function is called.
 func (n *simNode) blockUserLanes() (release func()) {
-	n.w.t.Helper()
+	n.sim.t.Helper()
 	blocked := true
 	var lanes []msgCommitted
 	n.intercept = func(m msgCommitted) bool {
@@ -486,16 +486,16 @@
 	}
 	for i := range userLanes {
 		s := arrayJob(10+i, 1, 1)
-		n.ask(msgSubmit{s.ID, s, nil, make(chan userapi.Answer, 1)}, nil)
+		n.send(msgSubmit{s.ID, s, nil, make(chan userapi.Answer, 1)}, nil)
 	}
 	if len(lanes) != userLanes {
-		n.w.t.Fatalf("%d transactions on their way", len(lanes))
+		n.sim.t.Fatalf("%d transactions on their way", len(lanes))
 	}
 	return func() {
 		blocked = false
 		for _, m := range lanes {
 			m.err = state.ErrLost
-			n.deliver(n.life, m)
+			n.deliver(n.incarnation, m)
 		}
 	}
 }
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -28,40 +28,40 @@
 // and once all is over everything ends.
 func TestManyMachinesFailTogether(t *testing.T) {
 	t.Parallel()
-	w := newDeployment(t, 41, fleetSettings, capacity(385, 125))
-	w.duplicateHeartbeats = 0.03
-	w.submitFleetLoad()
-	w.Run(40 * model.Second)
-	ws := w.cloud.Workers()
+	sim := newDeployment(t, 41, fleetSettings, cloudCapacity(385, 125))
+	sim.duplicateHeartbeatChance = 0.03
+	sim.submitFleetLoad()
+	sim.Run(40 * model.Second)
+	ws := sim.cloud.Workers()
 	if len(ws) < 1700 {
 		t.Fatalf("only %d machines are up", len(ws))
 	}
-	w.failMachines(ws)
-	w.failControllers()
-	w.Run(110 * model.Second)
-	w.duplicateHeartbeats = 0
-	for w.Now < 300*model.Second && !w.acceptedHaveEnded() {
-		w.Run(w.Now + model.Second)
+	sim.failMachines(ws)
+	sim.failControllers()
+	sim.Run(110 * model.Second)
+	sim.duplicateHeartbeatChance = 0
+	for sim.Now < 300*model.Second && !sim.allAcceptedEnded() {
+		sim.Run(sim.Now + model.Second)
 	}
-	w.check()
+	sim.requireInvariants()
 	accepted := 0
-	for _, u := range w.users {
+	for _, u := range sim.users {
 		if u.accepted {
 			accepted++
 		}
-		if u.accepted && u.ended == "" {
-			t.Errorf("%s never ended", u.sub.ID)
+		if u.accepted && u.reportedEnd == "" {
+			t.Errorf("%s never ended", u.submission.ID)
 		}
 	}
-	if accepted < len(w.users)*9/10 || w.rules.Starts < 9000 {
-		t.Errorf("%d of %d accepted, %d starts", accepted, len(w.users), w.rules.Starts)
+	if accepted < len(sim.users)*9/10 || sim.invariants.Starts < 9000 {
+		t.Errorf("%d of %d accepted, %d starts", accepted, len(sim.users), sim.invariants.Starts)
 	}
 }
 
 // submitFleetLoad has arrays and gangs submitted, eight a second, and some cancelled.
-func (w *world) submitFleetLoad() {
+func (sim *simDeployment) submitFleetLoad() {
 	for i := range 320 {
-		w.At(model.Micros(i)*120*model.Millisecond, func() {
+		sim.At(model.Micros(i)*120*model.Millisecond, func() {
 			s := arrayJob(i, 52, 25)
 			if i%4 == 0 {
 				s = gangJob(i, 4, 25)
@@ -71,46 +71,46 @@
 			if i%9 == 0 {
 				cancel = 30 * model.Second
 			}
-			w.submit(s, cancel)
+			sim.submit(s, cancel)
 		})
 	}
 }
 
 // failMachines has some machines end, some hang and some be cut off, until what these said
 // meanwhile arrives.
-func (w *world) failMachines(ws []*standin.Worker) {
+func (sim *simDeployment) failMachines(ws []*standin.Worker) {
 	for i, x := range ws {
 		switch {
 		case i%20 == 0:
 			x.Terminate()
 		case i%16 == 1:
 			x.SetHung(true)
-			w.After(w.Between(20*model.Second, 40*model.Second), func() { x.SetHung(false) })
+			sim.After(sim.Between(20*model.Second, 40*model.Second), func() { x.SetHung(false) })
 		case i%6 == 2:
-			w.cut[x.ID] = true
+			sim.delayedMachines[x.ID] = true
 		}
 	}
-	w.After(50*model.Second, func() {
-		clear(w.cut)
-		for _, f := range w.late {
+	sim.After(50*model.Second, func() {
+		clear(sim.delayedMachines)
+		for _, f := range sim.delayedHeartbeats {
 			f(nil)
 		}
-		w.late = nil
+		sim.delayedHeartbeats = nil
 	})
 }
 
 // failControllers has the leader end, controllers restart in elections, the state service be
 // out, and all controllers end.
-func (w *world) failControllers() {
-	w.After(3*model.Second, func() { w.leader().crashFor(4 * model.Second) })
-	w.After(15*model.Second, func() { newFault(w, 0).restartInElections() })
-	w.After(24*model.Second, func() {
-		w.state.SetOutage(true)
-		w.After(12*model.Second, func() { w.state.SetOutage(false) })
+func (sim *simDeployment) failControllers() {
+	sim.After(3*model.Second, func() { sim.leader().crashFor(4 * model.Second) })
+	sim.After(15*model.Second, func() { newFaultInjection(sim, 0).restartDuringElections() })
+	sim.After(24*model.Second, func() {
+		sim.state.SetOutage(true)
+		sim.After(12*model.Second, func() { sim.state.SetOutage(false) })
 	})
-	w.After(35*model.Second, func() { newFault(w, 0).restartAll() })
+	sim.After(35*model.Second, func() { newFaultInjection(sim, 0).restartAll() })
 }
 
-func (w *world) acceptedHaveEnded() bool {
-	return !slices.ContainsFunc(w.users, func(u *user) bool { return u.accepted && u.ended == "" })
+func (sim *simDeployment) allAcceptedEnded() bool {
+	return !slices.ContainsFunc(sim.users, func(u *user) bool { return u.accepted && u.reportedEnd == "" })
 }
--- a/internal/controller/guest_team_test.go
+++ b/internal/controller/guest_team_test.go
@@ -25,20 +25,20 @@
 }
 
 // begins notes when the first task of each job was first seen running by the leader.
-func (w *world) begins() map[string]model.Micros {
+func (sim *simDeployment) recordStartTimes() map[string]model.Micros {
 	began := map[string]model.Micros{}
 	var look func()
 	look = func() {
-		if l := w.leader(); l != nil && l.ctl.leading.ready {
+		if l := sim.leader(); l != nil && l.ctl.leading.ready {
 			for ref, js := range l.ctl.leading.shard.Jobs {
 				if js.HasRun && began[ref] == 0 {
-					began[ref] = w.Now
+					began[ref] = sim.Now
 				}
 			}
 		}
-		w.After(model.Second/2, look)
+		sim.After(model.Second/2, look)
 	}
-	w.After(0, look)
+	sim.After(0, look)
 	return began
 }
 
@@ -47,15 +47,15 @@
 // class's largest job, begins within four minutes and goes on, and the team whose work is
 // within its guarantee does not wait for it, since the guest's tasks are evicted and
 // save their progress.
-func TestGuestTeamsHugeSweep(t *testing.T) {
-	w := newDeployment(t, 81, guestSettings, map[string]int{"small/a/false": 4, "small/b/false": 4})
-	w.waitForLeader(10 * model.Second)
-	began := w.begins()
+func TestGuestTeamWithLargeSweep(t *testing.T) {
+	sim := newDeployment(t, 81, guestSettings, map[string]int{"small/a/false": 4, "small/b/false": 4})
+	sim.waitForLeader(10 * model.Second)
+	began := sim.recordStartTimes()
 	submitted := map[string]model.Micros{}
 	submit := func(after model.Micros, sub *model.Submission, us *[]*user) {
-		w.At(w.Now+after, func() {
-			submitted[sub.ID] = w.Now
-			*us = append(*us, w.submit(sub, 0))
+		sim.At(sim.Now+after, func() {
+			submitted[sub.ID] = sim.Now
+			*us = append(*us, sim.submit(sub, 0))
 		})
 	}
 	var guests, guaranteed []*user
@@ -69,29 +69,29 @@
 	for i := range model.Micros(24) { // 4 tasks of 2 CPUs: 8 of the 20 that are guaranteed
 		submit((60+8*i)*model.Second, arrayJob(int(i), 4, 8), &guaranteed)
 	}
-	w.At(w.Now+130*model.Second, func() { w.leader().crash() })
-	w.Run(w.Now + 460*model.Second)
+	sim.At(sim.Now+130*model.Second, func() { sim.leader().crash() })
+	sim.Run(sim.Now + 460*model.Second)
 
 	late := 0
 	for _, u := range guaranteed {
-		if at := began[u.sub.ID]; at == 0 || at-submitted[u.sub.ID] > 30*model.Second {
+		if at := began[u.submission.ID]; at == 0 || at-submitted[u.submission.ID] > 30*model.Second {
 			late++
 		}
-		if u.ended != "done" {
-			t.Errorf("%s, within the guarantee: %q", u.sub.ID, u.ended)
+		if u.reportedEnd != "done" {
+			t.Errorf("%s, within the guarantee: %q", u.submission.ID, u.reportedEnd)
 		}
 	}
 	if late > len(guaranteed)/10 {
 		t.Errorf("%d of %d jobs within the guarantee began later than 30 s", late, len(guaranteed))
 	}
 	for _, u := range guests {
-		ref := u.sub.ID
+		ref := u.submission.ID
 		if at := began[ref]; at == 0 || at-submitted[ref] > 240*model.Second {
 			t.Errorf("%s of the guest, submitted at %.0f s, began at %.0f s", ref, submitted[ref].Seconds(), at.Seconds())
 		}
 	}
-	w.until(900*model.Second, "all of the guest is done", func() bool {
-		return !slices.ContainsFunc(guests, func(u *user) bool { return u.ended != "done" })
+	sim.runUntil(900*model.Second, "all of the guest is done", func() bool {
+		return !slices.ContainsFunc(guests, func(u *user) bool { return u.reportedEnd != "done" })
 	})
-	w.check()
+	sim.requireInvariants()
 }
--- a/internal/controller/silence_test.go
+++ b/internal/controller/leader_failover_test.go
@@ -9,56 +9,56 @@
 
 // failoverBound is how long it may take until another controller leads and has taken over:
 // the session of the one before, its end, which may come late, and the election.
-func (w *world) failoverBound() model.Micros {
-	return w.nodes[0].ctl.authority.Times.TTL + 4*model.Second
+func (sim *simDeployment) maxFailoverTime() model.Micros {
+	return sim.nodes[0].ctl.authority.Times.TTL + 4*model.Second
 }
 
 // silent cuts a controller off from all: the state service, the other controllers,
 // workers and users. What it sends meanwhile is carried out when the cut ends.
-func (n *simNode) silent(yes bool) {
-	n.workers, n.peersCutOff, n.usersCutOff = !yes, yes, yes
+func (n *simNode) setIsolated(yes bool) {
+	n.reachableByWorkers, n.peersCutOff, n.usersCutOff = !yes, yes, yes
 	if yes {
-		n.setCut(holding)
+		n.setStateLink(linkHolding)
 	} else {
-		n.setCut(open)
+		n.setStateLink(linkOpen)
 	}
 }
 
 // otherLeads waits until a controller other than the former leader has taken over, and
 // sees that no two hold the authority to act meanwhile.
-func (w *world) otherLeads(former *simNode) {
-	w.t.Helper()
-	w.until(w.failoverBound(), "another controller leads", func() bool {
+func (sim *simDeployment) waitForOtherLeader(former *simNode) {
+	sim.t.Helper()
+	sim.runUntil(sim.maxFailoverTime(), "another controller leads", func() bool {
 		holders := 0
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			if n.alive && !n.paused && n.ctl.leading != nil && n.ctl.authority.IsValid(n.ctl.clock()) {
 				holders++
 			}
 		}
 		if holders > 1 {
-			w.t.Fatalf("%.1f s: %d controllers hold authority\n%s", w.Now.Seconds(), holders, w.describe())
+			sim.t.Fatalf("%.1f s: %d controllers hold authority\n%s", sim.Now.Seconds(), holders, sim.describe())
 		}
-		l := w.leader()
+		l := sim.leader()
 		return l != nil && l != former && !l.paused && l.ctl.leading.ready
 	})
 }
 
 // longWork has arrays and gangs run that last through a failover.
-func longWork(w *world) (us []*user) {
+func startLongJobs(sim *simDeployment) (us []*user) {
 	for i := range 3 {
-		us = append(us, w.submit(arrayJob(i, 4, 45), 0))
-		us = append(us, w.submit(gangJob(10+i, 2, 45), 0))
+		us = append(us, sim.submit(arrayJob(i, 4, 45), 0))
+		us = append(us, sim.submit(gangJob(10+i, 2, 45), 0))
 	}
-	w.running(3*4 + 3*2)
+	sim.waitForRunningTasks(3*4 + 3*2)
 	return us
 }
 
 // allDone sees that every job came to its end.
-func (w *world) allDone(us []*user) {
-	w.t.Helper()
+func (sim *simDeployment) requireAllDone(us []*user) {
+	sim.t.Helper()
 	for _, u := range us {
-		if u.ended != "done" {
-			w.t.Errorf("%s: %q", u.sub.ID, u.ended)
+		if u.reportedEnd != "done" {
+			sim.t.Errorf("%s: %q", u.submission.ID, u.reportedEnd)
 		}
 	}
 }
@@ -66,28 +66,28 @@
 // A leader that is silent for a minute or more is replaced within the bound. The tasks
 // that run go on, as their leases are renewed by the next leader, and when the silence
 // ends, all that the former leader had on its way is carried out late and changes nothing.
-func TestSilentLeader(t *testing.T) {
+func TestIsolatedLeader(t *testing.T) {
 	for _, silence := range []model.Micros{60 * model.Second, 90 * model.Second} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%.0f s, seed %d", silence.Seconds(), seed), func(t *testing.T) {
-				w := newWorld(t, 60+seed)
-				us := longWork(w)
-				starts := w.rules.Starts
-				former := w.leader()
-				former.silent(true)
-				began := w.Now
-				us = append(us, w.submit(arrayJob(50, 4, 10), 0))
-				w.otherLeads(former)
-				w.Run(w.Now + 10*model.Second)
+				sim := newSmallDeployment(t, 60+seed)
+				us := startLongJobs(sim)
+				starts := sim.invariants.Starts
+				former := sim.leader()
+				former.setIsolated(true)
+				began := sim.Now
+				us = append(us, sim.submit(arrayJob(50, 4, 10), 0))
+				sim.waitForOtherLeader(former)
+				sim.Run(sim.Now + 10*model.Second)
 				// Nothing that ran was lost: only the new job's tasks may have begun.
-				if n := w.rules.Starts - starts; n > 4 {
+				if n := sim.invariants.Starts - starts; n > 4 {
 					t.Errorf("%d tasks began during the failover, more than what was submitted", n)
 				}
-				w.Run(began + silence)
-				former.silent(false)
-				w.Run(w.Now + 120*model.Second)
-				w.check()
-				w.allDone(us)
+				sim.Run(began + silence)
+				former.setIsolated(false)
+				sim.Run(sim.Now + 120*model.Second)
+				sim.requireInvariants()
+				sim.requireAllDone(us)
 			})
 		}
 	}
@@ -97,33 +97,33 @@
 // than its session. When it goes on, it believes to lead until its clock is read: it must
 // act on nothing that it no longer holds. A short pause costs it nothing.
 func TestPausedLeader(t *testing.T) {
-	ttl := newWorld(t, 1).nodes[0].ctl.authority.Times.TTL
+	ttl := newSmallDeployment(t, 1).nodes[0].ctl.authority.Times.TTL
 	for _, pause := range []model.Micros{2 * model.Second, ttl - model.Second, ttl + model.Second, 30 * model.Second, 70 * model.Second} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%.0f s, seed %d", pause.Seconds(), seed), func(t *testing.T) {
-				w := newWorld(t, 70+seed)
-				us := longWork(w)
-				former := w.leader()
+				sim := newSmallDeployment(t, 70+seed)
+				us := startLongJobs(sim)
+				former := sim.leader()
 				token := former.ctl.leading.token
 				former.pauseFor(pause)
-				us = append(us, w.submit(arrayJob(50, 4, 10), 0))
-				cancelled := w.submit(arrayJob(51, 4, 60), 3*model.Second)
+				us = append(us, sim.submit(arrayJob(50, 4, 10), 0))
+				cancelled := sim.submit(arrayJob(51, 4, 60), 3*model.Second)
 				if pause > ttl+4*model.Second {
-					w.otherLeads(former)
-					if l := w.leader(); l.ctl.leading.token <= token {
+					sim.waitForOtherLeader(former)
+					if l := sim.leader(); l.ctl.leading.token <= token {
 						t.Errorf("the next leader's token %d is not above %d", l.ctl.leading.token, token)
 					}
 					// Reports that came to it while it stood still are answered by it when it goes on.
-					w.Run(w.Now + pause - ttl)
+					sim.Run(sim.Now + pause - ttl)
 					if l := former.ctl.leading; l != nil && former.ctl.authority.IsValid(former.ctl.clock()) && l.token == token {
 						t.Error("the former leader goes on under its old token")
 					}
 				}
-				w.Run(w.Now + pause + 120*model.Second)
-				w.check()
-				w.allDone(us)
-				if cancelled.ended != "withdrawn" {
-					t.Errorf("cancelled during the pause: %q", cancelled.ended)
+				sim.Run(sim.Now + pause + 120*model.Second)
+				sim.requireInvariants()
+				sim.requireAllDone(us)
+				if cancelled.reportedEnd != "withdrawn" {
+					t.Errorf("cancelled during the pause: %q", cancelled.reportedEnd)
 				}
 			})
 		}
--- a/internal/controller/cells_world_test.go
+++ b/internal/controller/sim_cells_test.go
@@ -14,27 +14,27 @@
 
 // simCell is a deployment's part among other cells.
 type simCell struct {
-	name   string
-	policy *spill.Policy // the spill file, nil: none
-	cells  *cellWorld
+	name      string
+	policy    *spill.Policy // the spill file, nil: none
+	multiCell *multiCellSim
 }
 
 // cellWorld is three cells of two controllers each. They share time and the watch over the
 // rules, so that a task that runs in two cells, or a team that is over its limit with what
 // it has in all of them, is seen.
-type cellWorld struct {
+type multiCellSim struct {
 	*standin.Sim
-	t     *testing.T
-	rules *standin.InvariantChecker
-	cells []*world
+	t          *testing.T
+	invariants *standin.InvariantChecker
+	cells      []*simDeployment
 
-	cut               map[cellLink]int // how the way from one cell to another is cut
-	held              map[cellLink][]func()
+	linkStates        map[cellLink]int // how the way from one cell to another is cut
+	heldCalls         map[cellLink][]func()
 	duplicateRequests float64 // chance that a call arrives once more, up to minutes later
-	slow              model.Micros
+	extraDelay        model.Micros
 	// watch, if set, is told of every call that arrives.
-	watch func(from, to *world, call any)
-	calls int
+	onCall    func(from, to *simDeployment, call any)
+	callCount int
 }
 
 // cellLink is one direction between two cells.
@@ -56,8 +56,8 @@
 
 // Leases of the right: the default, and about the longest that fits into cancel_s.
 const (
-	defaultRight = 10
-	longestRight = 17.5
+	defaultLeaseS = 10
+	longestLeaseS = 17.5
 )
 
 // spillFile is the spill file of a cell.
@@ -72,7 +72,7 @@
 	return b.String() + "</spill>"
 }
 
-func spillPolicy(t *testing.T, file string) *spill.Policy {
+func parseSpillPolicy(t *testing.T, file string) *spill.Policy {
 	w := cellSettings("").Params.Workers
 	p, err := spill.ParseSettings([]byte(file), model.Seconds(w.LeaseS), model.Seconds(w.CancelS))
 	if err != nil {
@@ -83,38 +83,38 @@
 
 // newCellWorld starts the cells; small is each one's capacity of small machines by zone
 // and kind.
-func newCellWorld(t *testing.T, seed uint64, leaseS float64, small ...int) *cellWorld {
+func newMultiCellSim(t *testing.T, seed uint64, leaseS float64, small ...int) *multiCellSim {
 	sim, set := standin.NewSim(seed), cellSettings("")
-	x := &cellWorld{Sim: sim, t: t, rules: standin.NewInvariantChecker(sim, set.Teams(), model.Seconds(set.Params.Workers.CancelS)),
-		cut: map[cellLink]int{}, held: map[cellLink][]func(){}}
+	x := &multiCellSim{Sim: sim, t: t, invariants: standin.NewInvariantChecker(sim, set.Teams(), model.Seconds(set.Params.Workers.CancelS)),
+		linkStates: map[cellLink]int{}, heldCalls: map[cellLink][]func(){}}
 	for i, name := range cellNames {
-		w := newCell(t, sim, x.rules, cellSettings, capacity(small[i], 0))
-		w.state.KeepLog = true
-		w.cell = &simCell{name: name, policy: spillPolicy(t, spillFile(name, leaseS)), cells: x}
-		w.cloud.Cell = name
-		x.cells = append(x.cells, w)
-		w.addNode("node-0")
-		w.addNode("node-1")
+		cell := newDeploymentWithoutControllers(t, sim, x.invariants, cellSettings, cloudCapacity(small[i], 0))
+		cell.state.KeepLog = true
+		cell.cell = &simCell{name: name, policy: parseSpillPolicy(t, spillFile(name, leaseS)), multiCell: x}
+		cell.cloud.Cell = name
+		x.cells = append(x.cells, cell)
+		cell.addNode("node-0")
+		cell.addNode("node-1")
 	}
 	return x
 }
 
-func (x *cellWorld) cellNamed(name string) *world {
-	for _, w := range x.cells {
-		if w.cell.name == name {
-			return w
+func (x *multiCellSim) cellNamed(name string) *simDeployment {
+	for _, sim := range x.cells {
+		if sim.cell.name == name {
+			return sim
 		}
 	}
 	return nil
 }
 
 // set cuts one direction between two cells; open delivers what was held.
-func (x *cellWorld) set(from, to string, kind int) {
+func (x *multiCellSim) setLink(from, to string, kind int) {
 	link := cellLink{from, to}
-	x.cut[link] = kind
-	if kind == open {
-		late := x.held[link]
-		delete(x.held, link)
+	x.linkStates[link] = kind
+	if kind == linkOpen {
+		late := x.heldCalls[link]
+		delete(x.heldCalls, link)
 		for _, f := range late {
 			f()
 		}
@@ -122,24 +122,24 @@
 }
 
 // pass carries something over one direction of a link.
-func (x *cellWorld) pass(from, to string, f func()) {
+func (x *multiCellSim) sendOverLink(from, to string, f func()) {
 	link := cellLink{from, to}
-	switch x.cut[link] {
-	case dropped:
-	case holding:
-		x.held[link] = append(x.held[link], f)
+	switch x.linkStates[link] {
+	case linkDropping:
+	case linkHolding:
+		x.heldCalls[link] = append(x.heldCalls[link], f)
 	default:
-		x.After(x.Between(model.Millisecond, 10*model.Millisecond+x.slow), f)
+		x.After(x.Between(model.Millisecond, 10*model.Millisecond+x.extraDelay), f)
 	}
 }
 
 // simCells carries a controller's calls to other cells.
-type simCells struct{ n *simNode }
+type simCellCalls struct{ node *simNode }
 
 // call asks the controllers of a cell in turn until one that holds the shard answers; done
 // is called once, with no answer after the patience.
-func (s *simCells) call(cell string, request any, send func(n *simNode, answer func(any, error)), done func(any, error)) {
-	x, home := s.n.w.cell.cells, s.n.w
+func (s *simCellCalls) call(cell string, request any, send func(n *simNode, answer func(any, error)), done func(any, error)) {
+	x, home := s.node.sim.cell.multiCell, s.node.sim
 	guest := x.cellNamed(cell)
 	answered := false
 	give := func(a any, err error) {
@@ -150,31 +150,31 @@
 	}
 	x.After(model.Micros(cellCallTimeout.Microseconds()), func() { give(nil, spill.ErrUnreachable) })
 	arrive := func() {
-		x.calls++
-		if x.watch != nil {
-			x.watch(home, guest, request)
+		x.callCount++
+		if x.onCall != nil {
+			x.onCall(home, guest, request)
 		}
 		for _, n := range guest.nodes {
 			send(n, func(a any, err error) {
 				if err == nil {
-					x.pass(cell, home.cell.name, func() { give(a, nil) })
+					x.sendOverLink(cell, home.cell.name, func() { give(a, nil) })
 				}
 			})
 		}
 	}
-	x.pass(home.cell.name, cell, arrive)
+	x.sendOverLink(home.cell.name, cell, arrive)
 	if x.duplicateRequests > 0 && x.Chance(x.duplicateRequests) {
 		x.After(x.Between(model.Second, 150*model.Second), arrive)
 	}
 }
 
-func (s *simCells) offer(m msgOffered) {
-	life := s.n.life
+func (s *simCellCalls) offer(m msgOffered) {
+	life := s.node.incarnation
 	s.call(m.cell, m.offer, func(n *simNode, answer func(any, error)) {
 		reply := make(chan offerReply, 1)
 		offer := *m.offer
-		n.ask(msgOffer{&offer, reply}, func() bool {
-			r, got := received(reply)
+		n.send(msgOffer{&offer, reply}, func() bool {
+			r, got := tryReceive(reply)
 			if got {
 				answer(r.answer, r.err)
 			}
@@ -183,16 +183,16 @@
 	}, func(a any, err error) {
 		m.answer, _ = a.(*spill.OfferAnswer)
 		m.err = err
-		s.n.deliver(life, m)
+		s.node.deliver(life, m)
 	})
 }
 
-func (s *simCells) renew(m msgRenewed) {
-	life := s.n.life
+func (s *simCellCalls) renew(m msgRenewed) {
+	life := s.node.incarnation
 	s.call(m.home, m.renewal, func(n *simNode, answer func(any, error)) {
 		reply := make(chan renewalReply, 1)
-		n.ask(msgRenewal{m.renewal, reply}, func() bool {
-			r, got := received(reply)
+		n.send(msgRenewal{m.renewal, reply}, func() bool {
+			r, got := tryReceive(reply)
 			if got {
 				answer(r.answer, r.err)
 			}
@@ -201,12 +201,12 @@
 	}, func(a any, err error) {
 		m.answer, _ = a.(*spill.RenewalAnswer)
 		m.err = err
-		s.n.deliver(life, m)
+		s.node.deliver(life, m)
 	})
 }
 
 // received tells whether a reply is there.
-func received[T any](reply <-chan T) (answer T, got bool) {
+func tryReceive[T any](reply <-chan T) (answer T, got bool) {
 	select {
 	case answer = <-reply:
 		return answer, true
@@ -216,8 +216,8 @@
 }
 
 // drop ends all controllers of a cell, for so long.
-func (x *cellWorld) drop(w *world, long model.Micros) {
-	for _, n := range w.nodes {
+func (x *multiCellSim) crashCell(sim *simDeployment, long model.Micros) {
+	for _, n := range sim.nodes {
 		if n.alive {
 			n.crash()
 			x.After(long+x.Between(0, model.Second), func() {
@@ -230,30 +230,30 @@
 }
 
 // calm ends all troubles.
-func (x *cellWorld) calm() {
-	for _, w := range x.cells {
-		for _, n := range w.nodes {
+func (x *multiCellSim) endFaults() {
+	for _, sim := range x.cells {
+		for _, n := range sim.nodes {
 			n.intercept = nil
 			if n.paused {
 				n.resumeAfter(0)
 			}
 		}
-		(&meeting{world: w}).calm()
+		(&failureScenario{simDeployment: sim}).endFaults()
 	}
 	for _, from := range cellNames {
 		for _, to := range cellNames {
-			x.set(from, to, open)
+			x.setLink(from, to, linkOpen)
 		}
 	}
-	x.duplicateRequests, x.slow, x.watch = 0, 0, nil
+	x.duplicateRequests, x.extraDelay, x.onCall = 0, 0, nil
 }
 
 // allEnded tells whether users were told of the end of all jobs that they submitted, but for
 // those that they gave up.
-func (x *cellWorld) allEnded() bool {
-	for _, w := range x.cells {
-		for _, u := range w.users {
-			if x.rules.ReportedEnd(u.sub.ID) == "" && (u.accepted || x.Now < u.deadline) {
+func (x *multiCellSim) allEnded() bool {
+	for _, sim := range x.cells {
+		for _, u := range sim.users {
+			if x.invariants.ReportedEnd(u.submission.ID) == "" && (u.accepted || x.Now < u.deadline) {
 				return false
 			}
 		}
@@ -262,24 +262,24 @@
 }
 
 // records counts the records of spilling in all cells.
-func (x *cellWorld) records() (n int) {
-	for _, w := range x.cells {
-		n += w.state.KeyCount("spill/")
+func (x *multiCellSim) spillRecordCount() (n int) {
+	for _, sim := range x.cells {
+		n += sim.state.KeyCount("spill/")
 	}
 	return n
 }
 
 // lentJobs counts the lendings that the state services of all cells have accepted.
-func (x *cellWorld) lentJobs() (n int) {
+func (x *multiCellSim) lendingCount() (n int) {
 	x.eachLending(func(string, *spill.OutRecord) { n++ })
 	return n
 }
 
 // eachLending calls f for every lending that a home cell has written.
-func (x *cellWorld) eachLending(f func(job string, record *spill.OutRecord)) {
-	for _, w := range x.cells {
+func (x *multiCellSim) eachLending(f func(job string, record *spill.OutRecord)) {
+	for _, sim := range x.cells {
 		seen := map[uint64]bool{}
-		for _, write := range w.state.Log {
+		for _, write := range sim.state.Log {
 			for _, op := range write.Txn.Then {
 				record, ok := op.Value.(spill.OutRecord)
 				if ok && len(write.Rejected) == 0 && record.State == spill.Lent && !seen[record.Token] {
@@ -292,54 +292,54 @@
 }
 
 // call asks any controller of a cell.
-func (x *cellWorld) call(w *world, msg func(chan<- userapi.Answer) any, f func(userapi.Answer)) {
-	w.call(nil, 5*model.Second, msg, f)
+func (x *multiCellSim) sendUserRequest(sim *simDeployment, msg func(chan<- userapi.Answer) any, f func(userapi.Answer)) {
+	sim.sendUserRequest(nil, 5*model.Second, msg, f)
 }
 
 // verify sees, all troubles over, that everything accepted ends, the rules held, and no
 // record of spilling is left.
-func (x *cellWorld) verify(f interface {
+func (x *multiCellSim) requireCleanEnd(f interface {
 	Helper()
 	Fatalf(string, ...any)
 }) {
 	f.Helper()
-	x.calm()
-	for _, w := range x.cells {
-		for _, u := range w.users {
-			if u.accepted && u.sub.Kind == "service" {
+	x.endFaults()
+	for _, sim := range x.cells {
+		for _, u := range sim.users {
+			if u.accepted && u.submission.Kind == "service" {
 				u.cancel(nil)
 			}
 		}
 	}
 	limit := x.Now + 500*model.Second
-	for x.Now < limit && !(x.allEnded() && x.records() == 0) {
+	for x.Now < limit && !(x.allEnded() && x.spillRecordCount() == 0) {
 		x.Run(x.Now + model.Second)
 	}
-	x.rules.CheckCancelled()
-	if len(x.rules.Violations) > 0 {
-		f.Fatalf("rules broken: %v", x.rules.Violations)
+	x.invariants.CheckCancelled()
+	if len(x.invariants.Violations) > 0 {
+		f.Fatalf("rules broken: %v", x.invariants.Violations)
 	}
-	for ref := range x.rules.Accepted {
-		if x.rules.ReportedEnd(ref) == "" {
-			f.Fatalf("%s (%+v) never ended; %s", ref, x.rules.Submitted[ref], x.describe(ref))
+	for ref := range x.invariants.Accepted {
+		if x.invariants.ReportedEnd(ref) == "" {
+			f.Fatalf("%s (%+v) never ended; %s", ref, x.invariants.Submitted[ref], x.describe(ref))
 		}
 	}
-	if n := x.records(); n > 0 {
+	if n := x.spillRecordCount(); n > 0 {
 		f.Fatalf("%d records of spilling are left: %s", n, x.describe(""))
 	}
 }
 
 // describe is for failure messages.
-func (x *cellWorld) describe(ref string) string {
+func (x *multiCellSim) describe(ref string) string {
 	var b strings.Builder
-	for _, w := range x.cells {
-		entries, _, _ := w.state.List("")
+	for _, sim := range x.cells {
+		entries, _, _ := sim.state.List("")
 		for _, e := range entries {
 			if strings.HasPrefix(e.Path, "spill/") || ref != "" && strings.HasSuffix(e.Path, ref) {
-				fmt.Fprintf(&b, "%s %s = %s\n", w.cell.name, e.Path, e.Value)
+				fmt.Fprintf(&b, "%s %s = %s\n", sim.cell.name, e.Path, e.Value)
 			}
 		}
-		b.WriteString(w.describe())
+		b.WriteString(sim.describe())
 	}
 	return b.String()
 }
--- a/internal/controller/sim_network_test.go
+++ b/internal/controller/sim_network_test.go
@@ -10,47 +10,47 @@
 )
 
 // Nodes and Checkin make the world a network for workers.
-func (w *world) Nodes() []string {
+func (sim *simDeployment) Nodes() []string {
 	var ns []string
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		ns = append(ns, n.name)
 	}
 	return ns
 }
 
-func (w *world) SendHeartbeat(x *standin.Worker, node string, body []byte, answer func(int, []byte)) {
-	n := w.nodes[slices.Index(w.Nodes(), node)]
-	if w.cutFromNode[x.ID] == node || w.heartbeatsBlocked[x.ID] || w.reaches != nil && !w.reaches(x, n) {
+func (sim *simDeployment) SendHeartbeat(x *standin.Worker, node string, body []byte, answer func(int, []byte)) {
+	n := sim.nodes[slices.Index(sim.Nodes(), node)]
+	if sim.unreachableNode[x.ID] == node || sim.heartbeatsBlocked[x.ID] || sim.canReach != nil && !sim.canReach(x, n) {
 		return
 	}
-	if w.responsesLost[x.ID] {
+	if sim.responsesLost[x.ID] {
 		answer = func(int, []byte) {}
 	}
-	if w.cut[x.ID] {
-		w.late = append(w.late, func(to *simNode) {
+	if sim.delayedMachines[x.ID] {
+		sim.delayedHeartbeats = append(sim.delayedHeartbeats, func(to *simNode) {
 			if to == nil {
 				to = n
 			}
-			w.deliverReport(to, body, w.Between(200, 2*model.Second), func(int, []byte) {})
+			sim.deliverHeartbeat(to, body, sim.Between(200, 2*model.Second), func(int, []byte) {})
 		})
 		return
 	}
-	w.deliverReport(n, body, w.Between(200, 2000+w.lag), answer)
-	if w.duplicateHeartbeats > 0 && w.Chance(w.duplicateHeartbeats) {
-		to := w.nodes[w.Rand.IntN(len(w.nodes))]
-		w.deliverReport(to, body, w.Between(2*model.Second, duplicateDelay), func(int, []byte) {})
+	sim.deliverHeartbeat(n, body, sim.Between(200, 2000+sim.heartbeatLag), answer)
+	if sim.duplicateHeartbeatChance > 0 && sim.Chance(sim.duplicateHeartbeatChance) {
+		to := sim.nodes[sim.Rand.IntN(len(sim.nodes))]
+		sim.deliverHeartbeat(to, body, sim.Between(2*model.Second, maxDuplicateDelay), func(int, []byte) {})
 	}
-	if w.recordsHeartbeats {
-		w.recordedHeartbeats = append(w.recordedHeartbeats, func() {
-			for _, n := range w.nodes {
-				w.deliverReport(n, body, 0, func(int, []byte) {})
+	if sim.recordsHeartbeats {
+		sim.recordedHeartbeats = append(sim.recordedHeartbeats, func() {
+			for _, n := range sim.nodes {
+				sim.deliverHeartbeat(n, body, 0, func(int, []byte) {})
 			}
 		})
 	}
 }
 
 // repeatAll delivers recorded heartbeats once more, to all controllers.
-func repeatAll(recorded []func()) {
+func replayHeartbeats(recorded []func()) {
 	for _, deliver := range recorded {
 		deliver()
 	}
@@ -58,26 +58,26 @@
 
 // deliverReport has a report arrive at a controller after that time, unless it is down or
 // no worker reaches it. answer gets the response.
-func (w *world) deliverReport(n *simNode, body []byte, after model.Micros, answer func(int, []byte)) {
-	w.After(after, func() {
-		if !n.alive || !n.workers {
+func (sim *simDeployment) deliverHeartbeat(n *simNode, body []byte, after model.Micros, answer func(int, []byte)) {
+	sim.After(after, func() {
+		if !n.alive || !n.reachableByWorkers {
 			return
 		}
 		r, err := workerapi.ParseHeartbeat(body)
 		if err != nil {
 			panic(err)
 		}
-		n.handsOver(msgHeartbeat{heartbeat: r}, func(a workerAnswer) {
-			back := w.Between(200, 2000+w.lag)
-			if w.Chance(0.01) {
+		n.receiveHeartbeat(msgHeartbeat{heartbeat: r}, func(a workerAnswer) {
+			back := sim.Between(200, 2000+sim.heartbeatLag)
+			if sim.Chance(0.01) {
 				back = 5 * model.Second // too late for the worker
 			}
-			give := func(a workerAnswer) { w.After(back, func() { answer(a.code, a.body) }) }
+			give := func(a workerAnswer) { sim.After(back, func() { answer(a.code, a.body) }) }
 			if a.relayTo == "" {
 				give(a)
 				return
 			}
-			w.relayReport(n, r, a, give)
+			sim.relayHeartbeat(n, r, a, give)
 		})
 	})
 }
@@ -87,33 +87,33 @@
 
 // relayReport carries a report on to the controller that an answer names. give gets that
 // one's answer, or the first one if relaying fails.
-func (w *world) relayReport(n *simNode, r *shard.Heartbeat, a workerAnswer, give func(workerAnswer)) {
-	l := w.nodes[slices.Index(w.Nodes(), a.relayTo)]
-	life := n.life
+func (sim *simDeployment) relayHeartbeat(n *simNode, r *shard.Heartbeat, a workerAnswer, give func(workerAnswer)) {
+	l := sim.nodes[slices.Index(sim.Nodes(), a.relayTo)]
+	life := n.incarnation
 	fail := func() {
 		n.deliver(life, msgRelayFailed{})
 		give(a)
 	}
-	if l.peersCutOff || n.peersCutOff || l.old || !l.alive || w.Chance(0.01) {
-		w.After(w.Between(0, simRelayTimeout), fail)
+	if l.peersCutOff || n.peersCutOff || l.runsProductionVersion || !l.alive || sim.Chance(0.01) {
+		sim.After(sim.Between(0, simRelayTimeout), fail)
 		return
 	}
 	answered := false
-	w.After(simRelayTimeout, func() {
+	sim.After(simRelayTimeout, func() {
 		if !answered {
 			answered = true
 			fail()
 		}
 	})
-	w.After(w.Between(200, 2000), func() {
-		l.handsOver(msgHeartbeat{heartbeat: r, relayed: true}, func(b workerAnswer) {
-			w.After(w.Between(200, 2000), func() {
-				if answered || n.life != life {
+	sim.After(sim.Between(200, 2000), func() {
+		l.receiveHeartbeat(msgHeartbeat{heartbeat: r, relayed: true}, func(b workerAnswer) {
+			sim.After(sim.Between(200, 2000), func() {
+				if answered || n.incarnation != life {
 					return
 				}
 				answered = true
 				if b.code == 200 {
-					w.relayed++
+					sim.relayedHeartbeats++
 				}
 				give(b)
 			})
@@ -122,10 +122,10 @@
 }
 
 // handsOver gives the actor a report; f gets its answer.
-func (n *simNode) handsOver(m msgHeartbeat, f func(workerAnswer)) {
+func (n *simNode) receiveHeartbeat(m msgHeartbeat, f func(workerAnswer)) {
 	reply := make(chan workerAnswer, 1)
 	m.reply = reply
-	n.ask(m, func() bool {
+	n.send(m, func() bool {
 		select {
 		case a := <-reply:
 			f(a)
--- a/internal/controller/pause_test.go
+++ b/internal/controller/sim_pause_test.go
@@ -12,7 +12,7 @@
 type pausePoint int
 
 const (
-	nowhere pausePoint = iota
+	noPausePoint pausePoint = iota
 	beforeLease
 	beforeHandOver
 	beforeIntent
@@ -27,16 +27,16 @@
 	intentAnswer
 	beforeRenewal
 	renewalAnswer
-	pausePoints
+	pausePointCount
 )
 
 // pointOf is the point before a transaction is sent.
-func pointOf(m msgCommitted) pausePoint {
+func pausePointBefore(m msgCommitted) pausePoint {
 	if m.lane == laneIntent {
 		return beforeIntent
 	}
 	if m.lane != laneDuty || len(m.txn.Then) == 0 {
-		return nowhere
+		return noPausePoint
 	}
 	switch op := m.txn.Then[0]; {
 	case op.Drop != "":
@@ -52,7 +52,7 @@
 }
 
 // answerOf is the point at which an answer comes in.
-func answerOf(m any) pausePoint {
+func pausePointOnAnswer(m any) pausePoint {
 	switch m := m.(type) {
 	case msgRented:
 		return rentAnswer
@@ -62,16 +62,16 @@
 		if m.lane == laneIntent {
 			return intentAnswer
 		}
-		if p := pointOf(m); p == beforeLease || p == beforeHandOver {
+		if p := pausePointBefore(m); p == beforeLease || p == beforeHandOver {
 			return leaseAnswer
 		}
 	}
-	return nowhere
+	return noPausePoint
 }
 
 // reaches has the process stand still if it is to do so at this point.
-func (n *simNode) reaches(point pausePoint) bool {
-	if point == nowhere || n.paused || n.pauseAt == nil || !n.pauseAt(point) {
+func (n *simNode) reachPausePoint(point pausePoint) bool {
+	if point == noPausePoint || n.paused || n.shouldPause == nil || !n.shouldPause(point) {
 		return false
 	}
 	n.paused = true
@@ -79,9 +79,9 @@
 }
 
 // stopped tells that the process stands still; f is done when it goes on.
-func (n *simNode) stopped(f func()) bool {
+func (n *simNode) deferIfPaused(f func()) bool {
 	if n.paused {
-		n.waiting = append(n.waiting, f)
+		n.deferredCalls = append(n.deferredCalls, f)
 	}
 	return n.paused
 }
@@ -93,13 +93,13 @@
 }
 
 func (n *simNode) resumeAfter(d model.Micros) {
-	life := n.life
-	n.w.After(d, func() {
-		if n.life != life || !n.alive {
+	life := n.incarnation
+	n.sim.After(d, func() {
+		if n.incarnation != life || !n.alive {
 			return
 		}
-		waiting := n.waiting
-		n.paused, n.waiting = false, nil
+		waiting := n.deferredCalls
+		n.paused, n.deferredCalls = false, nil
 		for _, f := range waiting {
 			f()
 		}
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -31,44 +31,44 @@
 }
 
 // world is a deployment in simulated time.
-type world struct {
+type simDeployment struct {
 	*standin.Sim
-	t     *testing.T
-	state *standin.State
-	cloud *standin.Cloud
-	rules *standin.InvariantChecker
-	nodes []*simNode
-	users []*user
+	t          *testing.T
+	state      *standin.State
+	cloud      *standin.Cloud
+	invariants *standin.InvariantChecker
+	nodes      []*simNode
+	users      []*user
 	// settings are read by a node whenever it starts.
 	settings func(name string) *config.Settings
 	policy   func(name string) *duty.Policy // the duties file, nil: none
 	cell     *simCell                       // its part among other cells, nil: there are none
 
-	cut                 map[string]bool   // machines whose reports wait until the cut ends
-	late                []func(*simNode)  // these reports, to be delivered to a node, or to the one they were sent to (nil)
-	cutFromNode         map[string]string // machines that can't reach the node
-	responsesLost       map[string]bool   // machines whose heartbeats arrive, but which get no response
-	duplicateHeartbeats float64           // chance that a report arrives once more, up to duplicateDelay later
-	repeats             float64           // chance that a request to the state service or the cloud is carried out once more
-	relayed             int               // reports that were handed on and answered
-	recordedHeartbeats  []func()          // every heartbeat as it was delivered, if recordsHeartbeats is set
-	recordsHeartbeats   bool
+	delayedMachines          map[string]bool   // machines whose reports wait until the cut ends
+	delayedHeartbeats        []func(*simNode)  // these reports, to be delivered to a node, or to the one they were sent to (nil)
+	unreachableNode          map[string]string // machines that can't reach the node
+	responsesLost            map[string]bool   // machines whose heartbeats arrive, but which get no response
+	duplicateHeartbeatChance float64           // chance that a report arrives once more, up to duplicateDelay later
+	duplicateRequestChance   float64           // chance that a request to the state service or the cloud is carried out once more
+	relayedHeartbeats        int               // reports that were handed on and answered
+	recordedHeartbeats       []func()          // every heartbeat as it was delivered, if recordsHeartbeats is set
+	recordsHeartbeats        bool
 
 	heartbeatsBlocked map[string]bool                          // machines that reach no controller
-	reaches           func(x *standin.Worker, n *simNode) bool // whether a worker's network reaches a node; nil: it does
-	lag               model.Micros                             // reports and answers take up to so much longer
-	lateWrites        float64                                  // chance that a transaction gets no answer and is carried out later
-	lateBy            func() model.Micros                      // how much later
-	arrivedLate       int                                      // such transactions that came to the state service
-	wroteLate         int                                      // such transactions that changed something
+	canReach          func(x *standin.Worker, n *simNode) bool // whether a worker's network reaches a node; nil: it does
+	heartbeatLag      model.Micros                             // reports and answers take up to so much longer
+	lateWriteChance   float64                                  // chance that a transaction gets no answer and is carried out later
+	lateWriteDelay    func() model.Micros                      // how much later
+	lateWritesArrived int                                      // such transactions that came to the state service
+	lateWritesApplied int                                      // such transactions that changed something
 	checksEveryNode   bool                                     // users ask at all nodes when they are told anything
 	everyNodeAnswers  int                                      // questions so asked that were answered
 	stateLag          model.Micros                             // requests to the state service take up to so much longer
-	begun             []string                                 // the drawn faults that have begun, for failure messages
+	startedFaults     []string                                 // the drawn faults that have begun, for failure messages
 }
 
 // duplicateDelay is well over a lease.
-const duplicateDelay = 60 * model.Second
+const maxDuplicateDelay = 60 * model.Second
 
 var simMachineTypes = []model.MachineType{
 	{Name: "small", Cores: 8, MemoryGB: 32, CacheGB: 20, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a", "b"}},
@@ -91,7 +91,7 @@
 }
 
 // sockets are settings with so many sockets.
-func sockets(n int, settings func(name string) *config.Settings) func(name string) *config.Settings {
+func withFDLimit(n int, settings func(name string) *config.Settings) func(name string) *config.Settings {
 	return func(name string) *config.Settings {
 		s := settings(name)
 		s.Params.Quota.FDLimit = n
@@ -100,7 +100,7 @@
 }
 
 // capacity is so many machines of each type in each zone and of each kind.
-func capacity(small, gpu int) map[string]int {
+func cloudCapacity(small, gpu int) map[string]int {
 	m := map[string]int{}
 	for _, y := range []string{"a", "b"} {
 		for _, spot := range []bool{true, false} {
@@ -112,48 +112,48 @@
 }
 
 // newWorld is a small deployment: its fleet is soon full.
-func newWorld(t *testing.T, seed uint64) *world {
-	return newDeployment(t, seed, simSettings, capacity(4, 2))
+func newSmallDeployment(t *testing.T, seed uint64) *simDeployment {
+	return newDeployment(t, seed, simSettings, cloudCapacity(4, 2))
 }
 
-func newDeployment(t *testing.T, seed uint64, settings func(name string) *config.Settings, capacity map[string]int) *world {
+func newDeployment(t *testing.T, seed uint64, settings func(name string) *config.Settings, capacity map[string]int) *simDeployment {
 	sim, set := standin.NewSim(seed), settings("")
 	rules := standin.NewInvariantChecker(sim, set.Teams(), model.Seconds(set.Params.Workers.CancelS))
-	w := newCell(t, sim, rules, settings, capacity)
+	deployment := newDeploymentWithoutControllers(t, sim, rules, settings, capacity)
 	for i := range 3 {
-		w.addNode(fmt.Sprintf("node-%d", i))
+		deployment.addNode(fmt.Sprintf("node-%d", i))
 	}
-	return w
+	return deployment
 }
 
 // newCell is a deployment without controllers that shares time and rules with others.
-func newCell(t *testing.T, sim *standin.Sim, rules *standin.InvariantChecker, settings func(name string) *config.Settings, capacity map[string]int) *world {
-	w := &world{Sim: sim, rules: rules, t: t, settings: settings, cutFromNode: map[string]string{}, responsesLost: map[string]bool{}, cut: map[string]bool{}, heartbeatsBlocked: map[string]bool{}}
-	w.state = standin.NewState(w.Sim)
+func newDeploymentWithoutControllers(t *testing.T, sim *standin.Sim, rules *standin.InvariantChecker, settings func(name string) *config.Settings, capacity map[string]int) *simDeployment {
+	deployment := &simDeployment{Sim: sim, invariants: rules, t: t, settings: settings, unreachableNode: map[string]string{}, responsesLost: map[string]bool{}, delayedMachines: map[string]bool{}, heartbeatsBlocked: map[string]bool{}}
+	deployment.state = standin.NewState(deployment.Sim)
 	ps := settings("").Params.Workers
-	w.cloud = standin.NewCloud(w.Sim, w, w.rules, simMachineTypes, standin.WorkerTimes{HeartbeatInterval: model.Seconds(ps.ReportS), Lease: model.Seconds(ps.LeaseS),
+	deployment.cloud = standin.NewCloud(deployment.Sim, deployment, deployment.invariants, simMachineTypes, standin.WorkerTimes{HeartbeatInterval: model.Seconds(ps.ReportS), Lease: model.Seconds(ps.LeaseS),
 		GangWait: model.Seconds(ps.GangWaitS), GangPeer: model.Seconds(ps.GangPeerS)})
-	w.cloud.Capacity = capacity
-	return w
+	deployment.cloud.Capacity = capacity
+	return deployment
 }
 
 // addNode starts one more controller.
-func (w *world) addNode(name string) {
-	n := &simNode{w: w, name: name, workers: true}
-	w.nodes = append(w.nodes, n)
+func (sim *simDeployment) addNode(name string) {
+	n := &simNode{sim: sim, name: name, reachableByWorkers: true}
+	sim.nodes = append(sim.nodes, n)
 	n.start()
 }
 
-func (w *world) check() {
-	w.t.Helper()
-	w.rules.CheckCancelled()
-	if len(w.rules.Violations) > 0 {
-		w.t.Fatalf("rules broken: %v", w.rules.Violations)
+func (sim *simDeployment) requireInvariants() {
+	sim.t.Helper()
+	sim.invariants.CheckCancelled()
+	if len(sim.invariants.Violations) > 0 {
+		sim.t.Fatalf("rules broken: %v", sim.invariants.Violations)
 	}
 }
 
-func (w *world) leader() *simNode {
-	for _, n := range w.nodes {
+func (sim *simDeployment) leader() *simNode {
+	for _, n := range sim.nodes {
 		if n.alive && n.ctl.leading != nil && n.ctl.authority.IsValid(n.ctl.clock()) {
 			return n
 		}
@@ -173,21 +173,21 @@
 }
 
 // describe is for failure messages.
-func (w *world) describe() string {
-	s := w.cloud.Describe()
-	for _, n := range w.nodes {
+func (sim *simDeployment) describe() string {
+	s := sim.cloud.Describe()
+	for _, n := range sim.nodes {
 		s += fmt.Sprintf("%s: alive %v, session %d, holds %v, busy %v, syncing %v", n.name, n.alive, n.ctl.session, n.ctl.authority.IsValid(n.ctl.clock()), n.ctl.lanes.busy, n.ctl.sync.inProgress)
 		if l := n.ctl.leading; l != nil {
 			s += fmt.Sprintf(", leads: ready %v, resync %v, queued %d, budget %d", l.ready, l.resync, l.shard.PendingWrites(), n.ctl.writeBudget.Left(n.ctl.clock()))
 		}
 		s += "\n"
 	}
-	if len(w.begun) > 0 {
-		s += "faults: " + strings.Join(w.begun, "; ") + "\n"
+	if len(sim.startedFaults) > 0 {
+		s += "faults: " + strings.Join(sim.startedFaults, "; ") + "\n"
 	}
 	return s
 }
 
-func simReport(machine string) *shard.Heartbeat {
+func simHeartbeat(machine string) *shard.Heartbeat {
 	return &shard.Heartbeat{Machine: machine, MachineType: "small", Zone: "a", Incarnation: 1, Sequence: 1}
 }
--- a/internal/controller/sim_users_test.go
+++ b/internal/controller/sim_users_test.go
@@ -10,38 +10,38 @@
 
 // user submits a job with retries, polls until its end, and may cancel it.
 type user struct {
-	w        *world
-	sub      *model.Submission
-	accepted bool
-	ended    string
-	cancelAt model.Micros
-	asked    bool
-	deadline model.Micros
-	then     func()   // once, when it is accepted
-	via      *simNode // the node at which it cancels, any one if it is nil
+	sim             *simDeployment
+	submission      *model.Submission
+	accepted        bool
+	reportedEnd     string
+	cancelAt        model.Micros
+	cancelRequested bool
+	deadline        model.Micros
+	onAccepted      func()   // once, when it is accepted
+	cancelVia       *simNode // the node at which it cancels, any one if it is nil
 }
 
-func (w *world) submit(sub *model.Submission, cancelAfter model.Micros) *user {
-	u := &user{w: w, sub: sub, deadline: w.Now + 60*model.Second}
-	w.rules.Submitted[sub.ID], w.rules.Awaits[sub.ID] = sub.Job(0), sub.Awaits
+func (sim *simDeployment) submit(sub *model.Submission, cancelAfter model.Micros) *user {
+	u := &user{sim: sim, submission: sub, deadline: sim.Now + 60*model.Second}
+	sim.invariants.Submitted[sub.ID], sim.invariants.Awaits[sub.ID] = sub.Job(0), sub.Awaits
 	if cancelAfter > 0 {
-		u.cancelAt = w.Now + cancelAfter
+		u.cancelAt = sim.Now + cancelAfter
 	}
-	w.users = append(w.users, u)
-	if w.cell != nil {
-		w.rules.HomeCells[sub.ID] = w.cell.name
+	sim.users = append(sim.users, u)
+	if sim.cell != nil {
+		sim.invariants.HomeCells[sub.ID] = sim.cell.name
 	}
-	u.post()
+	u.sendSubmission()
 	return u
 }
 
 // allDone tells whether users were told that all of these jobs are done.
-func allDone(us []*user) bool {
-	return !slices.ContainsFunc(us, func(u *user) bool { return u.ended != "done" })
+func allReportedDone(us []*user) bool {
+	return !slices.ContainsFunc(us, func(u *user) bool { return u.reportedEnd != "done" })
 }
 
 // call asks a node, any one if it is nil; f gets code 0 if there is no answer.
-func (w *world) call(to *simNode, timeout model.Micros, msg func(chan<- userapi.Answer) any, f func(userapi.Answer)) {
+func (sim *simDeployment) sendUserRequest(to *simNode, timeout model.Micros, msg func(chan<- userapi.Answer) any, f func(userapi.Answer)) {
 	answered := false
 	give := func(a userapi.Answer) {
 		if !answered {
@@ -49,9 +49,9 @@
 			f(a)
 		}
 	}
-	w.After(timeout, func() { give(userapi.Answer{}) })
+	sim.After(timeout, func() { give(userapi.Answer{}) })
 	if to == nil {
-		to = w.nodes[w.Rand.IntN(len(w.nodes))]
+		to = sim.nodes[sim.Rand.IntN(len(sim.nodes))]
 	}
 	var send func(n *simNode, forwarded bool)
 	send = func(n *simNode, forwarded bool) {
@@ -59,12 +59,12 @@
 			return
 		}
 		reply := make(chan userapi.Answer, 1)
-		n.ask(msg(reply), func() bool {
+		n.send(msg(reply), func() bool {
 			select {
 			case a := <-reply:
-				w.After(model.Millisecond, func() {
+				sim.After(model.Millisecond, func() {
 					if a.ForwardTo != "" && !forwarded {
-						send(w.nodes[slices.Index(w.Nodes(), a.ForwardTo)], true)
+						send(sim.nodes[slices.Index(sim.Nodes(), a.ForwardTo)], true)
 						return
 					}
 					give(a)
@@ -75,55 +75,55 @@
 			}
 		})
 	}
-	w.After(model.Millisecond, func() { send(to, false) })
+	sim.After(model.Millisecond, func() { send(to, false) })
 }
 
-func (u *user) post() {
-	asked := u.w.Now
-	u.w.call(nil, 5*model.Second, func(r chan<- userapi.Answer) any {
-		s := *u.sub
+func (u *user) sendSubmission() {
+	asked := u.sim.Now
+	u.sim.sendUserRequest(nil, 5*model.Second, func(r chan<- userapi.Answer) any {
+		s := *u.submission
 		return msgSubmit{s.ID, &s, nil, r}
 	}, func(a userapi.Answer) {
 		switch a.Code {
 		case 200, 201:
 			u.accepted = true
-			u.w.rules.CheckAnswer(u.sub.ID, a.Code, a.Body, asked)
+			u.sim.invariants.CheckAnswer(u.submission.ID, a.Code, a.Body, asked)
 			u.checkEveryNode()
-			if u.then != nil {
-				u.then()
-				u.then = nil
+			if u.onAccepted != nil {
+				u.onAccepted()
+				u.onAccepted = nil
 			}
 			u.poll()
 		default:
-			if u.w.Now < u.deadline {
-				u.w.After(model.Second, u.post)
+			if u.sim.Now < u.deadline {
+				u.sim.After(model.Second, u.sendSubmission)
 			}
 		}
 	})
 }
 
 func (u *user) poll() {
-	if u.cancelAt > 0 && u.w.Now >= u.cancelAt {
+	if u.cancelAt > 0 && u.sim.Now >= u.cancelAt {
 		u.cancel(nil)
 	}
-	asked := u.w.Now
-	u.w.call(nil, 2*model.Second, func(r chan<- userapi.Answer) any { return msgStatusRequest{u.sub.ID, r} }, func(a userapi.Answer) {
-		u.w.rules.CheckAnswer(u.sub.ID, a.Code, a.Body, asked)
-		if u.ended == "" && u.w.rules.ReportedEnd(u.sub.ID) != "" {
+	asked := u.sim.Now
+	u.sim.sendUserRequest(nil, 2*model.Second, func(r chan<- userapi.Answer) any { return msgStatusRequest{u.submission.ID, r} }, func(a userapi.Answer) {
+		u.sim.invariants.CheckAnswer(u.submission.ID, a.Code, a.Body, asked)
+		if u.reportedEnd == "" && u.sim.invariants.ReportedEnd(u.submission.ID) != "" {
 			u.checkEveryNode()
 		}
-		if u.ended = u.w.rules.ReportedEnd(u.sub.ID); u.ended == "" || u.w.Chance(0.5) {
-			u.w.After(3*model.Second, u.poll)
+		if u.reportedEnd = u.sim.invariants.ReportedEnd(u.submission.ID); u.reportedEnd == "" || u.sim.Chance(0.5) {
+			u.sim.After(3*model.Second, u.poll)
 		}
 	})
 }
 
-func (u *user) withdraw() {
-	asked := u.w.Now
-	u.w.call(u.via, 5*model.Second, func(r chan<- userapi.Answer) any { return msgCancel{u.sub.ID, r} }, func(a userapi.Answer) {
-		u.w.rules.CheckAnswer(u.sub.ID, a.Code, a.Body, asked)
+func (u *user) sendCancel() {
+	asked := u.sim.Now
+	u.sim.sendUserRequest(u.cancelVia, 5*model.Second, func(r chan<- userapi.Answer) any { return msgCancel{u.submission.ID, r} }, func(a userapi.Answer) {
+		u.sim.invariants.CheckAnswer(u.submission.ID, a.Code, a.Body, asked)
 		if a.Code != 200 {
-			u.w.After(model.Second, u.withdraw)
+			u.sim.After(model.Second, u.sendCancel)
 			return
 		}
 		u.checkEveryNode()
@@ -132,10 +132,10 @@
 
 // cancel has the job withdrawn through a node, any one if it is nil.
 func (u *user) cancel(via *simNode) {
-	if !u.asked {
-		u.asked, u.via = true, via
-		u.w.rules.CancelRequested(u.sub.ID)
-		u.withdraw()
+	if !u.cancelRequested {
+		u.cancelRequested, u.cancelVia = true, via
+		u.sim.invariants.CancelRequested(u.submission.ID)
+		u.sendCancel()
 	}
 }
 
@@ -143,26 +143,26 @@
 // there, as it was, altered or with a field missing: none may say anything older than
 // what the user was told, nor refuse a job that was accepted.
 func (u *user) checkEveryNode() {
-	w := u.w
-	if !w.checksEveryNode {
+	sim := u.sim
+	if !sim.checksEveryNode {
 		return
 	}
-	ref := u.sub.ID
-	other := *u.sub
+	ref := u.submission.ID
+	other := *u.submission
 	other.Team, other.Tasks = "nobody", other.Tasks+1
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		for _, msg := range []func(r chan<- userapi.Answer) any{
 			func(r chan<- userapi.Answer) any { return msgStatusRequest{ref, r} },
-			func(r chan<- userapi.Answer) any { same := *u.sub; return msgSubmit{ref, &same, nil, r} },
+			func(r chan<- userapi.Answer) any { same := *u.submission; return msgSubmit{ref, &same, nil, r} },
 			func(r chan<- userapi.Answer) any { return msgSubmit{ref, &other, nil, r} },
 			func(r chan<- userapi.Answer) any { return msgSubmit{ref, nil, errors.New("pieces is missing"), r} },
 		} {
-			w.After(w.Between(0, 5*model.Millisecond), func() {
-				asked := w.Now
-				w.call(n, 2*model.Second, msg, func(a userapi.Answer) {
-					w.rules.CheckAnswer(ref, a.Code, a.Body, asked)
+			sim.After(sim.Between(0, 5*model.Millisecond), func() {
+				asked := sim.Now
+				sim.sendUserRequest(n, 2*model.Second, msg, func(a userapi.Answer) {
+					sim.invariants.CheckAnswer(ref, a.Code, a.Body, asked)
 					if a.Code == 200 {
-						w.everyNodeAnswers++
+						sim.everyNodeAnswers++
 					}
 				})
 			})
--- a/internal/controller/reads_test.go
+++ b/internal/controller/status_reads_test.go
@@ -20,11 +20,11 @@
 
 // readStorm has users ask about jobs at every controller, so many a second at each, and
 // counts what they are told.
-type readStorm struct {
-	w        *world
-	every    model.Micros
+type statusReadLoad struct {
+	sim      *simDeployment
+	interval model.Micros
 	perTick  int
-	until    model.Micros
+	end      model.Micros
 	asked    int
 	answered int // in the time that a user waits
 	refused  int // at once, with a time to come back
@@ -32,37 +32,37 @@
 }
 
 // pollWait is how long a user waits for an answer to a question.
-const pollWait = 2 * model.Second
+const userTimeout = 2 * model.Second
 
-func (s *readStorm) run(refs []string) {
-	w := s.w
-	if w.Now >= s.until {
+func (s *statusReadLoad) run(refs []string) {
+	sim := s.sim
+	if sim.Now >= s.end {
 		return
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		for k := range s.perTick {
-			s.ask(n, refs[(s.asked+k)%len(refs)])
+			s.pollStatus(n, refs[(s.asked+k)%len(refs)])
 		}
 	}
-	w.After(s.every, func() { s.run(refs) })
+	sim.After(s.interval, func() { s.run(refs) })
 }
 
-func (s *readStorm) ask(n *simNode, ref string) {
+func (s *statusReadLoad) pollStatus(n *simNode, ref string) {
 	if !n.alive {
 		return
 	}
-	w, asked := s.w, s.w.Now
+	sim, asked := s.sim, s.sim.Now
 	s.asked++
 	reply := make(chan userapi.Answer, 1)
-	n.ask(msgStatusRequest{ref, reply}, func() bool {
+	n.send(msgStatusRequest{ref, reply}, func() bool {
 		select {
 		case a := <-reply:
-			w.rules.CheckAnswer(ref, a.Code, a.Body, asked)
-			took := w.Now - asked
+			sim.invariants.CheckAnswer(ref, a.Code, a.Body, asked)
+			took := sim.Now - asked
 			switch {
 			case a.Code != 200 && a.RetryAfter == 0:
-				w.t.Errorf("refused with %d without a time to come back", a.Code)
-			case took > pollWait:
+				sim.t.Errorf("refused with %d without a time to come back", a.Code)
+			case took > userTimeout:
 				s.slow++
 			case a.Code == 200:
 				s.answered++
@@ -80,27 +80,27 @@
 // many of the questions are answered, since the ones that come together share one read of
 // the state service: its load does not grow with them. (The stand-in loses one request in
 // fifty; the questions that wait for it are refused, with a time to come back.)
-func TestReadsAtManyTimesTheRate(t *testing.T) {
+func TestStateReadsDoNotGrowWithStatusReads(t *testing.T) {
 	reads, share := map[int]int{}, map[int]float64{}
 	for _, perTick := range []int{1, 40} { // 20 and 800 a second at each controller
-		w := newWorld(t, 44)
-		us := longWork(w)
+		sim := newSmallDeployment(t, 44)
+		us := startLongJobs(sim)
 		var refs []string
 		for _, u := range us {
-			refs = append(refs, u.sub.ID)
+			refs = append(refs, u.submission.ID)
 		}
-		before := w.state.WatchRequests
-		s := &readStorm{w: w, every: 50 * model.Millisecond, perTick: perTick, until: w.Now + 20*model.Second}
+		before := sim.state.WatchRequests
+		s := &statusReadLoad{sim: sim, interval: 50 * model.Millisecond, perTick: perTick, end: sim.Now + 20*model.Second}
 		s.run(refs)
-		w.Run(s.until + 3*model.Second)
-		reads[perTick] = w.state.WatchRequests - before
+		sim.Run(s.end + 3*model.Second)
+		reads[perTick] = sim.state.WatchRequests - before
 		share[perTick] = float64(s.answered) / float64(s.asked)
 		if share[perTick] < 0.9 || s.slow > 0 || s.answered+s.refused != s.asked {
 			t.Errorf("%d a tick: of %d questions %d were answered, %d refused, %d late", perTick, s.asked, s.answered, s.refused, s.slow)
 		}
-		w.Run(w.Now + 100*model.Second)
-		w.check()
-		w.allDone(us)
+		sim.Run(sim.Now + 100*model.Second)
+		sim.requireInvariants()
+		sim.requireAllDone(us)
 	}
 	if share[40] < share[1]-0.04 {
 		t.Errorf("%.3f of the questions are answered at forty times the rate, %.3f before", share[40], share[1])
@@ -113,42 +113,42 @@
 // A slow state service holds questions up. Those that would be too many to hold are
 // refused at once, so that connections are left for workers, and no answer comes later
 // than a user waits.
-func TestReadsWithASlowStateService(t *testing.T) {
-	w := newDeployment(t, 45, sockets(400, simSettings), capacity(4, 2))
-	us := longWork(w)
-	w.stateLag = 700 * model.Millisecond
-	s := &readStorm{w: w, every: 50 * model.Millisecond, perTick: 60, until: w.Now + 8*model.Second}
+func TestStatusReadsWithSlowStateService(t *testing.T) {
+	sim := newDeployment(t, 45, withFDLimit(400, simSettings), cloudCapacity(4, 2))
+	us := startLongJobs(sim)
+	sim.stateLag = 700 * model.Millisecond
+	s := &statusReadLoad{sim: sim, interval: 50 * model.Millisecond, perTick: 60, end: sim.Now + 8*model.Second}
 	most := 0
 	var look func()
 	look = func() {
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			most = max(most, n.ctl.waitingReads)
 		}
-		if w.Now < s.until {
-			w.After(10*model.Millisecond, look)
+		if sim.Now < s.end {
+			sim.After(10*model.Millisecond, look)
 		}
 	}
 	look()
-	s.run([]string{us[0].sub.ID})
-	w.Run(s.until + 3*model.Second)
-	w.stateLag = 0
-	if limit := w.nodes[0].ctl.maxWaitingReads(); most != limit {
+	s.run([]string{us[0].submission.ID})
+	sim.Run(s.end + 3*model.Second)
+	sim.stateLag = 0
+	if limit := sim.nodes[0].ctl.maxWaitingReads(); most != limit {
 		t.Errorf("%d questions waited, the bound is %d", most, limit)
 	}
 	if s.refused == 0 || s.answered == 0 || s.slow > 0 || s.answered+s.refused != s.asked {
 		t.Errorf("of %d questions %d were answered, %d refused, %d late", s.asked, s.answered, s.refused, s.slow)
 	}
-	w.Run(w.Now + 120*model.Second)
-	w.check()
-	w.allDone(us)
+	sim.Run(sim.Now + 120*model.Second)
+	sim.requireInvariants()
+	sim.requireAllDone(us)
 }
 
 // benchState answers catch-ups as a state service does that takes some milliseconds.
 type benchState struct {
 	effects
-	mail  chan<- any
-	clock Clock
-	syncs atomic.Int64
+	mailbox chan<- any
+	clock   Clock
+	syncs   atomic.Int64
 }
 
 // stateLatency is about what the state service takes for a request.
@@ -165,7 +165,7 @@
 	} else {
 		m.changes = &state.Changes{Revision: from}
 	}
-	time.AfterFunc(stateLatency, func() { b.mail <- m })
+	time.AfterFunc(stateLatency, func() { b.mailbox <- m })
 }
 
 func (b *benchState) ping() {}
@@ -175,14 +175,14 @@
 // the state service are made for them.
 func BenchmarkStatusReads(b *testing.B) {
 	for _, users := range []int{16, 256, 4096} {
-		b.Run(fmt.Sprintf("users=%d", users), func(b *testing.B) { benchReads(b, users) })
+		b.Run(fmt.Sprintf("users=%d", users), func(b *testing.B) { benchmarkStatusReads(b, users) })
 	}
 }
 
-func benchReads(b *testing.B, users int) {
+func benchmarkStatusReads(b *testing.B, users int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	mail, clock := make(chan any, mailboxSize), SteadyClock()
-	io := &benchState{mail: mail, clock: clock}
+	io := &benchState{mailbox: mail, clock: clock}
 	set := simSettings("node-0")
 	set.Params.Quota.FDLimit = 4 * max(users, minWaitingReads) // none is refused
 	c := newController(set, config.DefaultOperatorSettings(), leadership.ComputeLeaseTimes(30*model.Second, 18*model.Second, 5*model.Second/2, 38*model.Second), clock, io)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -70,7 +70,7 @@
 )
 
 // asProduction is a record as production reads it, or writes it again.
-func asProduction(path string, value json.RawMessage) (json.RawMessage, error) {
+func reencodeAsProduction(path string, value json.RawMessage) (json.RawMessage, error) {
 	var rec any
 	switch kind, rest, _ := strings.Cut(path, "/"); {
 	case kind == "job" && rest != "" && !strings.Contains(rest, "/"):
@@ -98,11 +98,11 @@
 }
 
 // reads is a value as this node's version reads it.
-func (n *simNode) reads(path string, value json.RawMessage) json.RawMessage {
-	if !n.old || path == "" {
+func (n *simNode) valueAsRead(path string, value json.RawMessage) json.RawMessage {
+	if !n.runsProductionVersion || path == "" {
 		return value
 	}
-	v, err := asProduction(path, value)
+	v, err := reencodeAsProduction(path, value)
 	if err != nil {
 		panic("the version in production stops: " + err.Error())
 	}
@@ -110,8 +110,8 @@
 }
 
 // writes is a transaction as this node's version writes it.
-func (n *simNode) writes(t *state.Txn) *state.Txn {
-	if !n.old {
+func (n *simNode) txnAsWritten(t *state.Txn) *state.Txn {
+	if !n.runsProductionVersion {
 		return t
 	}
 	out := &state.Txn{Conditions: t.Conditions}
@@ -120,14 +120,14 @@
 		if err != nil {
 			panic(err)
 		}
-		op.Value = n.reads(op.Set, raw)
+		op.Value = n.valueAsRead(op.Set, raw)
 		out.Then = append(out.Then, op)
 	}
 	return out
 }
 
 // nextSettings announce limits that are to fall far.
-func nextSettings(name string) *config.Settings {
+func settingsWithNextLimits(name string) *config.Settings {
 	s := simSettings(name)
 	kb, ops, rate := 2.0, 5, 18.0
 	n := &s.Params.State.Next
@@ -138,32 +138,32 @@
 // restartAs starts a node at once with the version in production, or the new one.
 func (n *simNode) restartAs(old bool) {
 	n.crash()
-	n.old = old
+	n.runsProductionVersion = old
 	n.start()
 }
 
 // production has all nodes run the version in production.
-func (w *world) production() {
-	for _, n := range w.nodes {
+func (sim *simDeployment) restartAllAsProduction() {
+	for _, n := range sim.nodes {
 		n.restartAs(true)
 	}
 }
 
 // records is all that the state service holds.
-func (w *world) records() []state.Entry {
-	w.t.Helper()
-	es, _, err := w.state.List("node-0")
+func (sim *simDeployment) storedEntries() []state.Entry {
+	sim.t.Helper()
+	es, _, err := sim.state.List("node-0")
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
 	return es
 }
 
 // requireReadByProduction fails if production can't read a record, or loses some of it when
 // it writes it again. It returns the kind of the record.
-func requireReadByProduction(t *testing.T, e state.Entry) string {
+func requireReadableByProduction(t *testing.T, e state.Entry) string {
 	t.Helper()
-	raw, err := asProduction(e.Path, e.Value)
+	raw, err := reencodeAsProduction(e.Path, e.Value)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,13 +180,13 @@
 
 // denseRecords is the number of records that production refuses to read. They may be
 // bundles only.
-func (w *world) denseRecords() (refused int) {
-	w.t.Helper()
-	for _, e := range w.records() {
-		if _, err := asProduction(e.Path, e.Value); err != nil {
+func (sim *simDeployment) countDenseRecords() (refused int) {
+	sim.t.Helper()
+	for _, e := range sim.storedEntries() {
+		if _, err := reencodeAsProduction(e.Path, e.Value); err != nil {
 			refused++
 			if !strings.HasPrefix(e.Path, "bound/") {
-				w.t.Fatal(err)
+				sim.t.Fatal(err)
 			}
 		}
 	}
@@ -194,10 +194,10 @@
 }
 
 // replace ends a node and has it come back with the new version.
-func (n *simNode) replace() {
+func (n *simNode) restartUpgraded() {
 	n.crash()
-	n.w.After(n.w.Between(100*model.Millisecond, 5*model.Second), func() {
-		n.old = false
+	n.sim.After(n.sim.Between(100*model.Millisecond, 5*model.Second), func() {
+		n.runsProductionVersion = false
 		if !n.alive {
 			n.start()
 		}
@@ -205,28 +205,28 @@
 }
 
 // upgrade replaces all nodes, one after the other, and then runs f.
-func (w *world) upgrade(at, every model.Micros, f func()) {
-	for i, n := range w.nodes {
-		w.At(at+model.Micros(i)*every, n.replace)
+func (sim *simDeployment) rollingUpgrade(at, every model.Micros, f func()) {
+	for i, n := range sim.nodes {
+		sim.At(at+model.Micros(i)*every, n.restartUpgraded)
 	}
-	w.At(at+model.Micros(len(w.nodes))*every+6*model.Second, f)
+	sim.At(at+model.Micros(len(sim.nodes))*every+6*model.Second, f)
 }
 
 // pipeline submits jobs one after another, each when those it awaits are accepted:
 // one first, some that await it, and a last one that awaits those and is due.
-func (w *world) pipeline(first int, cancelAfter model.Micros) (us []*user) {
-	chosen := w.Rand.IntN(4)
+func (sim *simDeployment) submitPipeline(first int, cancelAfter model.Micros) (us []*user) {
+	chosen := sim.Rand.IntN(4)
 	add := func(s *model.Submission, then func()) *user {
 		cancel := model.Micros(0)
 		if cancelAfter > 0 && s.ID == arrayJob(first+chosen, 1, 1).ID {
 			cancel = cancelAfter
 		}
-		u := w.submit(s, cancel)
-		u.then = then
+		u := sim.submit(s, cancel)
+		u.onAccepted = then
 		us = append(us, u)
 		return u
 	}
-	a, b, c, last := arrayJob(first, 1+w.Rand.IntN(6), 4), arrayJob(first+1, 1+w.Rand.IntN(12), 6), gangJob(first+2, 1+w.Rand.IntN(3), 6), arrayJob(first+3, 2, 3)
+	a, b, c, last := arrayJob(first, 1+sim.Rand.IntN(6), 4), arrayJob(first+1, 1+sim.Rand.IntN(12), 6), gangJob(first+2, 1+sim.Rand.IntN(3), 6), arrayJob(first+3, 2, 3)
 	a.Priority, b.Priority, c.Priority, last.Priority = "idle", "idle", "standard", "urgent"
 	due := 60.0
 	last.DeadlineS = &due
@@ -240,7 +240,7 @@
 }
 
 // What production wrote is read, and means the same.
-func TestRecordsOfProduction(t *testing.T) {
+func TestProductionRecordsAreRead(t *testing.T) {
 	v := state.NewView()
 	for stamp, r := range [][2]string{
 		{"job/j-000001", `{"spec":{"ref":"j-000001","jobclass":"c","owner":"red","shape":"sweep","rank":"urgent","pieces":3,"cores":2,"gpus":0,"memoryGb":4,"bundle":"img","imageGb":1,"loaners":true,"guessS":5,"keepsakeS":0,"stowS":0,"dueS":90,"atMs":1000}}`},
@@ -252,7 +252,7 @@
 		{"flavors", `{"builds":[{"label":"small","cores":8,"gpus":0,"memoryGb":32,"cacheGb":20,"fetchGbPerS":1,"price":1,"lowPrice":0.3,"bootS":5,"yards":["a"]}]}`},
 		{"node/node-0", `{"session":7,"serve":"10.0.0.1:8080"}`},
 	} {
-		if _, err := asProduction(r[0], json.RawMessage(r[1])); err != nil {
+		if _, err := reencodeAsProduction(r[0], json.RawMessage(r[1])); err != nil {
 			t.Fatalf("not a record of production: %v", err)
 		}
 		if ok, err := v.Set(r[0], json.RawMessage(r[1]), uint64(stamp+5)); !ok || err != nil {
@@ -281,42 +281,42 @@
 // As long as one controller may run production, it can read all that the others
 // write, and loses nothing that it knows of when it writes it again. Once none may,
 // records get denser; at these it would stop instead of misreading them.
-func TestProductionReadsWhatIsWritten(t *testing.T) {
-	w := newDeployment(t, 51, nextSettings, capacity(4, 2))
-	last := w.nodes[2]
+func TestProductionReadsNewRecords(t *testing.T) {
+	sim := newDeployment(t, 51, settingsWithNextLimits, cloudCapacity(4, 2))
+	last := sim.nodes[2]
 	last.restartAs(true)
 	for i := range 8 {
-		w.submit(arrayJob(i, 6, 8), model.Micros(i%3)*10*model.Second)
-		w.submit(gangJob(20+i, 1+i%3, 8), 0)
+		sim.submit(arrayJob(i, 6, 8), model.Micros(i%3)*10*model.Second)
+		sim.submit(gangJob(20+i, 1+i%3, 8), 0)
 	}
 	seen := map[string]bool{}
 	for range 40 {
-		w.Run(w.Now + model.Second)
-		for _, e := range w.records() {
-			seen[requireReadByProduction(t, e)] = true
+		sim.Run(sim.Now + model.Second)
+		for _, e := range sim.storedEntries() {
+			seen[requireReadableByProduction(t, e)] = true
 		}
 	}
 	if len(seen) != 6 {
 		t.Errorf("only records of %v", seen)
 	}
 	last.restartAs(false)
-	w.submit(arrayJob(50, 10, 20), 0)
-	w.until(30*model.Second, "something dense is written", func() bool { return w.denseRecords() > 0 })
+	sim.submit(arrayJob(50, 10, 20), 0)
+	sim.runUntil(30*model.Second, "something dense is written", func() bool { return sim.countDenseRecords() > 0 })
 	// A leader that has not seen the others goes by what is written.
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		n.crash()
 	}
-	w.nodes[0].start()
-	w.waitForLeader(20 * model.Second)
-	if !w.nodes[0].ctl.usesDenseLayout() {
+	sim.nodes[0].start()
+	sim.waitForLeader(20 * model.Second)
+	if !sim.nodes[0].ctl.usesDenseLayout() {
 		t.Error("a leader alone writes the plain form again")
 	}
-	w.nodes[1].start()
-	w.nodes[2].start()
-	w.Run(w.Now + 90*model.Second)
-	w.check()
-	for ref := range w.rules.Accepted {
-		if w.rules.ReportedEnd(ref) == "" {
+	sim.nodes[1].start()
+	sim.nodes[2].start()
+	sim.Run(sim.Now + 90*model.Second)
+	sim.requireInvariants()
+	for ref := range sim.invariants.Accepted {
+		if sim.invariants.ReportedEnd(ref) == "" {
 			t.Errorf("%s never ended", ref)
 		}
 	}
@@ -329,34 +329,34 @@
 func TestUpgradeUnderFailures(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newDeployment(t, rapid.Uint64().Draw(rt, "seed"), sockets(rapid.SampledFrom([]int{0, 14}).Draw(rt, "sockets"), nextSettings), capacity(4, 2))
-		w.production()
-		w.submitDuringUpgrade()
-		every := w.Between(3*model.Second, 15*model.Second)
-		after := &afterUpgrade{world: w}
-		w.upgrade(w.Between(10*model.Second, 40*model.Second), every, after.begin)
+		sim := newDeployment(t, rapid.Uint64().Draw(rt, "seed"), withFDLimit(rapid.SampledFrom([]int{0, 14}).Draw(rt, "sockets"), settingsWithNextLimits), cloudCapacity(4, 2))
+		sim.restartAllAsProduction()
+		sim.submitDuringUpgrade()
+		every := sim.Between(3*model.Second, 15*model.Second)
+		after := &afterUpgrade{simDeployment: sim}
+		sim.rollingUpgrade(sim.Between(10*model.Second, 40*model.Second), every, after.begin)
 		for range rapid.IntRange(1, 8).Draw(rt, "faults") {
 			kind := rapid.IntRange(0, upgradeFaultKinds-1).Draw(rt, "kind")
-			long := w.Between(model.Second, 25*model.Second)
-			w.At(w.Between(10*model.Second, 130*model.Second), func() { fault(w, kind, long) })
+			long := sim.Between(model.Second, 25*model.Second)
+			sim.At(sim.Between(10*model.Second, 130*model.Second), func() { injectFault(sim, kind, long) })
 		}
-		w.duplicateHeartbeats = rapid.SampledFrom([]float64{0, 0.05}).Draw(rt, "copies")
-		w.At(160*model.Second, func() {
-			for _, n := range w.nodes {
-				n.setCut(open)
-				n.workers, n.peersCutOff = true, false
+		sim.duplicateHeartbeatChance = rapid.SampledFrom([]float64{0, 0.05}).Draw(rt, "copies")
+		sim.At(160*model.Second, func() {
+			for _, n := range sim.nodes {
+				n.setStateLink(linkOpen)
+				n.reachableByWorkers, n.peersCutOff = true, false
 			}
-			clear(w.responsesLost)
-			w.duplicateHeartbeats = 0
-			w.rules.FaultsOverAt = w.Now
+			clear(sim.responsesLost)
+			sim.duplicateHeartbeatChance = 0
+			sim.invariants.FaultsOverAt = sim.Now
 		})
-		w.Run(520 * model.Second)
+		sim.Run(520 * model.Second)
 		if !after.limitsLowered || after.pipelines != 4 {
 			rt.Fatalf("the limits fell: %v; %d pipelines", after.limitsLowered, after.pipelines)
 		}
-		requireRulesAndEnds(rt, w)
-		if w.state.TooBigTxns > 0 {
-			rt.Fatalf("%d transactions were too large for the limits that had been announced", w.state.TooBigTxns)
+		requireInvariantsAndEnds(rt, sim)
+		if sim.state.TooBigTxns > 0 {
+			rt.Fatalf("%d transactions were too large for the limits that had been announced", sim.state.TooBigTxns)
 		}
 	})
 }
@@ -366,14 +366,14 @@
 const upgradeFaultKinds = 14
 
 // submitDuringUpgrade has arrays and gangs submitted at any time, and some cancelled.
-func (w *world) submitDuringUpgrade() {
+func (sim *simDeployment) submitDuringUpgrade() {
 	for i := range 14 {
-		w.At(w.Between(0, 110*model.Second), func() {
-			s := arrayJob(i, 1+w.Rand.IntN(12), float64(2+w.Rand.IntN(25)))
-			if w.Chance(0.3) {
-				s = gangJob(i, 1+w.Rand.IntN(4), float64(2+w.Rand.IntN(25)))
+		sim.At(sim.Between(0, 110*model.Second), func() {
+			s := arrayJob(i, 1+sim.Rand.IntN(12), float64(2+sim.Rand.IntN(25)))
+			if sim.Chance(0.3) {
+				s = gangJob(i, 1+sim.Rand.IntN(4), float64(2+sim.Rand.IntN(25)))
 			}
-			w.submit(s, model.Micros(w.Rand.IntN(3)/2)*w.Between(model.Second, 30*model.Second))
+			sim.submit(s, model.Micros(sim.Rand.IntN(3)/2)*sim.Between(model.Second, 30*model.Second))
 		})
 	}
 }
@@ -381,7 +381,7 @@
 // afterUpgrade is what follows once all nodes run the new version: pipelines are submitted
 // and the limits fall.
 type afterUpgrade struct {
-	*world
+	*simDeployment
 	pipelines     int
 	limitsLowered bool
 }
@@ -394,7 +394,7 @@
 				cancel = a.Between(model.Second, 20*model.Second)
 			}
 			a.pipelines++
-			a.pipeline(100+10*i, cancel)
+			a.submitPipeline(100+10*i, cancel)
 		})
 	}
 	a.After(a.Between(0, 40*model.Second), func() {
@@ -406,18 +406,18 @@
 // The limits fall in the middle of a takeover, with large bundles of production
 // still stored and a machine that holds more pieces than a value now bears. What
 // it left is worked off, and nothing is lost or stuck.
-func TestLimitsFallDuringATakeover(t *testing.T) {
-	w := newDeployment(t, 52, nextSettings, capacity(6, 2))
-	w.production()
+func TestStateLimitsLoweredDuringTakeover(t *testing.T) {
+	sim := newDeployment(t, 52, settingsWithNextLimits, cloudCapacity(6, 2))
+	sim.restartAllAsProduction()
 	var us []*user
 	for i := range 3 {
 		s := arrayJob(i, 400, 25)
 		s.Cores, s.MemoryGB = 0.05, 0.1
-		us = append(us, w.submit(s, 0))
+		us = append(us, sim.submit(s, 0))
 	}
-	w.until(60*model.Second, "many run", func() bool { return w.rules.TasksOnMachines() > 700 })
+	sim.runUntil(60*model.Second, "many run", func() bool { return sim.invariants.TasksOnMachines() > 700 })
 	largest := func() (most int) {
-		for _, e := range w.records() {
+		for _, e := range sim.storedEntries() {
 			most = max(most, len(e.Value))
 		}
 		return most
@@ -425,67 +425,67 @@
 	if n := largest(); n < 4096 {
 		t.Fatalf("the largest value has %d bytes", n)
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		n.crash()
-		n.old = false
-		w.After(w.Between(0, 2*model.Second), n.start)
+		n.runsProductionVersion = false
+		sim.After(sim.Between(0, 2*model.Second), n.start)
 	}
-	w.After(500*model.Millisecond, func() { w.state.LowerLimits(2, 5, 18) })
+	sim.After(500*model.Millisecond, func() { sim.state.LowerLimits(2, 5, 18) })
 	for i := 10; i < 14; i++ {
-		us = append(us, w.submit(arrayJob(i, 20, 5), 0))
+		us = append(us, sim.submit(arrayJob(i, 20, 5), 0))
 	}
-	w.until(300*model.Second, "all is done", func() bool { return allDone(us) })
-	if w.state.TooBigTxns > 0 {
-		t.Errorf("%d transactions were too large", w.state.TooBigTxns)
+	sim.runUntil(300*model.Second, "all is done", func() bool { return allReportedDone(us) })
+	if sim.state.TooBigTxns > 0 {
+		t.Errorf("%d transactions were too large", sim.state.TooBigTxns)
 	}
-	w.check()
+	sim.requireInvariants()
 }
 
 // Limits that fall below what was announced are found out: what is refused is cut
 // anew, and goes on.
-func TestLimitsFallUnannounced(t *testing.T) {
-	w := newWorld(t, 53)
+func TestStateLimitsLoweredUnannounced(t *testing.T) {
+	sim := newSmallDeployment(t, 53)
 	var us []*user
 	for i := range 3 {
-		us = append(us, w.submit(arrayJob(i, 30, 10), 0))
+		us = append(us, sim.submit(arrayJob(i, 30, 10), 0))
 	}
-	w.until(60*model.Second, "something runs", func() bool { return w.rules.TasksOnMachines() > 5 })
-	w.state.LowerLimits(2, 4, 20)
+	sim.runUntil(60*model.Second, "something runs", func() bool { return sim.invariants.TasksOnMachines() > 5 })
+	sim.state.LowerLimits(2, 4, 20)
 	for i := 10; i < 40; i++ {
-		us = append(us, w.submit(arrayJob(i, 6, 5), 0))
+		us = append(us, sim.submit(arrayJob(i, 6, 5), 0))
 	}
-	w.until(400*model.Second, "all is done", func() bool { return allDone(us) })
-	w.check()
+	sim.runUntil(400*model.Second, "all is done", func() bool { return allReportedDone(us) })
+	sim.requireInvariants()
 }
 
 // What was accepted under larger limits can be cancelled under smaller ones, and a
 // leader can be elected though the limits of all teams do not fit into its grant.
-func TestSmallValuesBearWhatMatters(t *testing.T) {
+func TestCancellationAndElectionUnderLoweredLimits(t *testing.T) {
 	many := func(name string) *config.Settings {
-		s := nextSettings(name)
+		s := settingsWithNextLimits(name)
 		for i := range 60 {
 			s.Params.Teams = append(s.Params.Teams, config.Team{Name: fmt.Sprintf("team-%d-of-many", i), CPUsMax: 10})
 		}
 		return s
 	}
-	w := newDeployment(t, 54, many, capacity(4, 2))
-	w.production()
-	w.waitForLeader(10 * model.Second)
+	sim := newDeployment(t, 54, many, cloudCapacity(4, 2))
+	sim.restartAllAsProduction()
+	sim.waitForLeader(10 * model.Second)
 	long := arrayJob(1, 4, 60)
 	long.Image = strings.Repeat("x", 5000)
-	u := w.submit(long, 0)
-	w.running(4)
-	for _, n := range w.nodes {
+	u := sim.submit(long, 0)
+	sim.waitForRunningTasks(4)
+	for _, n := range sim.nodes {
 		n.restartAs(false)
 	}
-	w.state.LowerLimits(2, 5, 18)
-	w.waitForLeader(20 * model.Second)
-	w.rules.CancelRequested(long.ID)
-	u.withdraw()
-	w.until(10*model.Second, "it is cancelled", func() bool { return w.rules.ReportedEnd(long.ID) == "withdrawn" })
-	w.until(38*model.Second, "nothing of it is left", func() bool { return w.rules.TasksOnMachines() == 0 })
-	if w.state.TooBigTxns > 0 {
-		t.Errorf("%d transactions were too large", w.state.TooBigTxns)
+	sim.state.LowerLimits(2, 5, 18)
+	sim.waitForLeader(20 * model.Second)
+	sim.invariants.CancelRequested(long.ID)
+	u.sendCancel()
+	sim.runUntil(10*model.Second, "it is cancelled", func() bool { return sim.invariants.ReportedEnd(long.ID) == "withdrawn" })
+	sim.runUntil(38*model.Second, "nothing of it is left", func() bool { return sim.invariants.TasksOnMachines() == 0 })
+	if sim.state.TooBigTxns > 0 {
+		t.Errorf("%d transactions were too large", sim.state.TooBigTxns)
 	}
-	w.check()
+	sim.requireInvariants()
 }
