--- a/internal/controller/awaits_test.go
+++ b/internal/controller/awaits_test.go
@@ -11,7 +11,7 @@
 	"woadweir/internal/userapi"
 )
 
-// answerOf asks one node, and waits for its answer.
+// requestAndWait sends a request to a node and runs the simulation until the answer arrives.
 func (n *simNode) requestAndWait(msg func(chan<- userapi.Answer) any) userapi.Answer {
 	n.sim.t.Helper()
 	reply := make(chan userapi.Answer, 1)
@@ -20,32 +20,35 @@
 	return <-reply
 }
 
+// submit submits a copy of a job to this node and returns the answer.
 func (n *simNode) submit(s *model.Submission) userapi.Answer {
 	return n.requestAndWait(func(r chan<- userapi.Answer) any { c := *s; return msgSubmit{c.ID, &c, nil, r} })
 }
 
+// jobStatus returns the status of a job as this node reports it.
 func (n *simNode) jobStatus(t *testing.T, ref string) string {
 	t.Helper()
 	var a userapi.Answer
 	n.sim.runUntil(10*model.Second, "an answer about "+ref, func() bool {
 		a = n.requestAndWait(func(r chan<- userapi.Answer) any { return msgStatusRequest{ref, r} })
-		return a.Code != 503 // now and then a catch-up is lost
+		return a.Code != 503 // a synchronization can be lost
 	})
 	var body struct{ Status string }
 	if a.Code != 200 || json.Unmarshal(a.Body, &body) != nil {
-		t.Fatalf("%s is answered %d %s", ref, a.Code, a.Body)
+		t.Fatalf("status of %s: got %d %s, want 200", ref, a.Code, a.Body)
 	}
 	return body.Status
 }
 
+// awaitingJob returns an array job that awaits other jobs.
 func awaitingJob(i int, refs ...string) *model.Submission {
 	s := arrayJob(i, 2, 5)
 	s.Awaits = refs
 	return s
 }
 
-// What names a job that was never accepted is refused, but only on a view that is
-// up to date: another node may have accepted it a moment ago.
+// A submission that awaits a job that was never accepted is refused, but only on a view that
+// is up to date: another node may just have accepted that job.
 func TestAwaitsOnlyAcceptedJobs(t *testing.T) {
 	sim := newSmallDeployment(t, 61)
 	sim.waitForLeader(10 * model.Second)
@@ -54,37 +57,39 @@
 	service.Kind = "service"
 	for i, s := range []*model.Submission{arrayJob(0, 2, 200), service} {
 		if a := sim.nodes[i].submit(s); a.Code != 201 {
-			t.Fatalf("%d %s", a.Code, a.Body)
+			t.Fatalf("submission of %s: got %d %s, want 201", s.ID, a.Code, a.Body)
 		}
 	}
-	// The third node has not heard of them yet.
+	// The third node's view does not include them yet.
 	first, other := awaitingJob(3, "j-000000"), awaitingJob(4, "j-000000", "j-000003")
 	if a := sim.nodes[2].submit(first); a.Code != 201 {
-		t.Errorf("of a job that another node accepted: %d %s", a.Code, a.Body)
+		t.Errorf("awaits a job that another node accepted: got %d %s, want 201", a.Code, a.Body)
 	}
 	if a := sim.nodes[1].submit(other); a.Code != 201 {
-		t.Errorf("of two jobs: %d %s", a.Code, a.Body)
+		t.Errorf("awaits two jobs: got %d %s, want 201", a.Code, a.Body)
 	}
 	for i, refs := range [][]string{{"j-999999"}, {"j-000000", "j-999999"}, {"j-000009"}, {"j-000002"}} {
 		if a := sim.nodes[i%3].submit(awaitingJob(9, refs...)); a.Code != 422 {
-			t.Errorf("awaits %v: %d %s", refs, a.Code, a.Body)
+			t.Errorf("awaits %v: got %d %s, want 422", refs, a.Code, a.Body)
 		}
 	}
-	// Whoever was accepted is told so again, whatever the repetition says.
+	// A repeated submission of an accepted job is answered with the job's status, whatever it
+	// contains.
 	again := awaitingJob(3, "j-999999")
 	if a := sim.nodes[0].submit(again); a.Code != 200 || !strings.Contains(string(a.Body), "pending") {
-		t.Errorf("a repeated submission: %d %s", a.Code, a.Body)
+		t.Errorf("repeated submission: got %d %s, want 200 and pending", a.Code, a.Body)
 	}
-	// While the state service is away nothing can be said of what is not known.
+	// During an outage of the state service, nothing can be said about a job that is not known.
 	sim.state.SetOutage(true)
 	sim.Run(sim.Now + 2*model.Second)
 	if a := sim.nodes[0].submit(awaitingJob(10, "j-999999")); a.Code != 503 || a.RetryAfter == 0 {
-		t.Errorf("during an outage: %d %s", a.Code, a.Body)
+		t.Errorf("during an outage: got %d %s, want 503 and a time to retry", a.Code, a.Body)
 	}
 }
 
-// A job whose record can't fit into a value, now or once the limits have fallen, is
-// refused; a list that fits is not.
+// A job whose record does not fit into a value of the state service, under the present
+// limits or under the announced lower ones, is refused; a long list of awaited jobs that
+// fits is accepted.
 func TestAwaitsMustFitIntoRecord(t *testing.T) {
 	sim := newDeployment(t, 62, settingsWithNextLimits, cloudCapacity(4, 2))
 	sim.waitForLeader(10 * model.Second)
@@ -97,29 +102,29 @@
 		sim.runUntil(30*model.Second, "accepted", func() bool { return n.submit(s).Code/100 == 2 })
 	}
 	if a := sim.nodes[0].submit(awaitingJob(200, refs...)); a.Code != 201 {
-		t.Errorf("awaits 100: %d %s", a.Code, a.Body)
+		t.Errorf("awaits 100 jobs: got %d %s, want 201", a.Code, a.Body)
 	}
 	oversized := awaitingJob(201, refs...)
 	oversized.Image = strings.Repeat("x", 900)
 	if a := sim.nodes[0].submit(oversized); a.Code != 422 {
-		t.Errorf("too large: %d %s", a.Code, a.Body)
+		t.Errorf("record too large: got %d %s, want 422", a.Code, a.Body)
 	}
 }
 
-// expect has the rules know a job that a test submits itself.
+// registerSubmission tells the invariant checker of a job that a test submits itself.
 func (sim *simDeployment) registerSubmission(s *model.Submission) {
 	sim.invariants.Submitted[s.ID], sim.invariants.Awaits[s.ID] = s.Job(0), s.Awaits
 }
 
-// accept submits a job at random nodes until one accepts it.
+// submitUntilAccepted submits a job to random nodes until one accepts it.
 func (sim *simDeployment) submitUntilAccepted(s *model.Submission) {
 	sim.t.Helper()
 	sim.registerSubmission(s)
 	sim.runUntil(60*model.Second, "accepted", func() bool { return sim.nodes[sim.Rand.IntN(3)].submit(s).Code/100 == 2 })
 }
 
-// acceptChainAndFan submits jobs of which each awaits the one before, and others that all
-// await the first, by turns.
+// submitChainAndFan submits, in alternation, jobs that each await the previous one (a chain)
+// and jobs that all await the first (a fan).
 func (sim *simDeployment) submitChainAndFan(first string) (refs []string) {
 	sim.t.Helper()
 	last := first
@@ -133,7 +138,7 @@
 	return refs
 }
 
-// requireWithdrawnEverywhere checks that all nodes that are up say that jobs are withdrawn.
+// requireCancelledEverywhere checks that all nodes that are up report the jobs as withdrawn.
 func (sim *simDeployment) requireCancelledEverywhere(refs []string) {
 	sim.t.Helper()
 	for _, n := range sim.nodes {
@@ -142,13 +147,13 @@
 		}
 		for _, ref := range refs {
 			if s := n.jobStatus(sim.t, ref); s != "withdrawn" {
-				sim.t.Fatalf("%s says that %s is %s", n.name, ref, s)
+				sim.t.Fatalf("%s reports %s as %q, want withdrawn", n.name, ref, s)
 			}
 		}
 	}
 }
 
-// startAll starts the nodes that are not up.
+// startStoppedNodes starts the nodes that are not up.
 func (sim *simDeployment) startStoppedNodes() {
 	for _, n := range sim.nodes {
 		if !n.alive {
@@ -157,10 +162,10 @@
 	}
 }
 
-// When a job is cancelled, so is all that needs it, on every node at once: there is
-// nothing to be written for it, however many there are and however little the
-// state service bears. What was submitted at the same moment through another node
-// is no exception, nor what comes later. What is done stays done.
+// Cancelling a job cancels all its direct and indirect dependents on every node at once,
+// without a write for each of them: neither their number nor the state service's limits
+// matter. This includes dependents that are submitted at the same time through another node,
+// or later. Jobs that are done stay done.
 func TestCancellationIncludesDependents(t *testing.T) {
 	sim := newDeployment(t, 63, settingsWithNextLimits, cloudCapacity(4, 2))
 	sim.waitForLeader(10 * model.Second)
@@ -170,7 +175,7 @@
 	first.Awaits = []string{before.ID}
 	sim.submitUntilAccepted(first)
 	dependents := sim.submitChainAndFan(first.ID)
-	last := dependents[len(dependents)-2] // of the chain
+	last := dependents[len(dependents)-2] // the end of the chain
 	sim.runUntil(60*model.Second, "the first runs", func() bool { return sim.nodes[0].jobStatus(t, first.ID) == "running" })
 	sim.state.LowerLimits(2, 5, 3)
 	u := &user{sim: sim, submission: first}
@@ -182,36 +187,37 @@
 	u.sendCancel()
 	sim.runUntil(10*model.Second, "it is cancelled", func() bool { return sim.invariants.ReportedEnd(first.ID) == "withdrawn" })
 	sim.waitForLeader(30 * model.Second)
-	sim.leader().crash() // and nobody is left to write anything about it
+	sim.leader().crash() // so that no leader can write anything about the dependents
 	sim.requireCancelledEverywhere(dependents)
 	sim.startStoppedNodes()
 	sim.waitForLeader(30 * model.Second)
 	sim.runUntil(20*model.Second, "the late one was answered", func() bool { return len(lateReply) == 1 })
 	if a := <-lateReply; a.Code == 201 {
 		if s := sim.nodes[2].jobStatus(t, late.ID); s != "withdrawn" {
-			t.Errorf("what was submitted meanwhile is %s", s)
+			t.Errorf("dependent submitted during the cancellation is %q, want withdrawn", s)
 		}
 	}
 	if a := sim.nodes[0].submit(awaitingJob(501, last)); a.Code != 201 || sim.nodes[2].jobStatus(t, awaitingJob(501).ID) != "withdrawn" {
-		t.Errorf("what names a withdrawn job: %d %s", a.Code, a.Body)
+		t.Errorf("dependent submitted after the cancellation: got %d %s, want 201 and status withdrawn", a.Code, a.Body)
 	}
 	if s := sim.nodes[0].jobStatus(t, before.ID); s != "done" {
-		t.Errorf("what was done before is %s", s)
+		t.Errorf("job that was done before is %q, want done", s)
 	}
 	sim.Run(sim.Now + 60*model.Second)
 	if sim.requireInvariants(); sim.invariants.TasksOnMachines() != 0 {
-		t.Errorf("%d tasks are on machines", sim.invariants.TasksOnMachines())
+		t.Errorf("%d tasks are still on machines, want 0", sim.invariants.TasksOnMachines())
 	}
 }
 
-// A cancellation that is answered with done changes nothing for what comes after.
+// A cancellation that is answered with done, because the job has already ended, does not
+// cancel the dependents.
 func TestCancelOfDoneJobKeepsDependents(t *testing.T) {
 	sim := newSmallDeployment(t, 64)
 	users := sim.submitPipeline(0, 0)
 	sim.runUntil(60*model.Second, "the first is done", func() bool { return users[0].reportedEnd == "done" })
 	a := sim.nodes[1].requestAndWait(func(r chan<- userapi.Answer) any { return msgCancel{users[0].submission.ID, r} })
 	if a.Code != 200 || !strings.Contains(string(a.Body), "done") {
-		t.Fatalf("%d %s", a.Code, a.Body)
+		t.Fatalf("cancellation of a done job: got %d %s, want 200 and done", a.Code, a.Body)
 	}
 	sim.runUntil(120*model.Second, "all is done", func() bool {
 		return len(users) > 0 && !slices.ContainsFunc(sim.pipelineJobIDs(0), func(ref string) bool { return sim.invariants.ReportedEnd(ref) != "done" })
@@ -219,7 +225,7 @@
 	sim.requireInvariants()
 }
 
-// refs are the jobs of a pipeline.
+// pipelineJobIDs returns the ids of the jobs of a pipeline.
 func (sim *simDeployment) pipelineJobIDs(first int) (ids []string) {
 	for i := range 4 {
 		ids = append(ids, fmt.Sprintf("j-%06d", first+i))
@@ -227,8 +233,8 @@
 	return ids
 }
 
-// A pipeline goes on over the end of all controllers, and when nothing else happens
-// that would remind the leader of what waits.
+// A pipeline continues after crashes of all controllers, and when no other event makes the
+// leader look at the waiting jobs.
 func TestPipelineSurvivesTakeovers(t *testing.T) {
 	sim := newSmallDeployment(t, 65)
 	sim.submitPipeline(0, 0)
@@ -244,8 +250,8 @@
 	sim.requireInvariants()
 }
 
-// What waits for others takes no part of its team's limit, has nothing stopped and
-// rents nothing.
+// A job that awaits others uses no part of its team's limit, preempts nothing and makes no
+// machines be rented.
 func TestAwaitingJobTakesNoResources(t *testing.T) {
 	sim := newSmallDeployment(t, 66)
 	sim.waitForLeader(10 * model.Second)
@@ -256,15 +262,17 @@
 	sim.submit(first, 0).onAccepted = func() { sim.submit(big, 0) }
 	sim.runUntil(30*model.Second, "the first runs", func() bool { return sim.invariants.TasksOnMachines() == 2 })
 	other := sim.submit(arrayJob(2, 16, 5), 0)
-	sim.runUntil(40*model.Second, "what came later is done", func() bool { return other.reportedEnd == "done" })
+	sim.runUntil(40*model.Second, "the later job is done", func() bool { return other.reportedEnd == "done" })
 	if s := sim.nodes[0].jobStatus(t, big.ID); s != "pending" {
-		t.Errorf("what waits is %s", s)
+		t.Errorf("job that awaits another is %q, want pending", s)
 	}
 	sim.runUntil(120*model.Second, "all is done", func() bool { return sim.invariants.ReportedEnd(big.ID) == "done" })
 	sim.requireInvariants()
 }
 
-// The watch of the rules sees what it is there for.
+// The invariant checker finds violations in a simulated deployment: a job that starts before
+// the job it awaits is done, a dependent that outlives a cancellation, and an accepted job
+// that is no longer answered for.
 func TestInvariantCheckerFindsViolations(t *testing.T) {
 	sim := newSmallDeployment(t, 67)
 	sim.waitForLeader(10 * model.Second)
@@ -272,7 +280,7 @@
 	violated := func(name string) bool {
 		return slices.ContainsFunc(sim.invariants.Violations, func(b string) bool { return strings.Contains(b, name) })
 	}
-	// The service is not told that the second awaits the first.
+	// Only the invariant checker knows that the second job awaits the first.
 	first, second := arrayJob(0, 2, 60), arrayJob(1, 2, 60)
 	sim.submit(first, 0)
 	sim.submit(second, 0)
@@ -281,7 +289,7 @@
 	sim.invariants.CancelRequested(first.ID)
 	(&user{sim: sim, submission: first}).sendCancel()
 	sim.runUntil(60*model.Second, "orphaned", func() bool { return violated("orphaned") })
-	// Nobody is left to answer, and no trouble is said to be the reason.
+	// All controllers are down, and the checker is told that no fault is active.
 	sim.submit(arrayJob(2, 1, 300), 0)
 	sim.runUntil(20*model.Second, "it is accepted", func() bool { return sim.invariants.Accepted[arrayJob(2, 1, 1).ID] })
 	sim.invariants.FaultsOverAt = sim.Now
@@ -290,10 +298,10 @@
 	}
 	sim.Run(sim.Now + 70*model.Second)
 	if violated("forgotten") {
-		t.Error("forgotten too early")
+		t.Error("violation \"forgotten\" is reported too early")
 	}
 	sim.Run(sim.Now + 15*model.Second)
 	if !violated("forgotten") {
-		t.Error("forgotten is not seen")
+		t.Error("violation \"forgotten\" is not reported")
 	}
 }
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -9,7 +9,7 @@
 	"woadweir/internal/standin"
 )
 
-// fleetSettings are those of a far larger deployment, with reports half as often.
+// fleetSettings returns settings of a much larger deployment, with heartbeats half as often.
 func fleetSettings(name string) *config.Settings {
 	settings := simSettings(name)
 	settings.Params.Teams = []config.Team{{Name: "red", CPUs: 12_000, CPUsMax: 20_000, GPUs: 500, GPUsMax: 2000}, {Name: "blue", CPUs: 5000, CPUsMax: 9000}}
@@ -20,12 +20,11 @@
 	return settings
 }
 
-// Many machines of a large fleet fail together while controllers do: 80 stop, 100
-// hang, 250 are cut off for longer than a lease and heard again with all they said
-// meanwhile, during a takeover, the end of all controllers with restarts in the
-// middle of the elections, and an outage of the state service; copies of reports
-// come late all the time. No rule is broken, nobody who was accepted is forgotten,
-// and once all is over everything ends.
+// Many machines of a large fleet fail at the same time as controllers: 80 end, 100 hang, and
+// 250 are cut off for longer than a lease, after which all their delayed heartbeats arrive.
+// Meanwhile there are a takeover, restarts during elections, an outage of the state service
+// and a restart of all controllers, and duplicates of heartbeats arrive late all the time. No
+// invariant is violated, no accepted job is lost, and every job ends after the faults.
 func TestManyMachinesFailTogether(t *testing.T) {
 	t.Parallel()
 	sim := newDeployment(t, 41, fleetSettings, cloudCapacity(385, 125))
@@ -34,7 +33,7 @@
 	sim.Run(40 * model.Second)
 	workers := sim.cloud.Workers()
 	if len(workers) < 1700 {
-		t.Fatalf("only %d machines are up", len(workers))
+		t.Fatalf("%d machines are up, want at least 1700", len(workers))
 	}
 	sim.failMachines(workers)
 	sim.failControllers()
@@ -50,15 +49,15 @@
 			accepted++
 		}
 		if u.accepted && u.reportedEnd == "" {
-			t.Errorf("%s never ended", u.submission.ID)
+			t.Errorf("accepted job %s has not ended", u.submission.ID)
 		}
 	}
 	if accepted < len(sim.users)*9/10 || sim.invariants.Starts < 9000 {
-		t.Errorf("%d of %d accepted, %d starts", accepted, len(sim.users), sim.invariants.Starts)
+		t.Errorf("%d of %d jobs accepted, %d task starts; want nine tenths and 9000", accepted, len(sim.users), sim.invariants.Starts)
 	}
 }
 
-// submitFleetLoad has arrays and gangs submitted, eight a second, and some cancelled.
+// submitFleetLoad submits array jobs and gangs, eight a second, and cancels some of them.
 func (sim *simDeployment) submitFleetLoad() {
 	for i := range 320 {
 		sim.At(model.Micros(i)*120*model.Millisecond, func() {
@@ -76,8 +75,8 @@
 	}
 }
 
-// failMachines has some machines end, some hang and some be cut off, until what these said
-// meanwhile arrives.
+// failMachines terminates some machines, makes some hang, and delays the heartbeats of some
+// for 50 seconds.
 func (sim *simDeployment) failMachines(workers []*standin.Worker) {
 	for i, worker := range workers {
 		switch {
@@ -99,8 +98,8 @@
 	})
 }
 
-// failControllers has the leader end, controllers restart in elections, the state service be
-// out, and all controllers end.
+// failControllers restarts the leader, restarts controllers during elections, makes the state
+// service unavailable for a while, and restarts all controllers.
 func (sim *simDeployment) failControllers() {
 	sim.After(3*model.Second, func() { sim.leader().crashFor(4 * model.Second) })
 	sim.After(15*model.Second, func() { newFaultInjection(sim, 0).restartDuringElections() })
@@ -111,6 +110,7 @@
 	sim.After(35*model.Second, func() { newFaultInjection(sim, 0).restartAll() })
 }
 
+// allAcceptedEnded reports whether the end of every accepted job was reported.
 func (sim *simDeployment) allAcceptedEnded() bool {
 	return !slices.ContainsFunc(sim.users, func(u *user) bool { return u.accepted && u.reportedEnd == "" })
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -7,14 +7,14 @@
 	"woadweir/internal/core/model"
 )
 
-// largeTeams are settings with teams that may use many machines.
+// largeTeamSettings returns settings with teams that may use many machines.
 func largeTeamSettings(name string) *config.Settings {
 	settings := simSettings(name)
 	settings.Params.Teams = []config.Team{{Name: "red", CPUsMax: 400}, {Name: "blue", CPUsMax: 400}}
 	return settings
 }
 
-// submitForBothTeams submits arrays, by turns of the two teams.
+// submitForBothTeams submits array jobs, alternating between the two teams.
 func (sim *simDeployment) submitForBothTeams(jobs int) {
 	for i := range jobs {
 		job := arrayJob(i, 8, 40)
@@ -26,8 +26,8 @@
 	}
 }
 
-// servedMachines is the number of machines whose heartbeats the leader has got and
-// answered lately.
+// servedMachines returns the number of machines whose heartbeats the leader received and
+// answered within the last ten seconds.
 func (sim *simDeployment) servedMachines() (n int) {
 	for _, m := range sim.leader().ctl.leading.shard.Machines {
 		if m.Up && m.ReceivesAnswers && sim.Now-m.LastHeartbeat < 10*model.Second {
@@ -37,8 +37,8 @@
 	return n
 }
 
-// runArrays submits four arrays whose tasks take that many seconds, and waits until most
-// of them run.
+// runArrays submits four array jobs whose tasks run for that many seconds, and waits until
+// 20 of the 32 tasks run.
 func (sim *simDeployment) runArrays(seconds float64) {
 	sim.t.Helper()
 	for i := range 4 {
@@ -47,9 +47,9 @@
 	sim.waitForRunningTasks(20)
 }
 
-// With more machines than sockets for them, the leader sends workers on to siblings,
-// which hand their reports on: all machines work, at a takeover as well, and when
-// siblings can't be reached the leader takes all workers itself, as far as it can.
+// With more machines than the leader has sockets for, it redirects workers to siblings, which
+// relay their heartbeats, so that all machines work, also after a takeover. When the siblings
+// can't be reached, the leader serves as many workers as it can itself.
 func TestMoreWorkersThanSockets(t *testing.T) {
 	const limit = 20
 	sim := newDeployment(t, 71, withFDLimit(limit, largeTeamSettings), map[string]int{"small/a/false": 20, "small/b/false": 20})
@@ -58,17 +58,17 @@
 	enoughServed := func() bool {
 		return leader() != nil && leader().ctl.leading.ready && sim.servedMachines() > limit*3/4 && sim.invariants.TasksOnMachines() > 60
 	}
-	sim.runUntil(90*model.Second, "more machines work than there are sockets for", enoughServed)
+	sim.runUntil(90*model.Second, "more machines work than the leader has sockets for", enoughServed)
 	sim.Run(sim.Now + 10*model.Second)
 	if n := leader().ctl.relay.directWorkers(leader().ctl.now); float64(n) > limit*relayHighWatermark+2 {
-		t.Errorf("%d workers report to the leader itself", n)
+		t.Errorf("%d workers send heartbeats to the leader directly", n)
 	}
 	if sim.relayedHeartbeats == 0 {
-		t.Error("no report was handed on")
+		t.Error("no heartbeat was relayed")
 	}
 	former := leader()
 	former.crashFor(4 * model.Second)
-	sim.runUntil(40*model.Second, "and after a takeover", func() bool { return leader() != nil && leader() != former && enoughServed() })
+	sim.runUntil(40*model.Second, "more machines work than sockets after a takeover", func() bool { return leader() != nil && leader() != former && enoughServed() })
 	sim.Run(sim.Now + 20*model.Second)
 	sim.requireInvariants()
 	before := sim.relayedHeartbeats
@@ -80,16 +80,16 @@
 	start := sim.relayedHeartbeats
 	sim.Run(sim.Now + 10*model.Second)
 	if sim.relayedHeartbeats-start > 2 {
-		t.Errorf("%d reports were handed on though controllers do not reach each other (%d before)", sim.relayedHeartbeats-start, before)
+		t.Errorf("%d heartbeats were relayed although controllers do not reach each other (%d in the first 15 s)", sim.relayedHeartbeats-start, before)
 	}
 	if leader() == nil || sim.servedMachines() == 0 {
-		t.Error("the leader lost all workers")
+		t.Error("the leader serves no workers")
 	}
 	sim.requireInvariants()
 }
 
-// A leader that workers can't reach is handed their reports at once when they come
-// to a sibling, instead of asking them to come to it, until it has resigned.
+// A leader that workers can't reach gets the heartbeats that a sibling relays, instead of the
+// workers being redirected to it in vain, until it has resigned.
 func TestHeartbeatsRelayedToUnreachableLeader(t *testing.T) {
 	sim := newSmallDeployment(t, 72)
 	sim.runArrays(60)
@@ -97,13 +97,13 @@
 	sim.leader().reachableByWorkers = false
 	sim.Run(sim.Now + 25*model.Second)
 	if n := sim.invariants.TasksOnMachines(); n < before*3/4 {
-		t.Errorf("%d of %d tasks are left", n, before)
+		t.Errorf("%d of %d tasks still run", n, before)
 	}
 	sim.requireInvariants()
 }
 
-// Machines that can't reach the leader, but a sibling of it, as when two zones are
-// cut from each other, are served through that sibling within their lease.
+// Machines that can't reach the leader but reach a sibling, as when two zones are partitioned,
+// are served through that sibling before their leases expire.
 func TestMachinesCutOffFromLeaderUseSibling(t *testing.T) {
 	sim := newSmallDeployment(t, 73)
 	sim.runArrays(90)
@@ -116,11 +116,11 @@
 	}
 	sim.Run(sim.Now + 40*model.Second)
 	if n := sim.invariants.TasksOnMachines(); n != 20 || sim.leader() != leader {
-		t.Errorf("%d of 20 tasks are left, another leads: %v", n, sim.leader() != leader)
+		t.Errorf("%d of 20 tasks still run, another controller leads: %v", n, sim.leader() != leader)
 	}
 	for _, worker := range workers {
 		if m := leader.ctl.leading.shard.Machines[worker.ID]; m.Lost || sim.Now-m.LastHeartbeat > 8*model.Second {
-			t.Errorf("%s was heard %.1f s ago", worker.ID, (sim.Now - m.LastHeartbeat).Seconds())
+			t.Errorf("the last heartbeat of %s is %.1f s old", worker.ID, (sim.Now - m.LastHeartbeat).Seconds())
 		}
 	}
 	clear(sim.unreachableNode)
--- a/internal/controller/sim_effects_test.go
+++ b/internal/controller/sim_effects_test.go
@@ -8,6 +8,8 @@
 	"woadweir/internal/state"
 )
 
+// sync reads the changes since a revision, or lists all records; the answer is lost if
+// syncsLost is set.
 func (n *simNode) sync(from uint64, list bool) {
 	incarnation := n.incarnation
 	synced := msgSynced{sentAt: n.ctl.clock()}
@@ -40,6 +42,7 @@
 	}, func() { n.deliver(incarnation, msgSynced{sentAt: synced.sentAt, err: state.ErrLost}) }, syncTimeout)
 }
 
+// deliver passes a reply to the controller unless it has restarted since it sent the request.
 func (n *simNode) deliver(incarnation int, m any) {
 	if n.incarnation == incarnation {
 		n.reachPausePoint(pausePointOnAnswer(m))
@@ -47,6 +50,8 @@
 	}
 }
 
+// commit sends a transaction to the state service, unless intercept takes it. While the
+// process is paused, it is deferred.
 func (n *simNode) commit(m msgCommitted) {
 	if n.intercept != nil && n.intercept(m) {
 		return
@@ -65,6 +70,7 @@
 	}, func() { n.deliver(incarnation, m) }, func() { n.deliver(incarnation, lost) }, commitTimeout)
 }
 
+// cloudCall executes a request to the cloud after a delay and delivers the reply that call returns.
 func (n *simNode) cloudCall(f func() any) {
 	incarnation := n.incarnation
 	n.sim.After(n.sim.Between(50*model.Millisecond, 200*model.Millisecond), func() {
@@ -125,13 +131,16 @@
 	})
 }
 
-// cloudAgain has a late copy of a call carried out, if copies come late in this world.
+// maybeDuplicateCall executes a call to the cloud once more, up to a minute later, with
+// probability duplicateRequestChance.
 func (sim *simDeployment) maybeDuplicateCall(call func()) {
 	if sim.duplicateRequestChance > 0 && sim.Chance(sim.duplicateRequestChance) {
 		sim.After(sim.Between(model.Second, 60*model.Second), call)
 	}
 }
 
+// ping asks the other controllers for their state. The production version does not relay
+// heartbeats.
 func (n *simNode) ping() {
 	incarnation := n.incarnation
 	n.sim.After(2*model.Millisecond, func() {
@@ -156,6 +165,8 @@
 	})
 }
 
+// resign ends a session at the state service through this controller, or through a sibling
+// if one is named.
 func (n *simNode) resign(session uint64, sibling string) {
 	n.sessionToAbandon = session
 	via := n
@@ -166,7 +177,7 @@
 		via = n.sim.nodes[slices.Index(n.sim.Nodes(), sibling)]
 	}
 	via.sendStateRequest(func() func() {
-		_ = n.sim.state.EndLease(via.name, session) // what is lost is lost
+		_ = n.sim.state.EndLease(via.name, session) // not repeated if it fails
 		return func() {}
 	}, func() {}, 2*model.Second)
 }
--- a/internal/controller/sim_network_test.go
+++ b/internal/controller/sim_network_test.go
@@ -9,7 +9,7 @@
 	"woadweir/internal/workerapi"
 )
 
-// Nodes and Checkin make the world a network for workers.
+// Nodes returns the names of all controllers. With SendHeartbeat it implements standin.Net.
 func (sim *simDeployment) Nodes() []string {
 	var names []string
 	for _, node := range sim.nodes {
@@ -18,6 +18,8 @@
 	return names
 }
 
+// SendHeartbeat delivers a worker's heartbeat to a node, unless the network between them is
+// cut; the heartbeat may also be delayed, duplicated or recorded.
 func (sim *simDeployment) SendHeartbeat(worker *standin.Worker, node string, body []byte, respond func(int, []byte)) {
 	target := sim.nodes[slices.Index(sim.Nodes(), node)]
 	if sim.unreachableNode[worker.ID] == node || sim.heartbeatsBlocked[worker.ID] || sim.canReach != nil && !sim.canReach(worker, target) {
@@ -49,15 +51,15 @@
 	}
 }
 
-// repeatAll delivers recorded heartbeats once more, to all controllers.
+// replayHeartbeats delivers recorded heartbeats again, to all controllers.
 func replayHeartbeats(recorded []func()) {
 	for _, deliver := range recorded {
 		deliver()
 	}
 }
 
-// deliverReport has a report arrive at a controller after that time, unless it is down or
-// no worker reaches it. answer gets the response.
+// deliverHeartbeat delivers a heartbeat to a controller after a delay, unless the controller
+// is down or no worker reaches it. respond is called with the response.
 func (sim *simDeployment) deliverHeartbeat(node *simNode, body []byte, after model.Micros, respond func(int, []byte)) {
 	sim.After(after, func() {
 		if !node.alive || !node.reachableByWorkers {
@@ -82,11 +84,12 @@
 	})
 }
 
-// simRelayTimeout is how long a controller waits for the one that it relays a report to.
+// simRelayTimeout is the time for which a controller waits for the answer to a heartbeat
+// that it relayed.
 const simRelayTimeout = 2500 * model.Millisecond
 
-// relayReport carries a report on to the controller that an answer names. give gets that
-// one's answer, or the first one if relaying fails.
+// relayHeartbeat relays a heartbeat to the controller that an answer names. reply is called
+// with that controller's answer, or with the first answer if relaying fails.
 func (sim *simDeployment) relayHeartbeat(from *simNode, heartbeat *shard.Heartbeat, answer workerAnswer, reply func(workerAnswer)) {
 	target := sim.nodes[slices.Index(sim.Nodes(), answer.relayTo)]
 	incarnation := from.incarnation
@@ -121,7 +124,7 @@
 	})
 }
 
-// handsOver gives the actor a report; f gets its answer.
+// receiveHeartbeat passes a heartbeat to the controller; onAnswer is called with its answer.
 func (n *simNode) receiveHeartbeat(m msgHeartbeat, onAnswer func(workerAnswer)) {
 	reply := make(chan workerAnswer, 1)
 	m.reply = reply
--- a/internal/controller/sim_node_test.go
+++ b/internal/controller/sim_node_test.go
@@ -9,47 +9,48 @@
 	"woadweir/internal/state"
 )
 
-// How a node's way to the state service can be cut.
+// States of the connection between a node and the state service, or between two cells.
 const (
 	linkOpen     = iota
-	linkDropping // requests vanish
-	linkHolding  // requests wait, and are carried out when the cut ends
-	linkRefusing // the service answers 503 to this node alone
+	linkDropping // requests are lost
+	linkHolding  // requests are held, and executed when the link is open again
+	linkRefusing // the service answers 503 to this node only
 )
 
-// simNode is a controller in simulated time: the real actor, with scripted
-// peers in the place of sockets.
+// simNode is a controller in simulated time: the real actor, with direct calls between
+// controllers instead of sockets.
 type simNode struct {
 	sim                   *simDeployment
 	name                  string
 	settings              *config.Settings
 	alive                 bool
-	incarnation           int
+	incarnation           int // number of starts
 	ctl                   *controller
 	session               *leadership.Session
-	stateLink             int
-	heldRequests          []func() // held requests
-	reachableByWorkers    bool     // workers reach it
-	syncsLost             bool     // its catch-ups get no answer, all else does
-	usersCutOff           bool     // users don't reach it
-	peersCutOff           bool     // the other controllers do not reach it, nor it them
-	pendingReplies        []func() bool
-	sessionToAbandon      uint64 // a session that the session actor is to end
-	runsProductionVersion bool   // it runs the version in production, see upgrade_test.go
-	cloudUnavailable      bool   // the cloud refuses its requests
-	paused                bool   // the process stands still, see pause_test.go
-	deferredCalls         []func()
-	shouldPause           func(pausePoint) bool // tells whether the process stops there
-	// intercept takes a transaction away if it returns true.
+	stateLink             int                   // linkOpen and so on: the connection to the state service
+	heldRequests          []func()              // executed when stateLink is open again
+	reachableByWorkers    bool                  // workers' heartbeats arrive
+	syncsLost             bool                  // only its synchronizations get no answer
+	usersCutOff           bool                  // users' requests do not arrive
+	peersCutOff           bool                  // it does not reach the other controllers, nor they it
+	pendingReplies        []func() bool         // each reports whether its reply has arrived
+	sessionToAbandon      uint64                // a session that the session loop is to abandon, 0: none
+	runsProductionVersion bool                  // simulates the version in production, see upgrade_test.go
+	cloudUnavailable      bool                  // its requests to the cloud fail
+	paused                bool                  // the process is paused, see sim_pause_test.go
+	deferredCalls         []func()              // run when the process resumes
+	shouldPause           func(pausePoint) bool // reports whether the process pauses at a point; nil: at none
+	// intercept returns true to keep a transaction from being sent.
 	intercept func(msgCommitted) bool
 }
 
+// start starts the controller with newly read settings and an empty state.
 func (n *simNode) start() {
 	n.alive, n.incarnation, n.pendingReplies = true, n.incarnation+1, nil
 	n.paused, n.deferredCalls = false, nil
 	n.settings = n.sim.settings(n.name)
 	if n.runsProductionVersion {
-		n.settings.Params.State.Next = simSettings("").Params.State.Next // which it does not know
+		n.settings.Params.State.Next = simSettings("").Params.State.Next // the production version does not know the setting
 	}
 	leaseTimes := leadership.ComputeLeaseTimes(30*model.Second, model.Seconds(n.settings.Params.Workers.LeaseS), model.Seconds(n.settings.Params.Workers.ReportS), model.Seconds(n.settings.Params.Workers.CancelS))
 	base := n.sim.Now
@@ -72,28 +73,31 @@
 	n.scheduleSessionCall(n.incarnation)
 }
 
+// crash ends the process; replies that are pending are lost.
 func (n *simNode) crash() {
 	n.alive, n.pendingReplies = false, nil
 }
 
-// crashFor ends a controller, and starts it again after that time.
+// crashFor ends the process and restarts it after the downtime.
 func (n *simNode) crashFor(downtime model.Micros) {
 	n.crash()
 	n.sim.After(downtime, n.start)
 }
 
+// tick sends the controller a tick every 50 ms until its process ends.
 func (n *simNode) tick(incarnation int) {
 	if !n.alive || n.incarnation != incarnation {
 		return
 	}
-	if !n.paused { // ticks that nobody takes are dropped
+	if !n.paused { // a paused process misses its ticks
 		n.send(msgTick{}, nil)
 	}
 	n.sim.After(50*model.Millisecond, func() { n.tick(incarnation) })
 }
 
-// ask hands a message to the actor; check is called until it says that the
-// answer has come.
+// send passes a message to the controller, or defers it while the process is paused.
+// answered, if it is not nil, is called after each message until it reports that the answer
+// has arrived.
 func (n *simNode) send(m any, answered func() bool) {
 	if !n.alive || n.deferIfPaused(func() { n.send(m, answered) }) {
 		return
@@ -106,11 +110,13 @@
 	n.pendingReplies = slices.DeleteFunc(n.pendingReplies, func(f func() bool) bool { return f() })
 }
 
+// scheduleSessionCall schedules the session's next call to the state service.
 func (n *simNode) scheduleSessionCall(incarnation int) {
 	call := n.session.Next()
 	n.sim.After(call.After+1, func() { n.sendSessionCall(call, incarnation) })
 }
 
+// sendSessionCall sends a call of the session, unless the session is to be abandoned.
 func (n *simNode) sendSessionCall(call leadership.Call, incarnation int) {
 	if n.alive && n.incarnation == incarnation && call.Kind == leadership.CallRenew {
 		n.reachPausePoint(beforeRenewal)
@@ -135,8 +141,8 @@
 	n.sendStateRequest(func() func() { execute(); return onReply }, onLost, 2*model.Second)
 }
 
-// carryOut is a call of the session at the state service, with its reply. It returns the
-// result if the call is a transaction.
+// executeSessionCall executes a call of the session at the state service and fills in its
+// reply. It returns the result if the call is a transaction.
 func (n *simNode) executeSessionCall(call leadership.Call, reply *leadership.Reply) (result *state.Result) {
 	key := "node/" + n.name
 	err := error(nil)
@@ -167,6 +173,7 @@
 	return result
 }
 
+// nodeRecord returns the record that announces this node and what it can read.
 func (n *simNode) nodeRecord(session uint64) state.NodeRecord {
 	record := state.NodeRecord{Session: session, Layout: state.Layout(n.ctl.operator.Spill != nil), MayHoldDuties: n.ctl.duties.mayHoldDuties}
 	if n.runsProductionVersion {
@@ -175,6 +182,8 @@
 	return record
 }
 
+// handleSessionReply passes a reply to the session, tells the controller if the session has
+// changed, and schedules the next call.
 func (n *simNode) handleSessionReply(reply leadership.Reply, incarnation int) {
 	if n.alive && n.incarnation == incarnation {
 		n.reachPausePoint(renewalAnswer)
@@ -188,9 +197,9 @@
 	n.scheduleSessionCall(incarnation)
 }
 
-// request carries a request to the state service: it takes time, and may be
-// lost, refused, or held and carried out late. do carries it out and returns
-// what brings the answer; lost is called when timeout is over.
+// sendStateRequest sends a request to the state service. It takes time, and may be lost,
+// refused, or held and executed late. execute executes it and returns the function that
+// delivers the answer; onLost is called if no answer has arrived after timeout.
 func (n *simNode) sendStateRequest(execute func() func(), onLost func(), timeout model.Micros) {
 	sim, answered := n.sim, false
 	finish := func(f func()) {
@@ -217,7 +226,7 @@
 		}
 		deliver := execute()
 		if sim.Chance(0.01) {
-			return // carried out, but the answer is lost
+			return // executed, but the answer is lost
 		}
 		sim.After(sim.Between(model.Millisecond, 6*model.Millisecond), func() {
 			if n.stateLink != linkDropping && n.stateLink != linkHolding {
@@ -227,8 +236,8 @@
 	})
 }
 
-// transact is request for a transaction: it may get no answer and be carried out
-// later, after newer ones.
+// sendTransaction sends a transaction like sendStateRequest. With probability lateWriteChance
+// it gets no answer and is executed later, possibly after newer ones.
 func (n *simNode) sendTransaction(execute func() *state.Result, onReply, onLost func(), timeout model.Micros) {
 	sim := n.sim
 	if sim.lateWriteChance == 0 || n.stateLink != linkOpen || !sim.Chance(sim.lateWriteChance) {
@@ -245,14 +254,19 @@
 	sim.After(timeout, onLost)
 }
 
-// How long after it was sent a transaction without an answer is carried out.
+// longWriteDelay returns a delay for lateWriteDelay that lets newer transactions be executed
+// first.
 func (sim *simDeployment) longWriteDelay() model.Micros {
 	return sim.Between(2*model.Second, 12*model.Second)
 }
+
+// shortWriteDelay returns a delay for lateWriteDelay in the range of ordinary requests.
 func (sim *simDeployment) shortWriteDelay() model.Micros {
 	return sim.Between(model.Millisecond, 6*model.Millisecond)
 }
 
+// setStateLink changes the connection to the state service; the requests that were held are
+// executed when it is open again.
 func (n *simNode) setStateLink(link int) {
 	n.stateLink = link
 	n.sim.state.RefusedNodes[n.name] = link == linkRefusing
--- a/internal/controller/sim_pause_test.go
+++ b/internal/controller/sim_pause_test.go
@@ -7,8 +7,8 @@
 	"woadweir/internal/duty"
 )
 
-// pausePoint is a point between check, write, send and answer at which a process may
-// stand still.
+// pausePoint is a point at which a process may pause: before it sends a request, or when an
+// answer arrives.
 type pausePoint int
 
 const (
@@ -30,7 +30,7 @@
 	pausePointCount
 )
 
-// pointOf is the point before a transaction is sent.
+// pausePointBefore returns the point before a transaction is sent.
 func pausePointBefore(m msgCommitted) pausePoint {
 	if m.lane == laneIntent {
 		return beforeIntent
@@ -51,7 +51,7 @@
 	return beforeLease
 }
 
-// answerOf is the point at which an answer comes in.
+// pausePointOnAnswer returns the point at which a message with an answer arrives.
 func pausePointOnAnswer(m any) pausePoint {
 	switch m := m.(type) {
 	case msgRented:
@@ -69,7 +69,8 @@
 	return noPausePoint
 }
 
-// reaches has the process stand still if it is to do so at this point.
+// reachPausePoint pauses the process if it is to pause at this point, and reports whether it
+// did.
 func (n *simNode) reachPausePoint(point pausePoint) bool {
 	if point == noPausePoint || n.paused || n.shouldPause == nil || !n.shouldPause(point) {
 		return false
@@ -78,7 +79,7 @@
 	return true
 }
 
-// stopped tells that the process stands still; f is done when it goes on.
+// deferIfPaused reports whether the process is paused; if so, f is called when it resumes.
 func (n *simNode) deferIfPaused(f func()) bool {
 	if n.paused {
 		n.deferredCalls = append(n.deferredCalls, f)
@@ -86,12 +87,14 @@
 	return n.paused
 }
 
-// pauseFor has a process stand still for a while: its clock goes on.
+// pauseFor pauses the process for a while; its clock runs on.
 func (n *simNode) pauseFor(duration model.Micros) {
 	n.paused = true
 	n.resumeAfter(duration)
 }
 
+// resumeAfter resumes the process after that time, with all deferred calls, unless it has
+// restarted or ended by then.
 func (n *simNode) resumeAfter(duration model.Micros) {
 	incarnation := n.incarnation
 	n.sim.After(duration, func() {
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -30,7 +30,8 @@
 	os.Exit(m.Run())
 }
 
-// world is a deployment in simulated time.
+// simDeployment is a deployment of controllers, users, workers, a cloud and a state service
+// in simulated time.
 type simDeployment struct {
 	*standin.Sim
 	t          *testing.T
@@ -39,42 +40,45 @@
 	invariants *standin.InvariantChecker
 	nodes      []*simNode
 	users      []*user
-	// settings are read by a node whenever it starts.
+	// settings returns the settings that a node reads whenever it starts.
 	settings func(name string) *config.Settings
-	policy   func(name string) *duty.Policy // the duties file, nil: none
-	cell     *simCell                       // its part among other cells, nil: there are none
-
-	delayedMachines          map[string]bool   // machines whose reports wait until the cut ends
-	delayedHeartbeats        []func(*simNode)  // these reports, to be delivered to a node, or to the one they were sent to (nil)
-	unreachableNode          map[string]string // machines that can't reach the node
-	responsesLost            map[string]bool   // machines whose heartbeats arrive, but which get no response
-	duplicateHeartbeatChance float64           // chance that a report arrives once more, up to duplicateDelay later
-	duplicateRequestChance   float64           // chance that a request to the state service or the cloud is carried out once more
-	relayedHeartbeats        int               // reports that were handed on and answered
-	recordedHeartbeats       []func()          // every heartbeat as it was delivered, if recordsHeartbeats is set
+	policy   func(name string) *duty.Policy // returns a node's duties file; nil: there is none
+	cell     *simCell                       // this deployment as one of several cells; nil: there are no others
+
+	delayedMachines          map[string]bool   // machines whose heartbeats are kept in delayedHeartbeats
+	delayedHeartbeats        []func(*simNode)  // each delivers a delayed heartbeat to the node given, or to the original receiver if it is nil
+	unreachableNode          map[string]string // by machine: the node that it can't reach
+	responsesLost            map[string]bool   // machines whose heartbeats arrive but that get no response
+	duplicateHeartbeatChance float64           // probability that a heartbeat arrives once more, up to maxDuplicateDelay later
+	duplicateRequestChance   float64           // probability that a request to the state service or the cloud is executed once more
+	relayedHeartbeats        int               // heartbeats that were relayed and answered with code 200
+	recordedHeartbeats       []func()          // each delivers a heartbeat again, to all nodes; kept if recordsHeartbeats is set
 	recordsHeartbeats        bool
 
-	heartbeatsBlocked map[string]bool                          // machines that reach no controller
-	canReach          func(x *standin.Worker, n *simNode) bool // whether a worker's network reaches a node; nil: it does
-	heartbeatLag      model.Micros                             // reports and answers take up to so much longer
-	lateWriteChance   float64                                  // chance that a transaction gets no answer and is carried out later
-	lateWriteDelay    func() model.Micros                      // how much later
-	lateWritesArrived int                                      // such transactions that came to the state service
-	lateWritesApplied int                                      // such transactions that changed something
-	checksEveryNode   bool                                     // users ask at all nodes when they are told anything
-	everyNodeAnswers  int                                      // questions so asked that were answered
-	stateLag          model.Micros                             // requests to the state service take up to so much longer
-	startedFaults     []string                                 // the drawn faults that have begun, for failure messages
-}
-
-// duplicateDelay is well over a lease.
+	heartbeatsBlocked map[string]bool                          // machines whose heartbeats reach no controller
+	canReach          func(x *standin.Worker, n *simNode) bool // reports whether a worker's heartbeats reach a node; nil: they do
+	heartbeatLag      model.Micros                             // heartbeats and their responses take up to this much longer
+	lateWriteChance   float64                                  // probability that a transaction gets no answer and is executed later
+	lateWriteDelay    func() model.Micros                      // returns how long after sending such a transaction is executed
+	lateWritesArrived int                                      // number of such transactions that reached the state service
+	lateWritesApplied int                                      // number of such transactions that were committed
+	checksEveryNode   bool                                     // users query all nodes after an acceptance, a cancellation or a reported end
+	everyNodeAnswers  int                                      // number of these requests that were answered with code 200
+	stateLag          model.Micros                             // requests to the state service take up to this much longer
+	startedFaults     []string                                 // the injected faults with their times, for failure messages
+}
+
+// maxDuplicateDelay is the maximum delay of a duplicate heartbeat; it is well over a worker
+// lease.
 const maxDuplicateDelay = 60 * model.Second
 
+// simMachineTypes are the machine types that the simulated cloud offers.
 var simMachineTypes = []model.MachineType{
 	{Name: "small", Cores: 8, MemoryGB: 32, CacheGB: 20, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a", "b"}},
 	{Name: "gpu", Cores: 16, GPUs: 4, MemoryGB: 64, CacheGB: 20, FetchGBps: 1, Price: 8, SpotPrice: 2, BootS: 6, Zones: []string{"a", "b"}},
 }
 
+// simSettings returns the settings of one of three controllers.
 func simSettings(name string) *config.Settings {
 	settings := &config.Settings{NodeName: name, ServeOn: "10.0.0.1:8080"}
 	for _, sibling := range []string{"node-0", "node-1", "node-2"} {
@@ -90,7 +94,7 @@
 	return settings
 }
 
-// sockets are settings with so many sockets.
+// withFDLimit returns settings that allow limit file descriptors.
 func withFDLimit(limit int, settings func(name string) *config.Settings) func(name string) *config.Settings {
 	return func(name string) *config.Settings {
 		s := settings(name)
@@ -99,7 +103,8 @@
 	}
 }
 
-// capacity is so many machines of each type in each zone and of each kind.
+// cloudCapacity returns a cloud's capacity: the number of small and of GPU machines in each
+// zone, both spot and on demand.
 func cloudCapacity(small, gpu int) map[string]int {
 	capacity := map[string]int{}
 	for _, zone := range []string{"a", "b"} {
@@ -111,11 +116,13 @@
 	return capacity
 }
 
-// newWorld is a small deployment: its fleet is soon full.
+// newSmallDeployment starts three controllers and a cloud with few machines, so that a small
+// load fills the fleet.
 func newSmallDeployment(t *testing.T, seed uint64) *simDeployment {
 	return newDeployment(t, seed, simSettings, cloudCapacity(4, 2))
 }
 
+// newDeployment starts three controllers with a cloud of that capacity.
 func newDeployment(t *testing.T, seed uint64, settings func(name string) *config.Settings, capacity map[string]int) *simDeployment {
 	sim, defaults := standin.NewSim(seed), settings("")
 	invariants := standin.NewInvariantChecker(sim, defaults.Teams(), model.Seconds(defaults.Params.Workers.CancelS))
@@ -126,7 +133,8 @@
 	return deployment
 }
 
-// newCell is a deployment without controllers that shares time and rules with others.
+// newDeploymentWithoutControllers returns a deployment that may share its simulated time and
+// its invariant checker with others, so that they form the cells of a larger one.
 func newDeploymentWithoutControllers(t *testing.T, sim *standin.Sim, invariants *standin.InvariantChecker, settings func(name string) *config.Settings, capacity map[string]int) *simDeployment {
 	deployment := &simDeployment{Sim: sim, invariants: invariants, t: t, settings: settings, unreachableNode: map[string]string{}, responsesLost: map[string]bool{}, delayedMachines: map[string]bool{}, heartbeatsBlocked: map[string]bool{}}
 	deployment.state = standin.NewState(deployment.Sim)
@@ -137,21 +145,23 @@
 	return deployment
 }
 
-// addNode starts one more controller.
+// addNode starts another controller.
 func (sim *simDeployment) addNode(name string) {
 	node := &simNode{sim: sim, name: name, reachableByWorkers: true}
 	sim.nodes = append(sim.nodes, node)
 	node.start()
 }
 
+// requireInvariants fails the test if an invariant was violated.
 func (sim *simDeployment) requireInvariants() {
 	sim.t.Helper()
 	sim.invariants.CheckCancelled()
 	if len(sim.invariants.Violations) > 0 {
-		sim.t.Fatalf("rules broken: %v", sim.invariants.Violations)
+		sim.t.Fatalf("invariants violated: %v", sim.invariants.Violations)
 	}
 }
 
+// leader returns the controller that leads and whose authority is valid, or nil.
 func (sim *simDeployment) leader() *simNode {
 	for _, n := range sim.nodes {
 		if n.alive && n.ctl.leading != nil && n.ctl.authority.IsValid(n.ctl.clock()) {
@@ -161,18 +171,20 @@
 	return nil
 }
 
+// arrayJob returns an array job of team red that may run on spot machines.
 func arrayJob(i, tasks int, estimateS float64) *model.Submission {
 	return &model.Submission{ID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "red", Kind: "sweep", Priority: "standard", Tasks: tasks,
 		Cores: 2, MemoryGB: 4, Image: "img-1", ImageGB: 1, AllowsSpot: true, EstimateS: estimateS}
 }
 
+// gangJob returns an urgent gang of team blue with checkpoints, for on-demand machines only.
 func gangJob(i, tasks int, estimateS float64) *model.Submission {
 	submission := arrayJob(i, tasks, estimateS)
 	submission.Kind, submission.Priority, submission.Cores, submission.AllowsSpot, submission.CheckpointS, submission.SaveS, submission.Team = "gang", "urgent", 3, false, 5, 1, "blue"
 	return submission
 }
 
-// describe is for failure messages.
+// describe returns the state of the cloud and the controllers, for failure messages.
 func (sim *simDeployment) describe() string {
 	text := sim.cloud.Describe()
 	for _, node := range sim.nodes {
@@ -188,6 +200,7 @@
 	return text
 }
 
+// simHeartbeat returns the first heartbeat of a small machine.
 func simHeartbeat(machine string) *shard.Heartbeat {
 	return &shard.Heartbeat{Machine: machine, MachineType: "small", Zone: "a", Incarnation: 1, Sequence: 1}
 }
--- a/internal/controller/sim_users_test.go
+++ b/internal/controller/sim_users_test.go
@@ -8,7 +8,7 @@
 	"woadweir/internal/userapi"
 )
 
-// user submits a job with retries, polls until its end, and may cancel it.
+// user submits a job with retries, polls its status until it ends, and may cancel it.
 type user struct {
 	sim             *simDeployment
 	submission      *model.Submission
@@ -17,10 +17,12 @@
 	cancelAt        model.Micros
 	cancelRequested bool
 	deadline        model.Micros
-	onAccepted      func()   // once, when it is accepted
-	cancelVia       *simNode // the node at which it cancels, any one if it is nil
+	onAccepted      func()   // called once, when the job is accepted; may be nil
+	cancelVia       *simNode // the node that gets the cancellation; nil: a random one
 }
 
+// submit submits a job through a new user, which cancels it after cancelAfter unless that
+// is 0.
 func (sim *simDeployment) submit(submission *model.Submission, cancelAfter model.Micros) *user {
 	u := &user{sim: sim, submission: submission, deadline: sim.Now + 60*model.Second}
 	sim.invariants.Submitted[submission.ID], sim.invariants.Awaits[submission.ID] = submission.Job(0), submission.Awaits
@@ -35,12 +37,13 @@
 	return u
 }
 
-// allDone tells whether users were told that all of these jobs are done.
+// allReportedDone reports whether all of these jobs were reported as done to their users.
 func allReportedDone(users []*user) bool {
 	return !slices.ContainsFunc(users, func(u *user) bool { return u.reportedEnd != "done" })
 }
 
-// call asks a node, any one if it is nil; f gets code 0 if there is no answer.
+// sendUserRequest sends a request to a node, or to a random one if to is nil, and follows
+// one forwarding. onAnswer is called with code 0 if no answer arrives before the timeout.
 func (sim *simDeployment) sendUserRequest(to *simNode, timeout model.Micros, msg func(chan<- userapi.Answer) any, onAnswer func(userapi.Answer)) {
 	answered := false
 	finish := func(a userapi.Answer) {
@@ -78,6 +81,7 @@
 	sim.After(model.Millisecond, func() { send(to, false) })
 }
 
+// sendSubmission submits the job, again after a second until it is accepted or the deadline is over.
 func (u *user) sendSubmission() {
 	sentAt := u.sim.Now
 	u.sim.sendUserRequest(nil, 5*model.Second, func(r chan<- userapi.Answer) any {
@@ -102,6 +106,8 @@
 	})
 }
 
+// poll requests the job's status until its end is reported, and with a chance of one half
+// goes on after that.
 func (u *user) poll() {
 	if u.cancelAt > 0 && u.sim.Now >= u.cancelAt {
 		u.cancel(nil)
@@ -118,6 +124,7 @@
 	})
 }
 
+// sendCancel sends a cancellation, again after a second until it is answered with code 200.
 func (u *user) sendCancel() {
 	sentAt := u.sim.Now
 	u.sim.sendUserRequest(u.cancelVia, 5*model.Second, func(r chan<- userapi.Answer) any { return msgCancel{u.submission.ID, r} }, func(a userapi.Answer) {
@@ -130,7 +137,8 @@
 	})
 }
 
-// cancel has the job withdrawn through a node, any one if it is nil.
+// cancel cancels the job through a node, or through a random one if via is nil. Further calls
+// have no effect.
 func (u *user) cancel(via *simNode) {
 	if !u.cancelRequested {
 		u.cancelRequested, u.cancelVia = true, via
@@ -139,9 +147,9 @@
 	}
 }
 
-// checkEveryNode has the user ask at every node within milliseconds, and repeat the submission
-// there, as it was, altered or with a field missing: none may say anything older than
-// what the user was told, nor refuse a job that was accepted.
+// checkEveryNode requests the job's status at every node within milliseconds, and repeats the
+// submission there: unchanged, altered, and with a field missing. No node may answer with an
+// older status than the user has already seen, or refuse a job that was accepted.
 func (u *user) checkEveryNode() {
 	sim := u.sim
 	if !sim.checksEveryNode {
--- a/internal/controller/status_reads_test.go
+++ b/internal/controller/status_reads_test.go
@@ -18,22 +18,23 @@
 	"woadweir/internal/userapi"
 )
 
-// readStorm has users ask about jobs at every controller, so many a second at each, and
-// counts what they are told.
+// statusReadLoad sends status requests to every controller at a fixed rate and counts the
+// outcomes.
 type statusReadLoad struct {
 	sim      *simDeployment
 	interval model.Micros
-	perTick  int
+	perTick  int // requests per interval and controller
 	end      model.Micros
 	asked    int
-	answered int // in the time that a user waits
-	refused  int // at once, with a time to come back
-	slow     int // later than a user waits
+	answered int // with code 200 within userTimeout
+	refused  int // with another code and a time to retry, within userTimeout
+	slow     int // after userTimeout
 }
 
-// pollWait is how long a user waits for an answer to a question.
+// userTimeout is the time for which a user waits for the answer to a status request.
 const userTimeout = 2 * model.Second
 
+// run sends requests every interval until the end.
 func (s *statusReadLoad) run(refs []string) {
 	sim := s.sim
 	if sim.Now >= s.end {
@@ -47,6 +48,7 @@
 	sim.After(s.interval, func() { s.run(refs) })
 }
 
+// pollStatus requests a job's status from a node and counts the outcome.
 func (s *statusReadLoad) pollStatus(n *simNode, ref string) {
 	if !n.alive {
 		return
@@ -61,7 +63,7 @@
 			took := sim.Now - sentAt
 			switch {
 			case a.Code != 200 && a.RetryAfter == 0:
-				sim.t.Errorf("refused with %d without a time to come back", a.Code)
+				sim.t.Errorf("refused with %d without a time to retry", a.Code)
 			case took > userTimeout:
 				s.slow++
 			case a.Code == 200:
@@ -76,10 +78,10 @@
 	})
 }
 
-// Users ask about their jobs many times as often as they used to, at every controller. As
-// many of the questions are answered, since the ones that come together share one read of
-// the state service: its load does not grow with them. (The stand-in loses one request in
-// fifty; the questions that wait for it are refused, with a time to come back.)
+// Status requests at forty times the rate put no more load on the state service, since
+// requests that arrive together share one read of it; and the share that is answered stays
+// the same. (The simulated state service loses one request in fifty; the status requests
+// that wait for it are refused with a time to retry.)
 func TestStateReadsDoNotGrowWithStatusReads(t *testing.T) {
 	requests, answeredShare := map[int]int{}, map[int]float64{}
 	for _, perTick := range []int{1, 40} { // 20 and 800 a second at each controller
@@ -96,23 +98,23 @@
 		requests[perTick] = sim.state.WatchRequests - before
 		answeredShare[perTick] = float64(load.answered) / float64(load.asked)
 		if answeredShare[perTick] < 0.9 || load.slow > 0 || load.answered+load.refused != load.asked {
-			t.Errorf("%d a tick: of %d questions %d were answered, %d refused, %d late", perTick, load.asked, load.answered, load.refused, load.slow)
+			t.Errorf("%d requests per interval: of %d requests, %d were answered, %d refused, %d late", perTick, load.asked, load.answered, load.refused, load.slow)
 		}
 		sim.Run(sim.Now + 100*model.Second)
 		sim.requireInvariants()
 		sim.requireAllDone(users)
 	}
 	if answeredShare[40] < answeredShare[1]-0.04 {
-		t.Errorf("%.3f of the questions are answered at forty times the rate, %.3f before", answeredShare[40], answeredShare[1])
+		t.Errorf("%.3f of the requests are answered at forty times the rate, %.3f at the lower rate", answeredShare[40], answeredShare[1])
 	}
 	if requests[40] > requests[1]*3/2 {
-		t.Errorf("%d requests to the state service with forty times as many questions, %d before", requests[40], requests[1])
+		t.Errorf("%d reads of the state service at forty times the rate, %d at the lower rate", requests[40], requests[1])
 	}
 }
 
-// A slow state service holds questions up. Those that would be too many to hold are
-// refused at once, so that connections are left for workers, and no answer comes later
-// than a user waits.
+// With a slow state service, status requests wait for its answers. Those beyond the limit of
+// waiting requests are refused at once, so that connections are left for workers, and no
+// answer arrives after the user's timeout.
 func TestStatusReadsWithSlowStateService(t *testing.T) {
 	sim := newDeployment(t, 45, withFDLimit(400, simSettings), cloudCapacity(4, 2))
 	users := startLongJobs(sim)
@@ -133,17 +135,17 @@
 	sim.Run(load.end + 3*model.Second)
 	sim.stateLag = 0
 	if limit := sim.nodes[0].ctl.maxWaitingReads(); mostWaiting != limit {
-		t.Errorf("%d questions waited, the bound is %d", mostWaiting, limit)
+		t.Errorf("up to %d requests waited, want the limit %d", mostWaiting, limit)
 	}
 	if load.refused == 0 || load.answered == 0 || load.slow > 0 || load.answered+load.refused != load.asked {
-		t.Errorf("of %d questions %d were answered, %d refused, %d late", load.asked, load.answered, load.refused, load.slow)
+		t.Errorf("of %d requests, %d were answered, %d refused, %d late", load.asked, load.answered, load.refused, load.slow)
 	}
 	sim.Run(sim.Now + 120*model.Second)
 	sim.requireInvariants()
 	sim.requireAllDone(users)
 }
 
-// benchState answers catch-ups as a state service does that takes some milliseconds.
+// benchState answers synchronizations after stateLatency, without a state service.
 type benchState struct {
 	effects
 	mailbox chan<- any
@@ -151,7 +153,7 @@
 	syncs   atomic.Int64
 }
 
-// stateLatency is about what the state service takes for a request.
+// stateLatency approximates the time that the state service takes for a request.
 const stateLatency = 6 * time.Millisecond
 
 func (b *benchState) sync(from uint64, list bool) {
@@ -170,21 +172,22 @@
 
 func (b *benchState) ping() {}
 
-// BenchmarkStatusReads measures the path of a question from its request to its answer, as
-// many users ask one controller at once: answers a second, times, and how many reads of
-// the state service are made for them.
+// BenchmarkStatusReads measures status requests of many concurrent users at one controller,
+// from request to answer: answers per second, latencies, and reads of the state service per
+// 1000 answers.
 func BenchmarkStatusReads(b *testing.B) {
 	for _, users := range []int{16, 256, 4096} {
 		b.Run(fmt.Sprintf("users=%d", users), func(b *testing.B) { benchmarkStatusReads(b, users) })
 	}
 }
 
+// benchmarkStatusReads runs the benchmark with a number of concurrent users.
 func benchmarkStatusReads(b *testing.B, users int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	mailbox, clock := make(chan any, mailboxSize), SteadyClock()
 	service := &benchState{mailbox: mailbox, clock: clock}
 	settings := simSettings("node-0")
-	settings.Params.Quota.FDLimit = 4 * max(users, minWaitingReads) // none is refused
+	settings.Params.Quota.FDLimit = 4 * max(users, minWaitingReads) // high enough that none is refused
 	ctl := newController(settings, config.DefaultOperatorSettings(), leadership.ComputeLeaseTimes(30*model.Second, 18*model.Second, 5*model.Second/2, 38*model.Second), clock, service)
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return ctl.run(ctx, mailbox) })
@@ -200,11 +203,11 @@
 	b.ReportMetric(float64(times.ValueAtQuantile(99)), "p99-us")
 	b.ReportMetric(1000*float64(service.syncs.Load()-before)/float64(b.N), "reads/1000")
 	cancel()
-	_ = group.Wait() // ended by the context
+	_ = group.Wait() // ends with the error of the cancelled context
 }
 
-// readInParallel has users ask about jobs, b.N times together, and returns how many
-// microseconds the answers took. The benchmark's timer runs meanwhile.
+// readInParallel sends b.N status requests from concurrent users and returns the latencies in
+// microseconds. The benchmark's timer runs only during the requests.
 func readInParallel(b *testing.B, front *frontend, users int) *hdrhistogram.Histogram {
 	b.Helper()
 	b.ResetTimer()
