--- a/internal/controller/awaits_test.go
+++ b/internal/controller/awaits_test.go
@@ -26,24 +26,24 @@
 }
 
 // jobStatus returns the status of a job as this node reports it.
-func (n *simNode) jobStatus(t *testing.T, ref string) string {
+func (n *simNode) jobStatus(t *testing.T, jobID string) string {
 	t.Helper()
 	var a userapi.Answer
-	n.sim.runUntil(10*model.Second, "an answer about "+ref, func() bool {
-		a = n.requestAndWait(func(r chan<- userapi.Answer) any { return msgStatusRequest{ref, r} })
+	n.sim.runUntil(10*model.Second, "an answer about "+jobID, func() bool {
+		a = n.requestAndWait(func(r chan<- userapi.Answer) any { return msgStatusRequest{jobID, r} })
 		return a.Code != 503 // a synchronization can be lost
 	})
 	var body struct{ Status string }
 	if a.Code != 200 || json.Unmarshal(a.Body, &body) != nil {
-		t.Fatalf("status of %s: got %d %s, want 200", ref, a.Code, a.Body)
+		t.Fatalf("status of %s: got %d %s, want 200", jobID, a.Code, a.Body)
 	}
 	return body.Status
 }
 
 // awaitingJob returns an array job that awaits other jobs.
-func awaitingJob(i int, refs ...string) *model.Submission {
+func awaitingJob(i int, jobIDs ...string) *model.Submission {
 	s := arrayJob(i, 2, 5)
-	s.Awaits = refs
+	s.Awaits = jobIDs
 	return s
 }
 
@@ -57,7 +57,7 @@
 	service.Kind = "service"
 	for i, s := range []*model.Submission{arrayJob(0, 2, 200), service} {
 		if a := sim.nodes[i].submit(s); a.Code != 201 {
-			t.Fatalf("submission of %s: got %d %s, want 201", s.ID, a.Code, a.Body)
+			t.Fatalf("submission: got %d %s, want 201", a.Code, a.Body)
 		}
 	}
 	// The third node's view does not include them yet.
@@ -68,9 +68,9 @@
 	if a := sim.nodes[1].submit(other); a.Code != 201 {
 		t.Errorf("awaits two jobs: got %d %s, want 201", a.Code, a.Body)
 	}
-	for i, refs := range [][]string{{"j-999999"}, {"j-000000", "j-999999"}, {"j-000009"}, {"j-000002"}} {
-		if a := sim.nodes[i%3].submit(awaitingJob(9, refs...)); a.Code != 422 {
-			t.Errorf("awaits %v: got %d %s, want 422", refs, a.Code, a.Body)
+	for i, jobIDs := range [][]string{{"j-999999"}, {"j-000000", "j-999999"}, {"j-000009"}, {"j-000002"}} {
+		if a := sim.nodes[i%3].submit(awaitingJob(9, jobIDs...)); a.Code != 422 {
+			t.Errorf("awaits %v: got %d %s, want 422", jobIDs, a.Code, a.Body)
 		}
 	}
 	// A repeated submission of an accepted job is answered with the job's status, whatever it
@@ -94,17 +94,17 @@
 	sim := newDeployment(t, 62, settingsWithNextLimits, cloudCapacity(4, 2))
 	sim.waitForLeader(10 * model.Second)
 	sim.Run(sim.Now + 3*model.Second)
-	var refs []string
+	var jobIDs []string
 	for i := range 100 {
 		s := arrayJob(i, 1, 1)
-		refs = append(refs, s.ID)
+		jobIDs = append(jobIDs, s.ID)
 		n := sim.nodes[i%3]
 		sim.runUntil(30*model.Second, "accepted", func() bool { return n.submit(s).Code/100 == 2 })
 	}
-	if a := sim.nodes[0].submit(awaitingJob(200, refs...)); a.Code != 201 {
+	if a := sim.nodes[0].submit(awaitingJob(200, jobIDs...)); a.Code != 201 {
 		t.Errorf("awaits 100 jobs: got %d %s, want 201", a.Code, a.Body)
 	}
-	oversized := awaitingJob(201, refs...)
+	oversized := awaitingJob(201, jobIDs...)
 	oversized.Image = strings.Repeat("x", 900)
 	if a := sim.nodes[0].submit(oversized); a.Code != 422 {
 		t.Errorf("record too large: got %d %s, want 422", a.Code, a.Body)
@@ -125,29 +125,29 @@
 
 // submitChainAndFan submits, in alternation, jobs that each await the previous one (a chain)
 // and jobs that all await the first (a fan).
-func (sim *simDeployment) submitChainAndFan(first string) (refs []string) {
+func (sim *simDeployment) submitChainAndFan(first string) (jobIDs []string) {
 	sim.t.Helper()
 	last := first
 	for i := 10; i < 60; i++ {
 		chained, fanned := awaitingJob(i, last), awaitingJob(100+i, first)
 		sim.submitUntilAccepted(chained)
 		sim.submitUntilAccepted(fanned)
-		refs = append(refs, chained.ID, fanned.ID)
+		jobIDs = append(jobIDs, chained.ID, fanned.ID)
 		last = chained.ID
 	}
-	return refs
+	return jobIDs
 }
 
 // requireCancelledEverywhere checks that all nodes that are up report the jobs as withdrawn.
-func (sim *simDeployment) requireCancelledEverywhere(refs []string) {
+func (sim *simDeployment) requireCancelledEverywhere(jobIDs []string) {
 	sim.t.Helper()
 	for _, n := range sim.nodes {
 		if !n.alive {
 			continue
 		}
-		for _, ref := range refs {
-			if s := n.jobStatus(sim.t, ref); s != "withdrawn" {
-				sim.t.Fatalf("%s reports %s as %q, want withdrawn", n.name, ref, s)
+		for _, jobID := range jobIDs {
+			if s := n.jobStatus(sim.t, jobID); s != "withdrawn" {
+				sim.t.Fatalf("%s reports %s as %q, want withdrawn", n.name, jobID, s)
 			}
 		}
 	}
@@ -220,7 +220,7 @@
 		t.Fatalf("cancellation of a done job: got %d %s, want 200 and done", a.Code, a.Body)
 	}
 	sim.runUntil(120*model.Second, "all is done", func() bool {
-		return len(users) > 0 && !slices.ContainsFunc(sim.pipelineJobIDs(0), func(ref string) bool { return sim.invariants.ReportedEnd(ref) != "done" })
+		return len(users) > 0 && !slices.ContainsFunc(sim.pipelineJobIDs(0), func(jobID string) bool { return sim.invariants.ReportedEnd(jobID) != "done" })
 	})
 	sim.requireInvariants()
 }
@@ -245,7 +245,7 @@
 		}
 	}
 	sim.runUntil(200*model.Second, "all is done", func() bool {
-		return !slices.ContainsFunc(sim.pipelineJobIDs(0), func(ref string) bool { return sim.invariants.ReportedEnd(ref) != "done" })
+		return !slices.ContainsFunc(sim.pipelineJobIDs(0), func(jobID string) bool { return sim.invariants.ReportedEnd(jobID) != "done" })
 	})
 	sim.requireInvariants()
 }
--- a/internal/controller/sim_effects_test.go
+++ b/internal/controller/sim_effects_test.go
@@ -70,15 +70,18 @@
 	}, func() { n.deliver(incarnation, m) }, func() { n.deliver(incarnation, lost) }, commitTimeout)
 }
 
-// cloudCall executes a request to the cloud after a delay and delivers the reply that call returns.
-func (n *simNode) cloudCall(f func() any) {
+// cloudCall executes a request to the cloud after a delay and delivers the reply that call
+// returns.
+func (n *simNode) cloudCall(call func() any) {
 	incarnation := n.incarnation
 	n.sim.After(n.sim.Between(50*model.Millisecond, 200*model.Millisecond), func() {
-		m := f()
+		m := call()
 		n.sim.After(50*model.Millisecond, func() { n.deliver(incarnation, m) })
 	})
 }
 
+// fetchMachineTypes, listMachines, rentMachines and deleteMachines call the cloud. While the
+// process is paused, renting and deleting are deferred.
 func (n *simNode) fetchMachineTypes() {
 	n.cloudCall(func() any {
 		if n.sim.cloud.Down || n.cloudUnavailable {
--- a/internal/controller/sim_users_test.go
+++ b/internal/controller/sim_users_test.go
@@ -14,11 +14,11 @@
 	submission      *model.Submission
 	accepted        bool
 	reportedEnd     string
-	cancelAt        model.Micros
+	cancelAt        model.Micros // 0: never
 	cancelRequested bool
-	deadline        model.Micros
-	onAccepted      func()   // called once, when the job is accepted; may be nil
-	cancelVia       *simNode // the node that gets the cancellation; nil: a random one
+	deadline        model.Micros // the end of repeated submissions
+	onAccepted      func()       // called once, when the job is accepted; may be nil
+	cancelVia       *simNode     // the node that gets the cancellation; nil: a random one
 }
 
 // submit submits a job through a new user, which cancels it after cancelAfter unless that
@@ -81,7 +81,8 @@
 	sim.After(model.Millisecond, func() { send(to, false) })
 }
 
-// sendSubmission submits the job, again after a second until it is accepted or the deadline is over.
+// sendSubmission submits the job, and again after a second until it is accepted or the
+// deadline is over.
 func (u *user) sendSubmission() {
 	sentAt := u.sim.Now
 	u.sim.sendUserRequest(nil, 5*model.Second, func(r chan<- userapi.Answer) any {
@@ -124,7 +125,8 @@
 	})
 }
 
-// sendCancel sends a cancellation, again after a second until it is answered with code 200.
+// sendCancel sends a cancellation, and again after a second until it is answered with code
+// 200.
 func (u *user) sendCancel() {
 	sentAt := u.sim.Now
 	u.sim.sendUserRequest(u.cancelVia, 5*model.Second, func(r chan<- userapi.Answer) any { return msgCancel{u.submission.ID, r} }, func(a userapi.Answer) {
@@ -155,20 +157,20 @@
 	if !sim.checksEveryNode {
 		return
 	}
-	ref := u.submission.ID
+	jobID := u.submission.ID
 	altered := *u.submission
 	altered.Team, altered.Tasks = "nobody", altered.Tasks+1
 	for _, n := range sim.nodes {
 		for _, msg := range []func(r chan<- userapi.Answer) any{
-			func(r chan<- userapi.Answer) any { return msgStatusRequest{ref, r} },
-			func(r chan<- userapi.Answer) any { same := *u.submission; return msgSubmit{ref, &same, nil, r} },
-			func(r chan<- userapi.Answer) any { return msgSubmit{ref, &altered, nil, r} },
-			func(r chan<- userapi.Answer) any { return msgSubmit{ref, nil, errors.New("pieces is missing"), r} },
+			func(r chan<- userapi.Answer) any { return msgStatusRequest{jobID, r} },
+			func(r chan<- userapi.Answer) any { same := *u.submission; return msgSubmit{jobID, &same, nil, r} },
+			func(r chan<- userapi.Answer) any { return msgSubmit{jobID, &altered, nil, r} },
+			func(r chan<- userapi.Answer) any { return msgSubmit{jobID, nil, errors.New("pieces is missing"), r} },
 		} {
 			sim.After(sim.Between(0, 5*model.Millisecond), func() {
 				sentAt := sim.Now
 				sim.sendUserRequest(n, 2*model.Second, msg, func(a userapi.Answer) {
-					sim.invariants.CheckAnswer(ref, a.Code, a.Body, sentAt)
+					sim.invariants.CheckAnswer(jobID, a.Code, a.Body, sentAt)
 					if a.Code == 200 {
 						sim.everyNodeAnswers++
 					}
--- a/internal/controller/status_reads_test.go
+++ b/internal/controller/status_reads_test.go
@@ -21,51 +21,51 @@
 // statusReadLoad sends status requests to every controller at a fixed rate and counts the
 // outcomes.
 type statusReadLoad struct {
-	sim      *simDeployment
-	interval model.Micros
-	perTick  int // requests per interval and controller
-	end      model.Micros
-	asked    int
-	answered int // with code 200 within userTimeout
-	refused  int // with another code and a time to retry, within userTimeout
-	slow     int // after userTimeout
+	sim         *simDeployment
+	interval    model.Micros
+	perInterval int // requests per interval and controller
+	end         model.Micros
+	sent        int
+	answered    int // with code 200 within userTimeout
+	refused     int // with another code and a time to retry, within userTimeout
+	late        int // after userTimeout
 }
 
 // userTimeout is the time for which a user waits for the answer to a status request.
 const userTimeout = 2 * model.Second
 
 // run sends requests every interval until the end.
-func (s *statusReadLoad) run(refs []string) {
+func (s *statusReadLoad) run(jobIDs []string) {
 	sim := s.sim
 	if sim.Now >= s.end {
 		return
 	}
 	for _, n := range sim.nodes {
-		for k := range s.perTick {
-			s.pollStatus(n, refs[(s.asked+k)%len(refs)])
+		for k := range s.perInterval {
+			s.pollStatus(n, jobIDs[(s.sent+k)%len(jobIDs)])
 		}
 	}
-	sim.After(s.interval, func() { s.run(refs) })
+	sim.After(s.interval, func() { s.run(jobIDs) })
 }
 
 // pollStatus requests a job's status from a node and counts the outcome.
-func (s *statusReadLoad) pollStatus(n *simNode, ref string) {
+func (s *statusReadLoad) pollStatus(n *simNode, jobID string) {
 	if !n.alive {
 		return
 	}
 	sim, sentAt := s.sim, s.sim.Now
-	s.asked++
+	s.sent++
 	reply := make(chan userapi.Answer, 1)
-	n.send(msgStatusRequest{ref, reply}, func() bool {
+	n.send(msgStatusRequest{jobID, reply}, func() bool {
 		select {
 		case a := <-reply:
-			sim.invariants.CheckAnswer(ref, a.Code, a.Body, sentAt)
+			sim.invariants.CheckAnswer(jobID, a.Code, a.Body, sentAt)
 			took := sim.Now - sentAt
 			switch {
 			case a.Code != 200 && a.RetryAfter == 0:
 				sim.t.Errorf("refused with %d without a time to retry", a.Code)
 			case took > userTimeout:
-				s.slow++
+				s.late++
 			case a.Code == 200:
 				s.answered++
 			default:
@@ -84,21 +84,21 @@
 // that wait for it are refused with a time to retry.)
 func TestStateReadsDoNotGrowWithStatusReads(t *testing.T) {
 	requests, answeredShare := map[int]int{}, map[int]float64{}
-	for _, perTick := range []int{1, 40} { // 20 and 800 a second at each controller
+	for _, perInterval := range []int{1, 40} { // 20 and 800 a second at each controller
 		sim := newSmallDeployment(t, 44)
 		users := startLongJobs(sim)
-		var refs []string
+		var jobIDs []string
 		for _, u := range users {
-			refs = append(refs, u.submission.ID)
+			jobIDs = append(jobIDs, u.submission.ID)
 		}
 		before := sim.state.WatchRequests
-		load := &statusReadLoad{sim: sim, interval: 50 * model.Millisecond, perTick: perTick, end: sim.Now + 20*model.Second}
-		load.run(refs)
+		load := &statusReadLoad{sim: sim, interval: 50 * model.Millisecond, perInterval: perInterval, end: sim.Now + 20*model.Second}
+		load.run(jobIDs)
 		sim.Run(load.end + 3*model.Second)
-		requests[perTick] = sim.state.WatchRequests - before
-		answeredShare[perTick] = float64(load.answered) / float64(load.asked)
-		if answeredShare[perTick] < 0.9 || load.slow > 0 || load.answered+load.refused != load.asked {
-			t.Errorf("%d requests per interval: of %d requests, %d were answered, %d refused, %d late", perTick, load.asked, load.answered, load.refused, load.slow)
+		requests[perInterval] = sim.state.WatchRequests - before
+		answeredShare[perInterval] = float64(load.answered) / float64(load.sent)
+		if answeredShare[perInterval] < 0.9 || load.late > 0 || load.answered+load.refused != load.sent {
+			t.Errorf("%d requests per interval: of %d requests, %d were answered, %d refused, %d late", perInterval, load.sent, load.answered, load.refused, load.late)
 		}
 		sim.Run(sim.Now + 100*model.Second)
 		sim.requireInvariants()
@@ -119,7 +119,7 @@
 	sim := newDeployment(t, 45, withFDLimit(400, simSettings), cloudCapacity(4, 2))
 	users := startLongJobs(sim)
 	sim.stateLag = 700 * model.Millisecond
-	load := &statusReadLoad{sim: sim, interval: 50 * model.Millisecond, perTick: 60, end: sim.Now + 8*model.Second}
+	load := &statusReadLoad{sim: sim, interval: 50 * model.Millisecond, perInterval: 60, end: sim.Now + 8*model.Second}
 	mostWaiting := 0
 	var sample func()
 	sample = func() {
@@ -137,8 +137,8 @@
 	if limit := sim.nodes[0].ctl.maxWaitingReads(); mostWaiting != limit {
 		t.Errorf("up to %d requests waited, want the limit %d", mostWaiting, limit)
 	}
-	if load.refused == 0 || load.answered == 0 || load.slow > 0 || load.answered+load.refused != load.asked {
-		t.Errorf("of %d requests, %d were answered, %d refused, %d late", load.asked, load.answered, load.refused, load.slow)
+	if load.refused == 0 || load.answered == 0 || load.late > 0 || load.answered+load.refused != load.sent {
+		t.Errorf("of %d requests, %d were answered, %d refused, %d late", load.sent, load.answered, load.refused, load.late)
 	}
 	sim.Run(sim.Now + 120*model.Second)
 	sim.requireInvariants()
