--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -9,108 +9,108 @@
 	"woadweir/internal/standin"
 )
 
-// fleetSettings are those of a far larger deployment, with reports half as often.
+// fleetSettings returns settings of a much larger deployment, with heartbeats half as often.
 func fleetSettings(name string) *config.Settings {
-	s := simSettings(name)
-	s.Params.Teams = []config.Team{{Name: "red", CPUs: 12_000, CPUsMax: 20_000, GPUs: 500, GPUsMax: 2000}, {Name: "blue", CPUs: 5000, CPUsMax: 9000}}
-	w := &s.Params.Workers
-	w.ReportS, w.LeaseS, w.GangWaitS, w.GangPeerS, w.CancelS = 5, 26.5, 30, 5, 46.5
-	s.Params.State.RPS, s.Params.State.WriteRPS = 300, 90
-	s.Params.Cloud.RPS, s.Params.Cloud.ListLagS = 12, 5
-	return s
+	settings := simSettings(name)
+	settings.Params.Teams = []config.Team{{Name: "red", CPUs: 12_000, CPUsMax: 20_000, GPUs: 500, GPUsMax: 2000}, {Name: "blue", CPUs: 5000, CPUsMax: 9000}}
+	workers := &settings.Params.Workers
+	workers.ReportS, workers.LeaseS, workers.GangWaitS, workers.GangPeerS, workers.CancelS = 5, 26.5, 30, 5, 46.5
+	settings.Params.State.RPS, settings.Params.State.WriteRPS = 300, 90
+	settings.Params.Cloud.RPS, settings.Params.Cloud.ListLagS = 12, 5
+	return settings
 }
 
-// Many machines of a large fleet fail together while controllers do: 80 stop, 100
-// hang, 250 are cut off for longer than a lease and heard again with all they said
-// meanwhile, during a takeover, the end of all controllers with restarts in the
-// middle of the elections, and an outage of the state service; copies of reports
-// come late all the time. No rule is broken, nobody who was accepted is forgotten,
-// and once all is over everything ends.
+// Many machines of a large fleet fail at the same time as controllers: 80 end, 100 hang, and
+// 250 are cut off for longer than a lease, after which all their delayed heartbeats arrive.
+// Meanwhile there are a takeover, restarts during elections, an outage of the state service
+// and a restart of all controllers, and duplicates of heartbeats arrive late all the time. No
+// invariant is violated, no accepted job is lost, and every job ends after the faults.
 func TestManyMachinesFailTogether(t *testing.T) {
 	t.Parallel()
-	w := newDeployment(t, 41, fleetSettings, capacity(385, 125))
-	w.duplicateHeartbeats = 0.03
-	w.submitFleetLoad()
-	w.Run(40 * model.Second)
-	ws := w.cloud.Workers()
-	if len(ws) < 1700 {
-		t.Fatalf("only %d machines are up", len(ws))
+	sim := newDeployment(t, 41, fleetSettings, cloudCapacity(385, 125))
+	sim.duplicateHeartbeatChance = 0.03
+	sim.submitFleetLoad()
+	sim.Run(40 * model.Second)
+	workers := sim.cloud.Workers()
+	if len(workers) < 1700 {
+		t.Fatalf("%d machines are up, want at least 1700", len(workers))
 	}
-	w.failMachines(ws)
-	w.failControllers()
-	w.Run(110 * model.Second)
-	w.duplicateHeartbeats = 0
-	for w.Now < 300*model.Second && !w.acceptedHaveEnded() {
-		w.Run(w.Now + model.Second)
+	sim.failMachines(workers)
+	sim.failControllers()
+	sim.Run(110 * model.Second)
+	sim.duplicateHeartbeatChance = 0
+	for sim.Now < 300*model.Second && !sim.allAcceptedEnded() {
+		sim.Run(sim.Now + model.Second)
 	}
-	w.check()
+	sim.requireInvariants()
 	accepted := 0
-	for _, u := range w.users {
+	for _, u := range sim.users {
 		if u.accepted {
 			accepted++
 		}
-		if u.accepted && u.ended == "" {
-			t.Errorf("%s never ended", u.sub.ID)
+		if u.accepted && u.reportedEnd == "" {
+			t.Errorf("accepted job %s has not ended", u.submission.ID)
 		}
 	}
-	if accepted < len(w.users)*9/10 || w.rules.Starts < 9000 {
-		t.Errorf("%d of %d accepted, %d starts", accepted, len(w.users), w.rules.Starts)
+	if accepted < len(sim.users)*9/10 || sim.invariants.Starts < 9000 {
+		t.Errorf("%d of %d jobs accepted, %d task starts; want nine tenths and 9000", accepted, len(sim.users), sim.invariants.Starts)
 	}
 }
 
-// submitFleetLoad has arrays and gangs submitted, eight a second, and some cancelled.
-func (w *world) submitFleetLoad() {
+// submitFleetLoad submits array jobs and gangs, eight a second, and cancels some of them.
+func (sim *simDeployment) submitFleetLoad() {
 	for i := range 320 {
-		w.At(model.Micros(i)*120*model.Millisecond, func() {
-			s := arrayJob(i, 52, 25)
+		sim.At(model.Micros(i)*120*model.Millisecond, func() {
+			job := arrayJob(i, 52, 25)
 			if i%4 == 0 {
-				s = gangJob(i, 4, 25)
-				s.SameZone = i%8 == 0
+				job = gangJob(i, 4, 25)
+				job.SameZone = i%8 == 0
 			}
-			cancel := model.Micros(0)
+			cancelAfter := model.Micros(0)
 			if i%9 == 0 {
-				cancel = 30 * model.Second
+				cancelAfter = 30 * model.Second
 			}
-			w.submit(s, cancel)
+			sim.submit(job, cancelAfter)
 		})
 	}
 }
 
-// failMachines has some machines end, some hang and some be cut off, until what these said
-// meanwhile arrives.
-func (w *world) failMachines(ws []*standin.Worker) {
-	for i, x := range ws {
+// failMachines terminates some machines, makes some hang, and delays the heartbeats of some
+// for 50 seconds.
+func (sim *simDeployment) failMachines(workers []*standin.Worker) {
+	for i, worker := range workers {
 		switch {
 		case i%20 == 0:
-			x.Terminate()
+			worker.Terminate()
 		case i%16 == 1:
-			x.SetHung(true)
-			w.After(w.Between(20*model.Second, 40*model.Second), func() { x.SetHung(false) })
+			worker.SetHung(true)
+			sim.After(sim.Between(20*model.Second, 40*model.Second), func() { worker.SetHung(false) })
 		case i%6 == 2:
-			w.cut[x.ID] = true
+			sim.delayedMachines[worker.ID] = true
 		}
 	}
-	w.After(50*model.Second, func() {
-		clear(w.cut)
-		for _, f := range w.late {
+	sim.After(50*model.Second, func() {
+		clear(sim.delayedMachines)
+		for _, f := range sim.delayedHeartbeats {
 			f(nil)
 		}
-		w.late = nil
+		sim.delayedHeartbeats = nil
 	})
 }
 
-// failControllers has the leader end, controllers restart in elections, the state service be
-// out, and all controllers end.
-func (w *world) failControllers() {
-	w.After(3*model.Second, func() { w.leader().crashFor(4 * model.Second) })
-	w.After(15*model.Second, func() { newFault(w, 0).restartInElections() })
-	w.After(24*model.Second, func() {
-		w.state.SetOutage(true)
-		w.After(12*model.Second, func() { w.state.SetOutage(false) })
+// failControllers restarts the leader, restarts controllers during elections, makes the state
+// service unavailable for a while, and restarts all controllers.
+func (sim *simDeployment) failControllers() {
+	sim.After(3*model.Second, func() { sim.leader().crashFor(4 * model.Second) })
+	sim.After(15*model.Second, func() { newFaultInjection(sim, 0).restartDuringElections() })
+	sim.After(24*model.Second, func() {
+		sim.state.SetOutage(true)
+		sim.After(12*model.Second, func() { sim.state.SetOutage(false) })
 	})
-	w.After(35*model.Second, func() { newFault(w, 0).restartAll() })
+	sim.After(35*model.Second, func() { newFaultInjection(sim, 0).restartAll() })
 }
 
-func (w *world) acceptedHaveEnded() bool {
-	return !slices.ContainsFunc(w.users, func(u *user) bool { return u.accepted && u.ended == "" })
+// allAcceptedEnded reports whether the end of every accepted job was reported.
+func (sim *simDeployment) allAcceptedEnded() bool {
+	return !slices.ContainsFunc(sim.users, func(u *user) bool { return u.accepted && u.reportedEnd == "" })
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -7,123 +7,123 @@
 	"woadweir/internal/core/model"
 )
 
-// largeTeams are settings with teams that may use many machines.
-func largeTeams(name string) *config.Settings {
-	s := simSettings(name)
-	s.Params.Teams = []config.Team{{Name: "red", CPUsMax: 400}, {Name: "blue", CPUsMax: 400}}
-	return s
+// largeTeamSettings returns settings with teams that may use many machines.
+func largeTeamSettings(name string) *config.Settings {
+	settings := simSettings(name)
+	settings.Params.Teams = []config.Team{{Name: "red", CPUsMax: 400}, {Name: "blue", CPUsMax: 400}}
+	return settings
 }
 
-// submitForBothTeams submits arrays, by turns of the two teams.
-func (w *world) submitForBothTeams(jobs int) {
+// submitForBothTeams submits array jobs, alternating between the two teams.
+func (sim *simDeployment) submitForBothTeams(jobs int) {
 	for i := range jobs {
-		s := arrayJob(i, 8, 40)
-		s.Team, s.Cores = "red", 0.9
+		job := arrayJob(i, 8, 40)
+		job.Team, job.Cores = "red", 0.9
 		if i%2 == 0 {
-			s.Team = "blue"
+			job.Team = "blue"
 		}
-		w.submit(s, 0)
+		sim.submit(job, 0)
 	}
 }
 
-// servedMachines is the number of machines whose heartbeats the leader has got and
-// answered lately.
-func (w *world) servedMachines() (n int) {
-	for _, m := range w.leader().ctl.leading.shard.Machines {
-		if m.Up && m.ReceivesAnswers && w.Now-m.LastHeartbeat < 10*model.Second {
+// servedMachines returns the number of machines whose heartbeats the leader received and
+// answered within the last ten seconds.
+func (sim *simDeployment) servedMachines() (n int) {
+	for _, m := range sim.leader().ctl.leading.shard.Machines {
+		if m.Up && m.ReceivesAnswers && sim.Now-m.LastHeartbeat < 10*model.Second {
 			n++
 		}
 	}
 	return n
 }
 
-// runArrays submits four arrays whose tasks take that many seconds, and waits until most
-// of them run.
-func (w *world) runArrays(seconds float64) {
-	w.t.Helper()
+// runArrays submits four array jobs whose tasks run for that many seconds, and waits until
+// 20 of the 32 tasks run.
+func (sim *simDeployment) runArrays(seconds float64) {
+	sim.t.Helper()
 	for i := range 4 {
-		w.submit(arrayJob(i, 8, seconds), 0)
+		sim.submit(arrayJob(i, 8, seconds), 0)
 	}
-	w.running(20)
+	sim.waitForRunningTasks(20)
 }
 
-// With more machines than sockets for them, the leader sends workers on to siblings,
-// which hand their reports on: all machines work, at a takeover as well, and when
-// siblings can't be reached the leader takes all workers itself, as far as it can.
+// With more machines than the leader has sockets for, it redirects workers to siblings, which
+// relay their heartbeats, so that all machines work, also after a takeover. When the siblings
+// can't be reached, the leader serves as many workers as it can itself.
 func TestMoreWorkersThanSockets(t *testing.T) {
 	const limit = 20
-	w := newDeployment(t, 71, sockets(limit, largeTeams), map[string]int{"small/a/false": 20, "small/b/false": 20})
-	w.submitForBothTeams(40)
-	l := w.leader
-	many := func() bool {
-		return l() != nil && l().ctl.leading.ready && w.servedMachines() > limit*3/4 && w.rules.TasksOnMachines() > 60
+	sim := newDeployment(t, 71, withFDLimit(limit, largeTeamSettings), map[string]int{"small/a/false": 20, "small/b/false": 20})
+	sim.submitForBothTeams(40)
+	leader := sim.leader
+	enoughServed := func() bool {
+		return leader() != nil && leader().ctl.leading.ready && sim.servedMachines() > limit*3/4 && sim.invariants.TasksOnMachines() > 60
 	}
-	w.until(90*model.Second, "more machines work than there are sockets for", many)
-	w.Run(w.Now + 10*model.Second)
-	if n := l().ctl.relay.directWorkers(l().ctl.now); float64(n) > limit*relayHighWatermark+2 {
-		t.Errorf("%d workers report to the leader itself", n)
+	sim.runUntil(90*model.Second, "more machines work than the leader has sockets for", enoughServed)
+	sim.Run(sim.Now + 10*model.Second)
+	if n := leader().ctl.relay.directWorkers(leader().ctl.now); float64(n) > limit*relayHighWatermark+2 {
+		t.Errorf("%d workers send heartbeats to the leader directly", n)
 	}
-	if w.relayed == 0 {
-		t.Error("no report was handed on")
+	if sim.relayedHeartbeats == 0 {
+		t.Error("no heartbeat was relayed")
 	}
-	old := l()
-	old.crashFor(4 * model.Second)
-	w.until(40*model.Second, "and after a takeover", func() bool { return l() != nil && l() != old && many() })
-	w.Run(w.Now + 20*model.Second)
-	w.check()
-	before := w.relayed
-	for _, n := range w.nodes {
-		n.peersCutOff = n != l()
+	former := leader()
+	former.crashFor(4 * model.Second)
+	sim.runUntil(40*model.Second, "more machines work than sockets after a takeover", func() bool { return leader() != nil && leader() != former && enoughServed() })
+	sim.Run(sim.Now + 20*model.Second)
+	sim.requireInvariants()
+	before := sim.relayedHeartbeats
+	for _, n := range sim.nodes {
+		n.peersCutOff = n != leader()
 	}
-	w.Run(w.Now + 15*model.Second)
-	before = w.relayed - before
-	at := w.relayed
-	w.Run(w.Now + 10*model.Second)
-	if w.relayed-at > 2 {
-		t.Errorf("%d reports were handed on though controllers do not reach each other (%d before)", w.relayed-at, before)
+	sim.Run(sim.Now + 15*model.Second)
+	before = sim.relayedHeartbeats - before
+	start := sim.relayedHeartbeats
+	sim.Run(sim.Now + 10*model.Second)
+	if sim.relayedHeartbeats-start > 2 {
+		t.Errorf("%d heartbeats were relayed although controllers do not reach each other (%d in the first 15 s)", sim.relayedHeartbeats-start, before)
 	}
-	if l() == nil || w.servedMachines() == 0 {
-		t.Error("the leader lost all workers")
+	if leader() == nil || sim.servedMachines() == 0 {
+		t.Error("the leader serves no workers")
 	}
-	w.check()
+	sim.requireInvariants()
 }
 
-// A leader that workers can't reach is handed their reports at once when they come
-// to a sibling, instead of asking them to come to it, until it has resigned.
-func TestWorkersThatCantComeAreNotAskedTo(t *testing.T) {
-	w := newWorld(t, 72)
-	w.runArrays(60)
-	was := w.rules.TasksOnMachines()
-	w.leader().workers = false
-	w.Run(w.Now + 25*model.Second)
-	if n := w.rules.TasksOnMachines(); n < was*3/4 {
-		t.Errorf("%d of %d tasks are left", n, was)
+// A leader that workers can't reach gets the heartbeats that a sibling relays, instead of the
+// workers being redirected to it in vain, until it has resigned.
+func TestHeartbeatsRelayedToUnreachableLeader(t *testing.T) {
+	sim := newSmallDeployment(t, 72)
+	sim.runArrays(60)
+	before := sim.invariants.TasksOnMachines()
+	sim.leader().reachableByWorkers = false
+	sim.Run(sim.Now + 25*model.Second)
+	if n := sim.invariants.TasksOnMachines(); n < before*3/4 {
+		t.Errorf("%d of %d tasks still run", n, before)
 	}
-	w.check()
+	sim.requireInvariants()
 }
 
-// Machines that can't reach the leader, but a sibling of it, as when two zones are
-// cut from each other, are served through that sibling within their lease.
-func TestZonesCutFromEachOther(t *testing.T) {
-	w := newWorld(t, 73)
-	w.runArrays(90)
-	l := w.leader()
-	ws := w.cloud.Workers()
-	for i, x := range ws {
+// Machines that can't reach the leader but reach a sibling, as when two zones are partitioned,
+// are served through that sibling before their leases expire.
+func TestMachinesCutOffFromLeaderUseSibling(t *testing.T) {
+	sim := newSmallDeployment(t, 73)
+	sim.runArrays(90)
+	leader := sim.leader()
+	workers := sim.cloud.Workers()
+	for i, worker := range workers {
 		if i%2 == 0 {
-			w.cutFromNode[x.ID] = l.name
+			sim.unreachableNode[worker.ID] = leader.name
 		}
 	}
-	w.Run(w.Now + 40*model.Second)
-	if n := w.rules.TasksOnMachines(); n != 20 || w.leader() != l {
-		t.Errorf("%d of 20 tasks are left, another leads: %v", n, w.leader() != l)
+	sim.Run(sim.Now + 40*model.Second)
+	if n := sim.invariants.TasksOnMachines(); n != 20 || sim.leader() != leader {
+		t.Errorf("%d of 20 tasks still run, another controller leads: %v", n, sim.leader() != leader)
 	}
-	for _, x := range ws {
-		if m := l.ctl.leading.shard.Machines[x.ID]; m.Lost || w.Now-m.LastHeartbeat > 8*model.Second {
-			t.Errorf("%s was heard %.1f s ago", x.ID, (w.Now - m.LastHeartbeat).Seconds())
+	for _, worker := range workers {
+		if m := leader.ctl.leading.shard.Machines[worker.ID]; m.Lost || sim.Now-m.LastHeartbeat > 8*model.Second {
+			t.Errorf("the last heartbeat of %s is %.1f s old", worker.ID, (sim.Now - m.LastHeartbeat).Seconds())
 		}
 	}
-	clear(w.cutFromNode)
-	w.Run(w.Now + 60*model.Second)
-	w.check()
+	clear(sim.unreachableNode)
+	sim.Run(sim.Now + 60*model.Second)
+	sim.requireInvariants()
 }
--- a/internal/controller/sim_effects_test.go
+++ b/internal/controller/sim_effects_test.go
@@ -8,165 +8,179 @@
 	"woadweir/internal/state"
 )
 
+// sync reads the changes since a revision, or lists all records; the answer is lost if
+// syncsLost is set.
 func (n *simNode) sync(from uint64, list bool) {
-	life := n.life
-	m := msgSynced{sentAt: n.ctl.clock()}
+	incarnation := n.incarnation
+	synced := msgSynced{sentAt: n.ctl.clock()}
 	if n.syncsLost {
-		n.w.After(syncTimeout, func() { n.deliver(life, msgSynced{sentAt: m.sentAt, err: state.ErrLost}) })
+		n.sim.After(syncTimeout, func() { n.deliver(incarnation, msgSynced{sentAt: synced.sentAt, err: state.ErrLost}) })
 		return
 	}
-	n.request(func() func() {
+	n.sendStateRequest(func() func() {
 		if list {
-			es, epoch, err := n.w.state.List(n.name)
-			m.err = err
-			m.view = state.NewView()
-			m.view.Revision = epoch
-			for _, e := range es {
-				e.Value = n.reads(e.Path, e.Value)
-				if _, err := m.view.Set(e.Path, e.Value, e.Revision); err != nil {
+			entries, revision, err := n.sim.state.List(n.name)
+			synced.err = err
+			synced.view = state.NewView()
+			synced.view.Revision = revision
+			for _, entry := range entries {
+				entry.Value = n.valueAsRead(entry.Path, entry.Value)
+				if _, err := synced.view.Set(entry.Path, entry.Value, entry.Revision); err != nil {
 					panic(err)
 				}
 			}
 		} else {
-			m.changes, m.err = n.w.state.Watch(n.name, from)
-			if m.err == nil {
-				for i := range m.changes.Events {
-					e := &m.changes.Events[i]
-					e.Value = n.reads(e.Set, e.Value)
+			synced.changes, synced.err = n.sim.state.Watch(n.name, from)
+			if synced.err == nil {
+				for i := range synced.changes.Events {
+					event := &synced.changes.Events[i]
+					event.Value = n.valueAsRead(event.Set, event.Value)
 				}
 			}
 		}
-		return func() { n.deliver(life, m) }
-	}, func() { n.deliver(life, msgSynced{sentAt: m.sentAt, err: state.ErrLost}) }, syncTimeout)
+		return func() { n.deliver(incarnation, synced) }
+	}, func() { n.deliver(incarnation, msgSynced{sentAt: synced.sentAt, err: state.ErrLost}) }, syncTimeout)
 }
 
-func (n *simNode) deliver(life int, m any) {
-	if n.life == life {
-		n.reaches(answerOf(m))
-		n.ask(m, nil)
+// deliver passes a reply to the controller unless it has restarted since it sent the request.
+func (n *simNode) deliver(incarnation int, m any) {
+	if n.incarnation == incarnation {
+		n.reachPausePoint(pausePointOnAnswer(m))
+		n.send(m, nil)
 	}
 }
 
+// commit sends a transaction to the state service, unless intercept takes it. While the
+// process is paused, it is deferred.
 func (n *simNode) commit(m msgCommitted) {
 	if n.intercept != nil && n.intercept(m) {
 		return
 	}
-	if point := pointOf(m); n.reaches(point) || n.paused {
-		n.stopped(func() { n.commit(m) })
+	if point := pausePointBefore(m); n.reachPausePoint(point) || n.paused {
+		n.deferIfPaused(func() { n.commit(m) })
 		return
 	}
-	life := n.life
-	txn := n.writes(m.txn)
+	incarnation := n.incarnation
+	txn := n.txnAsWritten(m.txn)
 	lost := m
 	lost.err = state.ErrLost
-	n.transact(func() *state.Result {
-		m.result, m.err = n.w.state.Commit(n.name, txn)
+	n.sendTransaction(func() *state.Result {
+		m.result, m.err = n.sim.state.Commit(n.name, txn)
 		return m.result
-	}, func() { n.deliver(life, m) }, func() { n.deliver(life, lost) }, commitTimeout)
+	}, func() { n.deliver(incarnation, m) }, func() { n.deliver(incarnation, lost) }, commitTimeout)
 }
 
-func (n *simNode) cloudCall(f func() any) {
-	life := n.life
-	n.w.After(n.w.Between(50*model.Millisecond, 200*model.Millisecond), func() {
-		m := f()
-		n.w.After(50*model.Millisecond, func() { n.deliver(life, m) })
+// cloudCall executes a request to the cloud after a delay and delivers the reply that call
+// returns.
+func (n *simNode) cloudCall(call func() any) {
+	incarnation := n.incarnation
+	n.sim.After(n.sim.Between(50*model.Millisecond, 200*model.Millisecond), func() {
+		m := call()
+		n.sim.After(50*model.Millisecond, func() { n.deliver(incarnation, m) })
 	})
 }
 
+// fetchMachineTypes, listMachines, rentMachines and deleteMachines call the cloud. While the
+// process is paused, renting and deleting are deferred.
 func (n *simNode) fetchMachineTypes() {
 	n.cloudCall(func() any {
-		if n.w.cloud.Down || n.noCloud {
+		if n.sim.cloud.Down || n.cloudUnavailable {
 			return msgMachineTypes{err: cloud.ErrUnavailable}
 		}
-		return msgMachineTypes{machineTypes: n.w.cloud.MachineTypes}
+		return msgMachineTypes{machineTypes: n.sim.cloud.MachineTypes}
 	})
 }
 
 func (n *simNode) listMachines() {
 	sent := n.ctl.clock()
 	n.cloudCall(func() any {
-		ms, err := n.w.cloud.List()
-		if n.noCloud {
+		machines, err := n.sim.cloud.List()
+		if n.cloudUnavailable {
 			err = cloud.ErrUnavailable
 		}
-		return msgListed{sent, ms, err}
+		return msgListed{sent, machines, err}
 	})
 }
 
 func (n *simNode) rentMachines(m msgRented) {
-	if n.reaches(beforeRent) || n.paused {
-		n.stopped(func() { n.rentMachines(m) })
+	if n.reachPausePoint(beforeRent) || n.paused {
+		n.deferIfPaused(func() { n.rentMachines(m) })
 		return
 	}
 	n.cloudCall(func() any {
-		if n.noCloud {
+		if n.cloudUnavailable {
 			m.err = cloud.ErrUnavailable
 			return m
 		}
-		m.machines, m.err = n.w.cloud.Rent(&m.rental)
-		n.w.cloudAgain(func() { _, _ = n.w.cloud.Rent(&m.rental) })
+		m.machines, m.err = n.sim.cloud.Rent(&m.rental)
+		n.sim.maybeDuplicateCall(func() { _, _ = n.sim.cloud.Rent(&m.rental) })
 		return m
 	})
 }
 
 func (n *simNode) deleteMachines(m msgDeleted) {
-	if n.reaches(beforeDelete) || n.paused {
-		n.stopped(func() { n.deleteMachines(m) })
+	if n.reachPausePoint(beforeDelete) || n.paused {
+		n.deferIfPaused(func() { n.deleteMachines(m) })
 		return
 	}
 	n.cloudCall(func() any {
-		if n.noCloud {
+		if n.cloudUnavailable {
 			m.err = cloud.ErrUnavailable
 			return m
 		}
-		m.err = n.w.cloud.Delete(m.machineIDs)
-		n.w.cloudAgain(func() { _ = n.w.cloud.Delete(m.machineIDs) })
+		m.err = n.sim.cloud.Delete(m.machineIDs)
+		n.sim.maybeDuplicateCall(func() { _ = n.sim.cloud.Delete(m.machineIDs) })
 		return m
 	})
 }
 
-// cloudAgain has a late copy of a call carried out, if copies come late in this world.
-func (w *world) cloudAgain(call func()) {
-	if w.repeats > 0 && w.Chance(w.repeats) {
-		w.After(w.Between(model.Second, 60*model.Second), call)
+// maybeDuplicateCall executes a call to the cloud once more, up to a minute later, with
+// probability duplicateRequestChance.
+func (sim *simDeployment) maybeDuplicateCall(call func()) {
+	if sim.duplicateRequestChance > 0 && sim.Chance(sim.duplicateRequestChance) {
+		sim.After(sim.Between(model.Second, 60*model.Second), call)
 	}
 }
 
+// ping asks the other controllers for their state. The production version does not relay
+// heartbeats.
 func (n *simNode) ping() {
-	life := n.life
-	n.w.After(2*model.Millisecond, func() {
-		var m msgPinged
-		for _, o := range n.w.nodes {
-			if o == n || !o.alive || o.paused || o.peersCutOff || n.peersCutOff {
+	incarnation := n.incarnation
+	n.sim.After(2*model.Millisecond, func() {
+		var result msgPinged
+		for _, other := range n.sim.nodes {
+			if other == n || !other.alive || other.paused || other.peersCutOff || n.peersCutOff {
 				continue
 			}
-			m.alive++
+			result.alive++
 			reply := make(chan pingReply, 1)
-			o.ask(msgPing{reply}, nil)
-			p := <-reply
-			m.workers += p.workers
-			if !o.old {
-				m.relays = append(m.relays, o.name)
+			other.send(msgPing{reply}, nil)
+			answer := <-reply
+			result.workers += answer.workers
+			if !other.runsProductionVersion {
+				result.relays = append(result.relays, other.name)
 			}
-			if p.stateReached {
-				m.serving = append(m.serving, o.name)
+			if answer.stateReached {
+				result.serving = append(result.serving, other.name)
 			}
 		}
-		n.deliver(life, m)
+		n.deliver(incarnation, result)
 	})
 }
 
+// resign ends a session at the state service through this controller, or through a sibling
+// if one is named.
 func (n *simNode) resign(session uint64, sibling string) {
-	n.abandon = session
-	o := n
+	n.sessionToAbandon = session
+	via := n
 	if sibling != "" {
 		if n.peersCutOff {
 			return
 		}
-		o = n.w.nodes[slices.Index(n.w.Nodes(), sibling)]
+		via = n.sim.nodes[slices.Index(n.sim.Nodes(), sibling)]
 	}
-	o.request(func() func() {
-		_ = n.w.state.EndLease(o.name, session) // what is lost is lost
+	via.sendStateRequest(func() func() {
+		_ = n.sim.state.EndLease(via.name, session) // not repeated if it fails
 		return func() {}
 	}, func() {}, 2*model.Second)
 }
--- a/internal/controller/sim_network_test.go
+++ b/internal/controller/sim_network_test.go
@@ -9,126 +9,129 @@
 	"woadweir/internal/workerapi"
 )
 
-// Nodes and Checkin make the world a network for workers.
-func (w *world) Nodes() []string {
-	var ns []string
-	for _, n := range w.nodes {
-		ns = append(ns, n.name)
+// Nodes returns the names of all controllers. With SendHeartbeat it implements standin.Net.
+func (sim *simDeployment) Nodes() []string {
+	var names []string
+	for _, node := range sim.nodes {
+		names = append(names, node.name)
 	}
-	return ns
+	return names
 }
 
-func (w *world) SendHeartbeat(x *standin.Worker, node string, body []byte, answer func(int, []byte)) {
-	n := w.nodes[slices.Index(w.Nodes(), node)]
-	if w.cutFromNode[x.ID] == node || w.heartbeatsBlocked[x.ID] || w.reaches != nil && !w.reaches(x, n) {
+// SendHeartbeat delivers a worker's heartbeat to a node, unless the network between them is
+// cut; the heartbeat may also be delayed, duplicated or recorded.
+func (sim *simDeployment) SendHeartbeat(worker *standin.Worker, node string, body []byte, respond func(int, []byte)) {
+	target := sim.nodes[slices.Index(sim.Nodes(), node)]
+	if sim.unreachableNode[worker.ID] == node || sim.heartbeatsBlocked[worker.ID] || sim.canReach != nil && !sim.canReach(worker, target) {
 		return
 	}
-	if w.responsesLost[x.ID] {
-		answer = func(int, []byte) {}
+	if sim.responsesLost[worker.ID] {
+		respond = func(int, []byte) {}
 	}
-	if w.cut[x.ID] {
-		w.late = append(w.late, func(to *simNode) {
+	if sim.delayedMachines[worker.ID] {
+		sim.delayedHeartbeats = append(sim.delayedHeartbeats, func(to *simNode) {
 			if to == nil {
-				to = n
+				to = target
 			}
-			w.deliverReport(to, body, w.Between(200, 2*model.Second), func(int, []byte) {})
+			sim.deliverHeartbeat(to, body, sim.Between(200, 2*model.Second), func(int, []byte) {})
 		})
 		return
 	}
-	w.deliverReport(n, body, w.Between(200, 2000+w.lag), answer)
-	if w.duplicateHeartbeats > 0 && w.Chance(w.duplicateHeartbeats) {
-		to := w.nodes[w.Rand.IntN(len(w.nodes))]
-		w.deliverReport(to, body, w.Between(2*model.Second, duplicateDelay), func(int, []byte) {})
+	sim.deliverHeartbeat(target, body, sim.Between(200, 2000+sim.heartbeatLag), respond)
+	if sim.duplicateHeartbeatChance > 0 && sim.Chance(sim.duplicateHeartbeatChance) {
+		to := sim.nodes[sim.Rand.IntN(len(sim.nodes))]
+		sim.deliverHeartbeat(to, body, sim.Between(2*model.Second, maxDuplicateDelay), func(int, []byte) {})
 	}
-	if w.recordsHeartbeats {
-		w.recordedHeartbeats = append(w.recordedHeartbeats, func() {
-			for _, n := range w.nodes {
-				w.deliverReport(n, body, 0, func(int, []byte) {})
+	if sim.recordsHeartbeats {
+		sim.recordedHeartbeats = append(sim.recordedHeartbeats, func() {
+			for _, node := range sim.nodes {
+				sim.deliverHeartbeat(node, body, 0, func(int, []byte) {})
 			}
 		})
 	}
 }
 
-// repeatAll delivers recorded heartbeats once more, to all controllers.
-func repeatAll(recorded []func()) {
+// replayHeartbeats delivers recorded heartbeats again, to all controllers.
+func replayHeartbeats(recorded []func()) {
 	for _, deliver := range recorded {
 		deliver()
 	}
 }
 
-// deliverReport has a report arrive at a controller after that time, unless it is down or
-// no worker reaches it. answer gets the response.
-func (w *world) deliverReport(n *simNode, body []byte, after model.Micros, answer func(int, []byte)) {
-	w.After(after, func() {
-		if !n.alive || !n.workers {
+// deliverHeartbeat delivers a heartbeat to a controller after a delay, unless the controller
+// is down or no worker reaches it. respond is called with the response.
+func (sim *simDeployment) deliverHeartbeat(node *simNode, body []byte, after model.Micros, respond func(int, []byte)) {
+	sim.After(after, func() {
+		if !node.alive || !node.reachableByWorkers {
 			return
 		}
-		r, err := workerapi.ParseHeartbeat(body)
+		heartbeat, err := workerapi.ParseHeartbeat(body)
 		if err != nil {
 			panic(err)
 		}
-		n.handsOver(msgHeartbeat{heartbeat: r}, func(a workerAnswer) {
-			back := w.Between(200, 2000+w.lag)
-			if w.Chance(0.01) {
-				back = 5 * model.Second // too late for the worker
+		node.receiveHeartbeat(msgHeartbeat{heartbeat: heartbeat}, func(answer workerAnswer) {
+			delay := sim.Between(200, 2000+sim.heartbeatLag)
+			if sim.Chance(0.01) {
+				delay = 5 * model.Second // too late for the worker
 			}
-			give := func(a workerAnswer) { w.After(back, func() { answer(a.code, a.body) }) }
-			if a.relayTo == "" {
-				give(a)
+			reply := func(answer workerAnswer) { sim.After(delay, func() { respond(answer.code, answer.body) }) }
+			if answer.relayTo == "" {
+				reply(answer)
 				return
 			}
-			w.relayReport(n, r, a, give)
+			sim.relayHeartbeat(node, heartbeat, answer, reply)
 		})
 	})
 }
 
-// simRelayTimeout is how long a controller waits for the one that it relays a report to.
+// simRelayTimeout is the time for which a controller waits for the answer to a heartbeat
+// that it relayed.
 const simRelayTimeout = 2500 * model.Millisecond
 
-// relayReport carries a report on to the controller that an answer names. give gets that
-// one's answer, or the first one if relaying fails.
-func (w *world) relayReport(n *simNode, r *shard.Heartbeat, a workerAnswer, give func(workerAnswer)) {
-	l := w.nodes[slices.Index(w.Nodes(), a.relayTo)]
-	life := n.life
+// relayHeartbeat relays a heartbeat to the controller that an answer names. reply is called
+// with that controller's answer, or with the first answer if relaying fails.
+func (sim *simDeployment) relayHeartbeat(from *simNode, heartbeat *shard.Heartbeat, answer workerAnswer, reply func(workerAnswer)) {
+	target := sim.nodes[slices.Index(sim.Nodes(), answer.relayTo)]
+	incarnation := from.incarnation
 	fail := func() {
-		n.deliver(life, msgRelayFailed{})
-		give(a)
+		from.deliver(incarnation, msgRelayFailed{})
+		reply(answer)
 	}
-	if l.peersCutOff || n.peersCutOff || l.old || !l.alive || w.Chance(0.01) {
-		w.After(w.Between(0, simRelayTimeout), fail)
+	if target.peersCutOff || from.peersCutOff || target.runsProductionVersion || !target.alive || sim.Chance(0.01) {
+		sim.After(sim.Between(0, simRelayTimeout), fail)
 		return
 	}
 	answered := false
-	w.After(simRelayTimeout, func() {
+	sim.After(simRelayTimeout, func() {
 		if !answered {
 			answered = true
 			fail()
 		}
 	})
-	w.After(w.Between(200, 2000), func() {
-		l.handsOver(msgHeartbeat{heartbeat: r, relayed: true}, func(b workerAnswer) {
-			w.After(w.Between(200, 2000), func() {
-				if answered || n.life != life {
+	sim.After(sim.Between(200, 2000), func() {
+		target.receiveHeartbeat(msgHeartbeat{heartbeat: heartbeat, relayed: true}, func(relayedAnswer workerAnswer) {
+			sim.After(sim.Between(200, 2000), func() {
+				if answered || from.incarnation != incarnation {
 					return
 				}
 				answered = true
-				if b.code == 200 {
-					w.relayed++
+				if relayedAnswer.code == 200 {
+					sim.relayedHeartbeats++
 				}
-				give(b)
+				reply(relayedAnswer)
 			})
 		})
 	})
 }
 
-// handsOver gives the actor a report; f gets its answer.
-func (n *simNode) handsOver(m msgHeartbeat, f func(workerAnswer)) {
+// receiveHeartbeat passes a heartbeat to the controller; onAnswer is called with its answer.
+func (n *simNode) receiveHeartbeat(m msgHeartbeat, onAnswer func(workerAnswer)) {
 	reply := make(chan workerAnswer, 1)
 	m.reply = reply
-	n.ask(m, func() bool {
+	n.send(m, func() bool {
 		select {
 		case a := <-reply:
-			f(a)
+			onAnswer(a)
 			return true
 		default:
 			return false
--- a/internal/controller/sim_node_test.go
+++ b/internal/controller/sim_node_test.go
@@ -9,253 +9,271 @@
 	"woadweir/internal/state"
 )
 
-// How a node's way to the state service can be cut.
+// States of the connection between a node and the state service, or between two cells.
 const (
-	open    = iota
-	dropped // requests vanish
-	holding // requests wait, and are carried out when the cut ends
-	refused // the service answers 503 to this node alone
+	linkOpen     = iota
+	linkDropping // requests are lost
+	linkHolding  // requests are held, and executed when the link is open again
+	linkRefusing // the service answers 503 to this node only
 )
 
-// simNode is a controller in simulated time: the real actor, with scripted
-// peers in the place of sockets.
+// simNode is a controller in simulated time: the real actor, with direct calls between
+// controllers instead of sockets.
 type simNode struct {
-	w           *world
-	name        string
-	set         *config.Settings
-	alive       bool
-	life        int
-	ctl         *controller
-	ses         *leadership.Session
-	cut         int
-	late        []func() // held requests
-	workers     bool     // workers reach it
-	syncsLost   bool     // its catch-ups get no answer, all else does
-	usersCutOff bool     // users don't reach it
-	peersCutOff bool     // the other controllers do not reach it, nor it them
-	pending     []func() bool
-	abandon     uint64 // a session that the session actor is to end
-	old         bool   // it runs the version in production, see upgrade_test.go
-	noCloud     bool   // the cloud refuses its requests
-	paused      bool   // the process stands still, see pause_test.go
-	waiting     []func()
-	pauseAt     func(pausePoint) bool // tells whether the process stops there
-	// intercept takes a transaction away if it returns true.
+	sim                   *simDeployment
+	name                  string
+	settings              *config.Settings
+	alive                 bool
+	incarnation           int // number of starts
+	ctl                   *controller
+	session               *leadership.Session
+	stateLink             int                   // linkOpen and so on: the connection to the state service
+	heldRequests          []func()              // executed when stateLink is open again
+	reachableByWorkers    bool                  // workers' heartbeats arrive
+	syncsLost             bool                  // only its synchronizations get no answer
+	usersCutOff           bool                  // users' requests do not arrive
+	peersCutOff           bool                  // it does not reach the other controllers, nor they it
+	pendingReplies        []func() bool         // each reports whether its reply has arrived
+	sessionToAbandon      uint64                // a session that the session loop is to abandon, 0: none
+	runsProductionVersion bool                  // simulates the version in production, see upgrade_test.go
+	cloudUnavailable      bool                  // its requests to the cloud fail
+	paused                bool                  // the process is paused, see sim_pause_test.go
+	deferredCalls         []func()              // run when the process resumes
+	shouldPause           func(pausePoint) bool // reports whether the process pauses at a point; nil: at none
+	// intercept returns true to keep a transaction from being sent.
 	intercept func(msgCommitted) bool
 }
 
+// start starts the controller with newly read settings and an empty state.
 func (n *simNode) start() {
-	n.alive, n.life, n.pending = true, n.life+1, nil
-	n.paused, n.waiting = false, nil
-	n.set = n.w.settings(n.name)
-	if n.old {
-		n.set.Params.State.Next = simSettings("").Params.State.Next // which it does not know
+	n.alive, n.incarnation, n.pendingReplies = true, n.incarnation+1, nil
+	n.paused, n.deferredCalls = false, nil
+	n.settings = n.sim.settings(n.name)
+	if n.runsProductionVersion {
+		n.settings.Params.State.Next = simSettings("").Params.State.Next // the production version does not know the setting
 	}
-	leaseTimes := leadership.ComputeLeaseTimes(30*model.Second, model.Seconds(n.set.Params.Workers.LeaseS), model.Seconds(n.set.Params.Workers.ReportS), model.Seconds(n.set.Params.Workers.CancelS))
-	base := n.w.Now
-	clock := func() model.Micros { return n.w.Now - base + 1 }
-	op := config.DefaultOperatorSettings()
-	if n.w.policy != nil && !n.old {
-		op.Duties = n.w.policy(n.name)
+	leaseTimes := leadership.ComputeLeaseTimes(30*model.Second, model.Seconds(n.settings.Params.Workers.LeaseS), model.Seconds(n.settings.Params.Workers.ReportS), model.Seconds(n.settings.Params.Workers.CancelS))
+	base := n.sim.Now
+	clock := func() model.Micros { return n.sim.Now - base + 1 }
+	operator := config.DefaultOperatorSettings()
+	if n.sim.policy != nil && !n.runsProductionVersion {
+		operator.Duties = n.sim.policy(n.name)
 	}
-	if n.w.cell != nil {
-		op.Spill = n.w.cell.policy
+	if n.sim.cell != nil {
+		operator.Spill = n.sim.cell.policy
 	}
-	n.ctl = newController(n.set, op, leaseTimes, clock, n)
-	if op.Spill != nil {
-		n.ctl.cells = &simCells{n}
-		n.ctl.jitter = n.w.Rand.Float64
+	n.ctl = newController(n.settings, operator, leaseTimes, clock, n)
+	if operator.Spill != nil {
+		n.ctl.cells = &simCellCalls{n}
+		n.ctl.jitter = n.sim.Rand.Float64
 	}
-	n.ctl.wallClockMs = func() int64 { return int64(n.w.Now / 1000) }
-	n.ses = leadership.NewSession(leaseTimes.TTL)
-	n.tick(n.life)
-	n.session(n.life)
+	n.ctl.wallClockMs = func() int64 { return int64(n.sim.Now / 1000) }
+	n.session = leadership.NewSession(leaseTimes.TTL)
+	n.tick(n.incarnation)
+	n.scheduleSessionCall(n.incarnation)
 }
 
+// crash ends the process; replies that are pending are lost.
 func (n *simNode) crash() {
-	n.alive, n.pending = false, nil
+	n.alive, n.pendingReplies = false, nil
 }
 
-// crashFor ends a controller, and starts it again after that time.
-func (n *simNode) crashFor(down model.Micros) {
+// crashFor ends the process and restarts it after the downtime.
+func (n *simNode) crashFor(downtime model.Micros) {
 	n.crash()
-	n.w.After(down, n.start)
+	n.sim.After(downtime, n.start)
 }
 
-func (n *simNode) tick(life int) {
-	if !n.alive || n.life != life {
+// tick sends the controller a tick every 50 ms until its process ends.
+func (n *simNode) tick(incarnation int) {
+	if !n.alive || n.incarnation != incarnation {
 		return
 	}
-	if !n.paused { // ticks that nobody takes are dropped
-		n.ask(msgTick{}, nil)
+	if !n.paused { // a paused process misses its ticks
+		n.send(msgTick{}, nil)
 	}
-	n.w.After(50*model.Millisecond, func() { n.tick(life) })
+	n.sim.After(50*model.Millisecond, func() { n.tick(incarnation) })
 }
 
-// ask hands a message to the actor; check is called until it says that the
-// answer has come.
-func (n *simNode) ask(m any, check func() bool) {
-	if !n.alive || n.stopped(func() { n.ask(m, check) }) {
+// send passes a message to the controller, or defers it while the process is paused.
+// answered, if it is not nil, is called after each message until it reports that the answer
+// has arrived.
+func (n *simNode) send(m any, answered func() bool) {
+	if !n.alive || n.deferIfPaused(func() { n.send(m, answered) }) {
 		return
 	}
-	if check != nil {
-		n.pending = append(n.pending, check)
+	if answered != nil {
+		n.pendingReplies = append(n.pendingReplies, answered)
 	}
 	n.ctl.handle(m)
 	n.ctl.step()
-	n.pending = slices.DeleteFunc(n.pending, func(f func() bool) bool { return f() })
+	n.pendingReplies = slices.DeleteFunc(n.pendingReplies, func(f func() bool) bool { return f() })
 }
 
-func (n *simNode) session(life int) {
-	call := n.ses.Next()
-	n.w.After(call.After+1, func() { n.sessionCall(call, life) })
+// scheduleSessionCall schedules the session's next call to the state service.
+func (n *simNode) scheduleSessionCall(incarnation int) {
+	call := n.session.Next()
+	n.sim.After(call.After+1, func() { n.sendSessionCall(call, incarnation) })
 }
 
-func (n *simNode) sessionCall(call leadership.Call, life int) {
-	if n.alive && n.life == life && call.Kind == leadership.CallRenew {
-		n.reaches(beforeRenewal)
+// sendSessionCall sends a call of the session, unless the session is to be abandoned.
+func (n *simNode) sendSessionCall(call leadership.Call, incarnation int) {
+	if n.alive && n.incarnation == incarnation && call.Kind == leadership.CallRenew {
+		n.reachPausePoint(beforeRenewal)
 	}
-	if !n.alive || n.life != life || n.stopped(func() { n.sessionCall(call, life) }) {
+	if !n.alive || n.incarnation != incarnation || n.deferIfPaused(func() { n.sendSessionCall(call, incarnation) }) {
 		return
 	}
-	if n.abandon != 0 {
-		n.ses.Abandon(n.abandon)
-		n.abandon = 0
-		n.session(life)
+	if n.sessionToAbandon != 0 {
+		n.session.Abandon(n.sessionToAbandon)
+		n.sessionToAbandon = 0
+		n.scheduleSessionCall(incarnation)
 		return
 	}
-	n.ses.Sending(n.ctl.clock())
-	r := new(leadership.Reply)
-	do := func() *state.Result { return n.carryOut(call, r) }
-	back, lost := func() { n.sessionReply(*r, life) }, func() { n.sessionReply(leadership.Reply{Outcome: leadership.Unclear}, life) }
+	n.session.Sending(n.ctl.clock())
+	reply := new(leadership.Reply)
+	execute := func() *state.Result { return n.executeSessionCall(call, reply) }
+	onReply, onLost := func() { n.handleSessionReply(*reply, incarnation) }, func() { n.handleSessionReply(leadership.Reply{Outcome: leadership.Unclear}, incarnation) }
 	if call.Kind == leadership.CallPut {
-		n.transact(do, back, lost, 2*model.Second)
+		n.sendTransaction(execute, onReply, onLost, 2*model.Second)
 		return
 	}
-	n.request(func() func() { do(); return back }, lost, 2*model.Second)
+	n.sendStateRequest(func() func() { execute(); return onReply }, onLost, 2*model.Second)
 }
 
-// carryOut is a call of the session at the state service, with its reply. It returns the
-// result if the call is a transaction.
-func (n *simNode) carryOut(call leadership.Call, r *leadership.Reply) (res *state.Result) {
+// executeSessionCall executes a call of the session at the state service and fills in its
+// reply. It returns the result if the call is a transaction.
+func (n *simNode) executeSessionCall(call leadership.Call, reply *leadership.Reply) (result *state.Result) {
 	key := "node/" + n.name
 	err := error(nil)
 	switch call.Kind {
 	case leadership.CallRead:
-		var e *state.Entry
-		if e, err = n.w.state.Get(n.name, key); err == nil {
-			r.Revision, r.LeaseID = e.Revision, e.LeaseID
+		var entry *state.Entry
+		if entry, err = n.sim.state.Get(n.name, key); err == nil {
+			reply.Revision, reply.LeaseID = entry.Revision, entry.LeaseID
 		}
 	case leadership.CallRevoke:
-		err = n.w.state.EndLease(n.name, call.LeaseID)
+		err = n.sim.state.EndLease(n.name, call.LeaseID)
 	case leadership.CallGrant:
-		r.LeaseID, err = n.w.state.GrantLease(n.name, n.ctl.authority.Times.TTL)
+		reply.LeaseID, err = n.sim.state.GrantLease(n.name, n.ctl.authority.Times.TTL)
 	case leadership.CallPut:
-		res, err = n.w.state.Commit(n.name, &state.Txn{Conditions: []state.Condition{{Path: key, Revision: call.Revision}},
+		result, err = n.sim.state.Commit(n.name, &state.Txn{Conditions: []state.Condition{{Path: key, Revision: call.Revision}},
 			Then: []state.Op{{Set: key, Value: n.nodeRecord(call.LeaseID), LeaseID: call.LeaseID}}})
-		if err == nil && !res.OK {
-			r.Outcome = leadership.Conflict
+		if err == nil && !result.OK {
+			reply.Outcome = leadership.Conflict
 		}
 	case leadership.CallRenew:
-		err = n.w.state.RenewLease(n.name, call.LeaseID)
+		err = n.sim.state.RenewLease(n.name, call.LeaseID)
 	}
 	if err == state.ErrMissing {
-		r.Outcome = leadership.Missing
+		reply.Outcome = leadership.Missing
 	} else if err != nil {
-		r.Outcome = leadership.Unclear
+		reply.Outcome = leadership.Unclear
 	}
-	return res
+	return result
 }
 
+// nodeRecord returns the record that announces this node and what it can read.
 func (n *simNode) nodeRecord(session uint64) state.NodeRecord {
-	r := state.NodeRecord{Session: session, Layout: state.Layout(n.ctl.operator.Spill != nil), MayHoldDuties: n.ctl.duties.mayHoldDuties}
-	if n.old {
-		r.Layout = 0
+	record := state.NodeRecord{Session: session, Layout: state.Layout(n.ctl.operator.Spill != nil), MayHoldDuties: n.ctl.duties.mayHoldDuties}
+	if n.runsProductionVersion {
+		record.Layout = 0
 	}
-	return r
+	return record
 }
 
-func (n *simNode) sessionReply(r leadership.Reply, life int) {
-	if n.alive && n.life == life {
-		n.reaches(renewalAnswer)
+// handleSessionReply passes a reply to the session, tells the controller if the session has
+// changed, and schedules the next call.
+func (n *simNode) handleSessionReply(reply leadership.Reply, incarnation int) {
+	if n.alive && n.incarnation == incarnation {
+		n.reachPausePoint(renewalAnswer)
 	}
-	if !n.alive || n.life != life || n.stopped(func() { n.sessionReply(r, life) }) {
+	if !n.alive || n.incarnation != incarnation || n.deferIfPaused(func() { n.handleSessionReply(reply, incarnation) }) {
 		return
 	}
-	if change := n.ses.HandleReply(r); change.Changed {
-		n.ask(msgSession{change.LeaseID, change.SentAt}, nil)
+	if change := n.session.HandleReply(reply); change.Changed {
+		n.send(msgSession{change.LeaseID, change.SentAt}, nil)
 	}
-	n.session(life)
+	n.scheduleSessionCall(incarnation)
 }
 
-// request carries a request to the state service: it takes time, and may be
-// lost, refused, or held and carried out late. do carries it out and returns
-// what brings the answer; lost is called when timeout is over.
-func (n *simNode) request(do func() func(), lost func(), timeout model.Micros) {
-	w, answered := n.w, false
-	give := func(f func()) {
+// sendStateRequest sends a request to the state service. It takes time, and may be lost,
+// refused, or held and executed late. execute executes it and returns the function that
+// delivers the answer; onLost is called if no answer has arrived after timeout.
+func (n *simNode) sendStateRequest(execute func() func(), onLost func(), timeout model.Micros) {
+	sim, answered := n.sim, false
+	finish := func(f func()) {
 		if !answered {
 			answered = true
 			f()
 		}
 	}
-	w.After(timeout, func() { give(lost) })
-	there := w.Between(model.Millisecond, 6*model.Millisecond+w.stateLag)
-	if w.repeats > 0 && w.Chance(w.repeats) {
-		w.After(w.Between(there, 40*model.Second), func() { do() })
+	sim.After(timeout, func() { finish(onLost) })
+	delay := sim.Between(model.Millisecond, 6*model.Millisecond+sim.stateLag)
+	if sim.duplicateRequestChance > 0 && sim.Chance(sim.duplicateRequestChance) {
+		sim.After(sim.Between(delay, 40*model.Second), func() { execute() })
 	}
-	if w.Chance(0.01) {
-		there = w.Between(100*model.Millisecond, 3*model.Second)
+	if sim.Chance(0.01) {
+		delay = sim.Between(100*model.Millisecond, 3*model.Second)
 	}
-	w.After(there, func() {
-		switch n.cut {
-		case dropped:
+	sim.After(delay, func() {
+		switch n.stateLink {
+		case linkDropping:
 			return
-		case holding:
-			n.late = append(n.late, func() { do() })
+		case linkHolding:
+			n.heldRequests = append(n.heldRequests, func() { execute() })
 			return
 		}
-		back := do()
-		if w.Chance(0.01) {
-			return // carried out, but the answer is lost
+		deliver := execute()
+		if sim.Chance(0.01) {
+			return // executed, but the answer is lost
 		}
-		w.After(w.Between(model.Millisecond, 6*model.Millisecond), func() {
-			if n.cut != dropped && n.cut != holding {
-				give(back)
+		sim.After(sim.Between(model.Millisecond, 6*model.Millisecond), func() {
+			if n.stateLink != linkDropping && n.stateLink != linkHolding {
+				finish(deliver)
 			}
 		})
 	})
 }
 
-// transact is request for a transaction: it may get no answer and be carried out
-// later, after newer ones.
-func (n *simNode) transact(do func() *state.Result, back, lost func(), timeout model.Micros) {
-	w := n.w
-	if w.lateWrites == 0 || n.cut != open || !w.Chance(w.lateWrites) {
-		n.request(func() func() { do(); return back }, lost, timeout)
+// sendTransaction sends a transaction like sendStateRequest. With probability lateWriteChance
+// it gets no answer and is executed later, possibly after newer ones.
+func (n *simNode) sendTransaction(execute func() *state.Result, onReply, onLost func(), timeout model.Micros) {
+	sim := n.sim
+	if sim.lateWriteChance == 0 || n.stateLink != linkOpen || !sim.Chance(sim.lateWriteChance) {
+		n.sendStateRequest(func() func() { execute(); return onReply }, onLost, timeout)
 		return
 	}
-	w.After(w.lateBy(), func() {
-		res := do()
-		w.arrivedLate++
-		if res != nil && res.OK {
-			w.wroteLate++
+	sim.After(sim.lateWriteDelay(), func() {
+		result := execute()
+		sim.lateWritesArrived++
+		if result != nil && result.OK {
+			sim.lateWritesApplied++
 		}
 	})
-	w.After(timeout, lost)
+	sim.After(timeout, onLost)
 }
 
-// How long after it was sent a transaction without an answer is carried out.
-func (w *world) afterNewer() model.Micros { return w.Between(2*model.Second, 12*model.Second) }
-func (w *world) atOnce() model.Micros     { return w.Between(model.Millisecond, 6*model.Millisecond) }
+// longWriteDelay returns a delay for lateWriteDelay that lets newer transactions be executed
+// first.
+func (sim *simDeployment) longWriteDelay() model.Micros {
+	return sim.Between(2*model.Second, 12*model.Second)
+}
+
+// shortWriteDelay returns a delay for lateWriteDelay in the range of ordinary requests.
+func (sim *simDeployment) shortWriteDelay() model.Micros {
+	return sim.Between(model.Millisecond, 6*model.Millisecond)
+}
 
-func (n *simNode) setCut(kind int) {
-	n.cut = kind
-	n.w.state.RefusedNodes[n.name] = kind == refused
-	if kind == open {
-		for _, f := range n.late {
+// setStateLink changes the connection to the state service; the requests that were held are
+// executed when it is open again.
+func (n *simNode) setStateLink(link int) {
+	n.stateLink = link
+	n.sim.state.RefusedNodes[n.name] = link == linkRefusing
+	if link == linkOpen {
+		for _, f := range n.heldRequests {
 			f()
 		}
-		n.late = nil
+		n.heldRequests = nil
 	}
 }
--- a/internal/controller/sim_users_test.go
+++ b/internal/controller/sim_users_test.go
@@ -8,50 +8,53 @@
 	"woadweir/internal/userapi"
 )
 
-// user submits a job with retries, polls until its end, and may cancel it.
+// user submits a job with retries, polls its status until it ends, and may cancel it.
 type user struct {
-	w        *world
-	sub      *model.Submission
-	accepted bool
-	ended    string
-	cancelAt model.Micros
-	asked    bool
-	deadline model.Micros
-	then     func()   // once, when it is accepted
-	via      *simNode // the node at which it cancels, any one if it is nil
+	sim             *simDeployment
+	submission      *model.Submission
+	accepted        bool
+	reportedEnd     string
+	cancelAt        model.Micros // 0: never
+	cancelRequested bool
+	deadline        model.Micros // the end of repeated submissions
+	onAccepted      func()       // called once, when the job is accepted; may be nil
+	cancelVia       *simNode     // the node that gets the cancellation; nil: a random one
 }
 
-func (w *world) submit(sub *model.Submission, cancelAfter model.Micros) *user {
-	u := &user{w: w, sub: sub, deadline: w.Now + 60*model.Second}
-	w.rules.Submitted[sub.ID], w.rules.Awaits[sub.ID] = sub.Job(0), sub.Awaits
+// submit submits a job through a new user, which cancels it after cancelAfter unless that
+// is 0.
+func (sim *simDeployment) submit(submission *model.Submission, cancelAfter model.Micros) *user {
+	u := &user{sim: sim, submission: submission, deadline: sim.Now + 60*model.Second}
+	sim.invariants.Submitted[submission.ID], sim.invariants.Awaits[submission.ID] = submission.Job(0), submission.Awaits
 	if cancelAfter > 0 {
-		u.cancelAt = w.Now + cancelAfter
+		u.cancelAt = sim.Now + cancelAfter
 	}
-	w.users = append(w.users, u)
-	if w.cell != nil {
-		w.rules.HomeCells[sub.ID] = w.cell.name
+	sim.users = append(sim.users, u)
+	if sim.cell != nil {
+		sim.invariants.HomeCells[submission.ID] = sim.cell.name
 	}
-	u.post()
+	u.sendSubmission()
 	return u
 }
 
-// allDone tells whether users were told that all of these jobs are done.
-func allDone(us []*user) bool {
-	return !slices.ContainsFunc(us, func(u *user) bool { return u.ended != "done" })
+// allReportedDone reports whether all of these jobs were reported as done to their users.
+func allReportedDone(users []*user) bool {
+	return !slices.ContainsFunc(users, func(u *user) bool { return u.reportedEnd != "done" })
 }
 
-// call asks a node, any one if it is nil; f gets code 0 if there is no answer.
-func (w *world) call(to *simNode, timeout model.Micros, msg func(chan<- userapi.Answer) any, f func(userapi.Answer)) {
+// sendUserRequest sends a request to a node, or to a random one if to is nil, and follows
+// one forwarding. onAnswer is called with code 0 if no answer arrives before the timeout.
+func (sim *simDeployment) sendUserRequest(to *simNode, timeout model.Micros, msg func(chan<- userapi.Answer) any, onAnswer func(userapi.Answer)) {
 	answered := false
-	give := func(a userapi.Answer) {
+	finish := func(a userapi.Answer) {
 		if !answered {
 			answered = true
-			f(a)
+			onAnswer(a)
 		}
 	}
-	w.After(timeout, func() { give(userapi.Answer{}) })
+	sim.After(timeout, func() { finish(userapi.Answer{}) })
 	if to == nil {
-		to = w.nodes[w.Rand.IntN(len(w.nodes))]
+		to = sim.nodes[sim.Rand.IntN(len(sim.nodes))]
 	}
 	var send func(n *simNode, forwarded bool)
 	send = func(n *simNode, forwarded bool) {
@@ -59,15 +62,15 @@
 			return
 		}
 		reply := make(chan userapi.Answer, 1)
-		n.ask(msg(reply), func() bool {
+		n.send(msg(reply), func() bool {
 			select {
 			case a := <-reply:
-				w.After(model.Millisecond, func() {
+				sim.After(model.Millisecond, func() {
 					if a.ForwardTo != "" && !forwarded {
-						send(w.nodes[slices.Index(w.Nodes(), a.ForwardTo)], true)
+						send(sim.nodes[slices.Index(sim.Nodes(), a.ForwardTo)], true)
 						return
 					}
-					give(a)
+					finish(a)
 				})
 				return true
 			default:
@@ -75,94 +78,101 @@
 			}
 		})
 	}
-	w.After(model.Millisecond, func() { send(to, false) })
+	sim.After(model.Millisecond, func() { send(to, false) })
 }
 
-func (u *user) post() {
-	asked := u.w.Now
-	u.w.call(nil, 5*model.Second, func(r chan<- userapi.Answer) any {
-		s := *u.sub
-		return msgSubmit{s.ID, &s, nil, r}
+// sendSubmission submits the job, and again after a second until it is accepted or the
+// deadline is over.
+func (u *user) sendSubmission() {
+	sentAt := u.sim.Now
+	u.sim.sendUserRequest(nil, 5*model.Second, func(r chan<- userapi.Answer) any {
+		submission := *u.submission
+		return msgSubmit{submission.ID, &submission, nil, r}
 	}, func(a userapi.Answer) {
 		switch a.Code {
 		case 200, 201:
 			u.accepted = true
-			u.w.rules.CheckAnswer(u.sub.ID, a.Code, a.Body, asked)
+			u.sim.invariants.CheckAnswer(u.submission.ID, a.Code, a.Body, sentAt)
 			u.checkEveryNode()
-			if u.then != nil {
-				u.then()
-				u.then = nil
+			if u.onAccepted != nil {
+				u.onAccepted()
+				u.onAccepted = nil
 			}
 			u.poll()
 		default:
-			if u.w.Now < u.deadline {
-				u.w.After(model.Second, u.post)
+			if u.sim.Now < u.deadline {
+				u.sim.After(model.Second, u.sendSubmission)
 			}
 		}
 	})
 }
 
+// poll requests the job's status until its end is reported, and with a chance of one half
+// goes on after that.
 func (u *user) poll() {
-	if u.cancelAt > 0 && u.w.Now >= u.cancelAt {
+	if u.cancelAt > 0 && u.sim.Now >= u.cancelAt {
 		u.cancel(nil)
 	}
-	asked := u.w.Now
-	u.w.call(nil, 2*model.Second, func(r chan<- userapi.Answer) any { return msgStatusRequest{u.sub.ID, r} }, func(a userapi.Answer) {
-		u.w.rules.CheckAnswer(u.sub.ID, a.Code, a.Body, asked)
-		if u.ended == "" && u.w.rules.ReportedEnd(u.sub.ID) != "" {
+	sentAt := u.sim.Now
+	u.sim.sendUserRequest(nil, 2*model.Second, func(r chan<- userapi.Answer) any { return msgStatusRequest{u.submission.ID, r} }, func(a userapi.Answer) {
+		u.sim.invariants.CheckAnswer(u.submission.ID, a.Code, a.Body, sentAt)
+		if u.reportedEnd == "" && u.sim.invariants.ReportedEnd(u.submission.ID) != "" {
 			u.checkEveryNode()
 		}
-		if u.ended = u.w.rules.ReportedEnd(u.sub.ID); u.ended == "" || u.w.Chance(0.5) {
-			u.w.After(3*model.Second, u.poll)
+		if u.reportedEnd = u.sim.invariants.ReportedEnd(u.submission.ID); u.reportedEnd == "" || u.sim.Chance(0.5) {
+			u.sim.After(3*model.Second, u.poll)
 		}
 	})
 }
 
-func (u *user) withdraw() {
-	asked := u.w.Now
-	u.w.call(u.via, 5*model.Second, func(r chan<- userapi.Answer) any { return msgCancel{u.sub.ID, r} }, func(a userapi.Answer) {
-		u.w.rules.CheckAnswer(u.sub.ID, a.Code, a.Body, asked)
+// sendCancel sends a cancellation, and again after a second until it is answered with code
+// 200.
+func (u *user) sendCancel() {
+	sentAt := u.sim.Now
+	u.sim.sendUserRequest(u.cancelVia, 5*model.Second, func(r chan<- userapi.Answer) any { return msgCancel{u.submission.ID, r} }, func(a userapi.Answer) {
+		u.sim.invariants.CheckAnswer(u.submission.ID, a.Code, a.Body, sentAt)
 		if a.Code != 200 {
-			u.w.After(model.Second, u.withdraw)
+			u.sim.After(model.Second, u.sendCancel)
 			return
 		}
 		u.checkEveryNode()
 	})
 }
 
-// cancel has the job withdrawn through a node, any one if it is nil.
+// cancel cancels the job through a node, or through a random one if via is nil. Further calls
+// have no effect.
 func (u *user) cancel(via *simNode) {
-	if !u.asked {
-		u.asked, u.via = true, via
-		u.w.rules.CancelRequested(u.sub.ID)
-		u.withdraw()
+	if !u.cancelRequested {
+		u.cancelRequested, u.cancelVia = true, via
+		u.sim.invariants.CancelRequested(u.submission.ID)
+		u.sendCancel()
 	}
 }
 
-// checkEveryNode has the user ask at every node within milliseconds, and repeat the submission
-// there, as it was, altered or with a field missing: none may say anything older than
-// what the user was told, nor refuse a job that was accepted.
+// checkEveryNode requests the job's status at every node within milliseconds, and repeats the
+// submission there: unchanged, altered, and with a field missing. No node may answer with an
+// older status than the user has already seen, or refuse a job that was accepted.
 func (u *user) checkEveryNode() {
-	w := u.w
-	if !w.checksEveryNode {
+	sim := u.sim
+	if !sim.checksEveryNode {
 		return
 	}
-	ref := u.sub.ID
-	other := *u.sub
-	other.Team, other.Tasks = "nobody", other.Tasks+1
-	for _, n := range w.nodes {
+	jobID := u.submission.ID
+	altered := *u.submission
+	altered.Team, altered.Tasks = "nobody", altered.Tasks+1
+	for _, n := range sim.nodes {
 		for _, msg := range []func(r chan<- userapi.Answer) any{
-			func(r chan<- userapi.Answer) any { return msgStatusRequest{ref, r} },
-			func(r chan<- userapi.Answer) any { same := *u.sub; return msgSubmit{ref, &same, nil, r} },
-			func(r chan<- userapi.Answer) any { return msgSubmit{ref, &other, nil, r} },
-			func(r chan<- userapi.Answer) any { return msgSubmit{ref, nil, errors.New("pieces is missing"), r} },
+			func(r chan<- userapi.Answer) any { return msgStatusRequest{jobID, r} },
+			func(r chan<- userapi.Answer) any { same := *u.submission; return msgSubmit{jobID, &same, nil, r} },
+			func(r chan<- userapi.Answer) any { return msgSubmit{jobID, &altered, nil, r} },
+			func(r chan<- userapi.Answer) any { return msgSubmit{jobID, nil, errors.New("pieces is missing"), r} },
 		} {
-			w.After(w.Between(0, 5*model.Millisecond), func() {
-				asked := w.Now
-				w.call(n, 2*model.Second, msg, func(a userapi.Answer) {
-					w.rules.CheckAnswer(ref, a.Code, a.Body, asked)
+			sim.After(sim.Between(0, 5*model.Millisecond), func() {
+				sentAt := sim.Now
+				sim.sendUserRequest(n, 2*model.Second, msg, func(a userapi.Answer) {
+					sim.invariants.CheckAnswer(jobID, a.Code, a.Body, sentAt)
 					if a.Code == 200 {
-						w.everyNodeAnswers++
+						sim.everyNodeAnswers++
 					}
 				})
 			})
