--- a/internal/controller/duties_bench_test.go
+++ b/internal/controller/duties_bench_test.go
@@ -23,8 +23,8 @@
 }
 
 func holderFailures() []holderFailure {
-	pause := func(d model.Micros) holderFailure {
-		return holderFailure{fmt.Sprintf("paused %2.0f s", d.Seconds()), func(n *simNode) { n.pauseFor(d) }, func(*simNode) {}}
+	pause := func(duration model.Micros) holderFailure {
+		return holderFailure{fmt.Sprintf("paused %2.0f s", duration.Seconds()), func(n *simNode) { n.pauseFor(duration) }, func(*simNode) {}}
 	}
 	return []holderFailure{
 		pause(5 * model.Second), pause(12 * model.Second), pause(40 * model.Second),
@@ -73,46 +73,46 @@
 
 // measureHandOvers has the holder of renting fail again and again.
 func measureHandOvers(sim *simDeployment) handOverResults {
-	m := handOverResults{withoutHolderMs: map[string]*hdrhistogram.Histogram{}, keptByHolder: map[string]int{}}
-	all := holderFailures()
-	for _, l := range all {
-		m.withoutHolderMs[l.name] = hdrhistogram.New(1, 600_000, 3)
+	results := handOverResults{withoutHolderMs: map[string]*hdrhistogram.Histogram{}, keptByHolder: map[string]int{}}
+	failures := holderFailures()
+	for _, failure := range failures {
+		results.withoutHolderMs[failure.name] = hdrhistogram.New(1, 600_000, 3)
 	}
 	sim.scheduleArrayJobs(holderFailureCount*10, 8*model.Second)
 	sim.Run(60 * model.Second)
 	for i := range holderFailureCount {
-		l := all[i%len(all)]
-		first := sim.dutyHolder(duty.Renting)
-		if first == nil {
+		failure := failures[i%len(failures)]
+		holder := sim.dutyHolder(duty.Renting)
+		if holder == nil {
 			sim.Run(sim.Now + 10*model.Second)
 			continue
 		}
-		before, from := sim.countLeaseWrites(duty.Renting), sim.Now
-		l.inject(first)
-		for sim.Now < from+50*model.Second && sim.countLeaseWrites(duty.Renting) == before {
+		writesBefore, failedAt := sim.countLeaseWrites(duty.Renting), sim.Now
+		failure.inject(holder)
+		for sim.Now < failedAt+50*model.Second && sim.countLeaseWrites(duty.Renting) == writesBefore {
 			sim.Run(sim.Now + 20*model.Millisecond)
 		}
-		if sim.countLeaseWrites(duty.Renting) == before {
-			m.keptByHolder[l.name]++
-		} else if err := m.withoutHolderMs[l.name].RecordValue(int64((sim.Now - from) / model.Millisecond)); err != nil {
+		if sim.countLeaseWrites(duty.Renting) == writesBefore {
+			results.keptByHolder[failure.name]++
+		} else if err := results.withoutHolderMs[failure.name].RecordValue(int64((sim.Now - failedAt) / model.Millisecond)); err != nil {
 			panic(err)
 		}
-		sim.Run(from + 55*model.Second)
-		l.restore(first)
+		sim.Run(failedAt + 55*model.Second)
+		failure.restore(holder)
 		sim.Run(sim.Now + 30*model.Second)
 	}
 	for _, write := range sim.state.Log {
 		if len(write.Rejected) > 0 && writesDutyRecord(write.Txn) {
-			m.rejectedWrites++
+			results.rejectedWrites++
 		}
 	}
-	m.violations = append(sim.invariants.Violations, sim.dutyViolations()...)
-	return m
+	results.violations = append(sim.invariants.Violations, sim.dutyViolations()...)
+	return results
 }
 
 // fenced tells whether a write is one of duties.
-func writesDutyRecord(t *state.Txn) bool {
-	for _, op := range t.Then {
+func writesDutyRecord(txn *state.Txn) bool {
+	for _, op := range txn.Then {
 		switch op.Value.(type) {
 		case duty.Lease, duty.Rental, duty.Return:
 			return true
@@ -148,15 +148,15 @@
 
 func reportHandOvers(b *testing.B, controllers int, policy func(string) *duty.Policy) {
 	sim := newDeploymentWithControllers(b, uint64(controllers), controllers, policy)
-	m := measureHandOvers(sim)
+	results := measureHandOvers(sim)
 	b.Logf("simulated; %d controllers, session %.1f s: %d fenced writes rejected, %d violations", controllers,
-		sim.nodes[0].ctl.authority.Times.TTL.Seconds(), m.rejectedWrites, len(m.violations))
-	for _, l := range holderFailures() {
-		h := m.withoutHolderMs[l.name]
-		b.Logf("simulated; %d controllers, %-19s: %3d hand-overs, ms without holder: median %d, 0.9 %d, most %d; outlived %d", controllers, l.name,
-			h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.Max(), m.keptByHolder[l.name])
+		sim.nodes[0].ctl.authority.Times.TTL.Seconds(), results.rejectedWrites, len(results.violations))
+	for _, failure := range holderFailures() {
+		histogram := results.withoutHolderMs[failure.name]
+		b.Logf("simulated; %d controllers, %-19s: %3d hand-overs, ms without holder: median %d, 0.9 %d, most %d; outlived %d", controllers, failure.name,
+			histogram.TotalCount(), histogram.ValueAtQuantile(50), histogram.ValueAtQuantile(90), histogram.Max(), results.keptByHolder[failure.name])
 	}
-	if len(m.violations) > 0 {
-		b.Errorf("violations: %v", m.violations[:min(4, len(m.violations))])
+	if len(results.violations) > 0 {
+		b.Errorf("violations: %v", results.violations[:min(4, len(results.violations))])
 	}
 }
--- a/internal/controller/duties_fleet_test.go
+++ b/internal/controller/duties_fleet_test.go
@@ -42,8 +42,8 @@
 		t.Error("the leader rents")
 	}
 	rented := sim.cloud.RentedCount()
-	old := sim.leader()
-	old.crashFor(4 * model.Second)
+	formerLeader := sim.leader()
+	formerLeader.crashFor(4 * model.Second)
 	sim.Run(sim.Now + 40*model.Second)
 	if n := sim.cloud.RentedCount(); n > rented+rented/20 {
 		t.Errorf("%d machines before the leader's end, %d after", rented, n)
--- a/internal/controller/duties_test.go
+++ b/internal/controller/duties_test.go
@@ -27,11 +27,11 @@
 
 func simDutyPolicy(t *testing.T, file string) func(string) *duty.Policy {
 	return func(string) *duty.Policy {
-		p, err := duty.ParseSettings([]byte(file), []string{"node-0", "node-1", "node-2"}, 60*model.Second)
+		policy, err := duty.ParseSettings([]byte(file), []string{"node-0", "node-1", "node-2"}, 60*model.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return p
+		return policy
 	}
 }
 
@@ -49,12 +49,12 @@
 
 // holderOf is the node that the state service's records name for a duty.
 func (sim *simDeployment) dutyHolder(name duty.Name) *simNode {
-	e, err := sim.state.Get("", name.Key())
+	entry, err := sim.state.Get("", name.Key())
 	if err != nil {
 		return nil
 	}
 	var lease duty.Lease
-	if err := json.Unmarshal(e.Value, &lease); err != nil {
+	if err := json.Unmarshal(entry.Value, &lease); err != nil {
 		panic(err)
 	}
 	return sim.nodes[slices.Index(sim.Nodes(), lease.Holder)]
@@ -68,8 +68,8 @@
 func (sim *simDeployment) checkDuties() {
 	sim.t.Helper()
 	sim.requireInvariants()
-	if broken := sim.dutyViolations(); len(broken) > 0 {
-		sim.t.Fatalf("%d violations: %v", len(broken), broken[:min(5, len(broken))])
+	if violations := sim.dutyViolations(); len(violations) > 0 {
+		sim.t.Fatalf("%d violations: %v", len(violations), violations[:min(5, len(violations))])
 	}
 }
 
@@ -85,16 +85,16 @@
 }
 
 // somework keeps machines being rented and returned.
-func (sim *simDeployment) scheduleArrayJobs(jobs int, every model.Micros) {
+func (sim *simDeployment) scheduleArrayJobs(jobs int, interval model.Micros) {
 	for i := range jobs {
-		sim.At(sim.Now+model.Micros(i)*every, func() { sim.submit(arrayJob(i, 6, 6), 0) })
+		sim.At(sim.Now+model.Micros(i)*interval, func() { sim.submit(arrayJob(i, 6, 6), 0) })
 	}
 }
 
 // endAll lets time pass until every accepted job has ended.
-func (sim *simDeployment) requireAllEndBy(until model.Micros) {
+func (sim *simDeployment) requireAllEndBy(deadline model.Micros) {
 	sim.t.Helper()
-	sim.Run(until)
+	sim.Run(deadline)
 	for ref := range sim.invariants.Accepted {
 		if sim.invariants.ReportedEnd(ref) == "" {
 			sim.t.Errorf("%s never ended; %s", ref, sim.describe())
@@ -227,10 +227,10 @@
 	for _, n := range sim.nodes {
 		n.cloudUnavailable = true
 	}
-	moves := sim.countLeaseWrites(duty.Renting)
+	writesBefore := sim.countLeaseWrites(duty.Renting)
 	sim.Run(150 * model.Second)
-	if more := sim.countLeaseWrites(duty.Renting) - moves; more > 2 {
-		t.Errorf("%d moves while the cloud answers nobody", more)
+	if writes := sim.countLeaseWrites(duty.Renting) - writesBefore; writes > 2 {
+		t.Errorf("%d moves while the cloud answers nobody", writes)
 	}
 	for _, n := range sim.nodes {
 		n.cloudUnavailable = false
@@ -243,12 +243,12 @@
 func TestBusyCloudCountsAsReachable(t *testing.T) {
 	sim := newDutyDeployment(t, 17, spreadDuties)
 	sim.Run(20 * model.Second)
-	d := sim.nodes[0].ctl.duties
+	duties := sim.nodes[0].ctl.duties
 	for _, err := range []error{cloud.ErrBusy, cloud.ErrNoCapacity, nil} {
-		if d.cloudAnswered(cloud.ErrUnavailable); d.cloudFailingSince == 0 {
+		if duties.cloudAnswered(cloud.ErrUnavailable); duties.cloudFailingSince == 0 {
 			t.Error("trouble is no answer")
 		}
-		if d.cloudAnswered(err); d.cloudFailingSince != 0 {
+		if duties.cloudAnswered(err); duties.cloudFailingSince != 0 {
 			t.Errorf("%v is an answer", err)
 		}
 	}
@@ -269,30 +269,30 @@
 // A holder that loses the state service stands down by itself; another takes the duty,
 // and the former one comes back without taking what has moved.
 func TestDutyHolderWithoutStateService(t *testing.T) {
-	for _, kind := range []int{linkDropping, linkRefusing} {
+	for _, link := range []int{linkDropping, linkRefusing} {
 		sim := newDutyDeployment(t, 8, spreadDuties)
 		sim.scheduleArrayJobs(20, 8*model.Second)
 		sim.Run(60 * model.Second)
 		first := sim.dutyHolder(duty.Renting)
 		token := first.ctl.duties.held[duty.Renting]
-		first.setStateLink(kind)
+		first.setStateLink(link)
 		sim.Run(85 * model.Second)
 		if n := len(first.ctl.duties.held); n != 0 {
-			t.Errorf("cut %d: it still holds %d duties", kind, n)
+			t.Errorf("cut %d: it still holds %d duties", link, n)
 		}
 		second := sim.dutyHolder(duty.Renting)
 		if second == nil || second == first {
-			t.Fatalf("cut %d: nobody took over", kind)
+			t.Fatalf("cut %d: nobody took over", link)
 		}
 		first.setStateLink(linkOpen)
 		sim.Run(88 * model.Second)
 		if sim.dutyHolder(duty.Renting) != second || first.ctl.duties.held[duty.Renting] != 0 {
-			t.Errorf("cut %d: the duty came back at once", kind)
+			t.Errorf("cut %d: the duty came back at once", link)
 		}
 		sim.requireAllEndBy(420 * model.Second)
 		sim.checkDuties()
 		if now := sim.dutyHolder(duty.Renting).ctl.duties.held[duty.Renting]; now <= token {
-			t.Errorf("cut %d: token %d after %d", kind, now, token)
+			t.Errorf("cut %d: token %d after %d", link, now, token)
 		}
 	}
 }
@@ -300,43 +300,43 @@
 // While any controller may run the version in production, the leader does everything
 // itself and no record of duties is written; once none does, duties spread.
 func TestDutiesWaitForEveryControllersUpgrade(t *testing.T) {
-	sim := newDutyDeployment(t, 9, spreadDuties)
-	w2 := newSmallDeployment(t, 9)
-	w2.state.KeepLog = true
-	w2.policy = sim.policy
-	for i, n := range w2.nodes {
+	withDuties := newDutyDeployment(t, 9, spreadDuties)
+	sim := newSmallDeployment(t, 9)
+	sim.state.KeepLog = true
+	sim.policy = withDuties.policy
+	for i, n := range sim.nodes {
 		n.crash()
 		n.runsProductionVersion = i == 2
 		n.start()
 	}
-	w2.scheduleArrayJobs(20, 10*model.Second)
-	w2.Run(100 * model.Second)
-	if n := w2.state.KeyCount("duty/") + w2.state.KeyCount("intent/"); n > 0 {
+	sim.scheduleArrayJobs(20, 10*model.Second)
+	sim.Run(100 * model.Second)
+	if n := sim.state.KeyCount("duty/") + sim.state.KeyCount("intent/"); n > 0 {
 		t.Errorf("%d records of duties beside production", n)
 	}
-	if len(w2.cloud.Calls) == 0 {
+	if len(sim.cloud.Calls) == 0 {
 		t.Error("nothing was rented beside production")
 	}
 	// One goes back to production before the last is upgraded.
-	version := func(n *simNode, old bool) {
+	restart := func(n *simNode, production bool) {
 		n.crash()
-		n.runsProductionVersion = old
+		n.runsProductionVersion = production
 		n.start()
 	}
-	version(w2.nodes[1], true)
-	w2.Run(115 * model.Second)
-	version(w2.nodes[2], false)
-	w2.Run(135 * model.Second)
-	if n := w2.state.KeyCount("duty/") + w2.state.KeyCount("intent/"); n > 0 {
+	restart(sim.nodes[1], true)
+	sim.Run(115 * model.Second)
+	restart(sim.nodes[2], false)
+	sim.Run(135 * model.Second)
+	if n := sim.state.KeyCount("duty/") + sim.state.KeyCount("intent/"); n > 0 {
 		t.Errorf("%d records of duties beside one that went back to production", n)
 	}
-	version(w2.nodes[1], false)
-	w2.Run(190 * model.Second)
-	if w2.state.KeyCount("duty/") != len(duty.Movable) {
-		t.Errorf("%d duties are held once all are upgraded", w2.state.KeyCount("duty/"))
+	restart(sim.nodes[1], false)
+	sim.Run(190 * model.Second)
+	if sim.state.KeyCount("duty/") != len(duty.Movable) {
+		t.Errorf("%d duties are held once all are upgraded", sim.state.KeyCount("duty/"))
 	}
-	w2.requireAllEndBy(500 * model.Second)
-	w2.requireInvariants()
+	sim.requireAllEndBy(500 * model.Second)
+	sim.requireInvariants()
 }
 
 // All controllers end at once, in the middle of renting: what was decided is carried out
@@ -377,30 +377,30 @@
 	sim.scheduleArrayJobs(10, 5*model.Second)
 	sim.Run(40 * model.Second)
 	first := sim.dutyHolder(duty.Renting)
-	held := map[string]func(){}
+	delayedWrites := map[string]func(){}
 	for _, n := range sim.nodes {
 		n.intercept = func(m msgCommitted) bool {
-			if n == first || pausePointBefore(m) != beforeLease || m.txn.Then[0].Set != duty.Renting.Key() || held[n.name] != nil {
+			if n == first || pausePointBefore(m) != beforeLease || m.txn.Then[0].Set != duty.Renting.Key() || delayedWrites[n.name] != nil {
 				return false
 			}
-			held[n.name] = func() { n.commit(m) }
+			delayedWrites[n.name] = func() { n.commit(m) }
 			return true
 		}
 	}
 	first.crash()
 	sim.Run(65 * model.Second)
-	if len(held) != 2 {
-		t.Fatalf("%d controllers acquire", len(held))
+	if len(delayedWrites) != 2 {
+		t.Fatalf("%d controllers acquire", len(delayedWrites))
 	}
-	before, rejected := sim.countLeaseWrites(duty.Renting), 0
-	for _, send := range held {
+	writesBefore, rejected := sim.countLeaseWrites(duty.Renting), 0
+	for _, send := range delayedWrites {
 		send()
 	}
 	sim.Run(67 * model.Second)
-	for name := range held {
+	for name := range delayedWrites {
 		rejected += sim.countRejectedWrites(name, duty.Renting.Key())
 	}
-	if n := sim.countLeaseWrites(duty.Renting) - before; n != 1 || rejected == 0 {
+	if n := sim.countLeaseWrites(duty.Renting) - writesBefore; n != 1 || rejected == 0 {
 		t.Errorf("%d acquisitions were accepted, %d rejected", n, rejected)
 	}
 	first.start()
@@ -413,7 +413,7 @@
 func TestDutiesFollowPreferredNodes(t *testing.T) {
 	sim := newDutyDeployment(t, 14, `<duties><duty name="renting"><prefer>node-1</prefer></duty><duty name="returning"><prefer>node-1</prefer></duty>
 		<duty name="cleanup"><prefer>node-1</prefer></duty><settle-s>5</settle-s></duties>`)
-	at := func(want map[duty.Name]string) {
+	checkHolders := func(want map[duty.Name]string) {
 		t.Helper()
 		for name, node := range want {
 			if h := sim.dutyHolder(name); h == nil || h.name != node {
@@ -423,18 +423,18 @@
 	}
 	sim.scheduleArrayJobs(40, 5*model.Second)
 	sim.Run(50 * model.Second)
-	at(map[duty.Name]string{duty.Renting: "node-1", duty.Returning: "node-1", duty.Cleanup: "node-1"})
+	checkHolders(map[duty.Name]string{duty.Renting: "node-1", duty.Returning: "node-1", duty.Cleanup: "node-1"})
 	sim.policy = simDutyPolicy(t, `<duties><duty name="renting"><prefer>node-0</prefer></duty><duty name="returning"><prefer>node-1</prefer></duty>
 		<duty name="cleanup"><prefer>node-2</prefer></duty><settle-s>5</settle-s></duties>`)
 	for i, n := range sim.nodes {
 		sim.After(model.Micros(i)*15*model.Second, func() { n.crash(); n.start() })
 	}
 	sim.Run(130 * model.Second)
-	at(map[duty.Name]string{duty.Renting: "node-0", duty.Returning: "node-1", duty.Cleanup: "node-2"})
+	checkHolders(map[duty.Name]string{duty.Renting: "node-0", duty.Returning: "node-1", duty.Cleanup: "node-2"})
 	sim.nodes[0].crash()
 	sim.nodes[1].crash()
 	sim.Run(160 * model.Second)
-	at(map[duty.Name]string{duty.Renting: "node-2", duty.Returning: "node-2", duty.Cleanup: "node-2"})
+	checkHolders(map[duty.Name]string{duty.Renting: "node-2", duty.Returning: "node-2", duty.Cleanup: "node-2"})
 	sim.nodes[0].start()
 	sim.nodes[1].start()
 	sim.requireAllEndBy(480 * model.Second)
@@ -444,32 +444,32 @@
 // spanParents counts the spans that are recorded meanwhile, by their name and their parent's.
 func countSpansByParent(run func()) map[string]int {
 	exporter := tracetest.NewInMemoryExporter()
-	before := otel.GetTracerProvider()
+	previousProvider := otel.GetTracerProvider()
 	otel.SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter)))
-	defer otel.SetTracerProvider(before)
+	defer otel.SetTracerProvider(previousProvider)
 	run()
 	names := map[trace.SpanID]string{}
 	for _, span := range exporter.GetSpans() {
 		names[span.SpanContext.SpanID()] = span.Name
 	}
-	parents := map[string]int{}
+	counts := map[string]int{}
 	for _, span := range exporter.GetSpans() {
-		parents[span.Name+" of "+names[span.Parent.SpanID()]]++
+		counts[span.Name+" of "+names[span.Parent.SpanID()]]++
 	}
-	return parents
+	return counts
 }
 
 // The leader's decision and the call of the cloud on another controller are one trace.
 func TestIntentTraceAcrossControllers(t *testing.T) {
-	parents := countSpansByParent(func() {
+	spans := countSpansByParent(func() {
 		sim := newDutyDeployment(t, 15, spreadDuties)
 		sim.scheduleArrayJobs(6, 5*model.Second)
 		sim.Run(50 * model.Second)
 		sim.dutyHolder(duty.Renting).crash()
 		sim.Run(80 * model.Second)
 	})
-	if parents["call of intent"] < 2 || parents["acquire of "] < 3 {
-		t.Errorf("spans: %v", parents)
+	if spans["call of intent"] < 2 || spans["acquire of "] < 3 {
+		t.Errorf("spans: %v", spans)
 	}
 }
 
@@ -488,16 +488,16 @@
 	}
 	sim.scheduleArrayJobs(30, 2*model.Second)
 	sim.Run(100 * model.Second)
-	most := sim.state.KeyCount("bound/")
-	var held func()
+	bundlesBefore := sim.state.KeyCount("bound/")
+	var commitLate func()
 	for _, n := range sim.nodes {
 		n.intercept = func(m msgCommitted) bool {
-			if held != nil || pausePointBefore(m) != beforeRemoval {
+			if commitLate != nil || pausePointBefore(m) != beforeRemoval {
 				return false
 			}
-			late := *m.txn
-			held = func() {
-				res, err := sim.state.Commit(n.name, &late)
+			lateTxn := *m.txn
+			commitLate = func() {
+				res, err := sim.state.Commit(n.name, &lateTxn)
 				if err != nil || res.OK {
 					t.Errorf("a late removal was carried out: %+v, %v", res, err)
 				}
@@ -509,13 +509,13 @@
 		}
 	}
 	sim.Run(700 * model.Second)
-	if held == nil {
-		t.Fatalf("nothing was removed; %d bundles", most)
+	if commitLate == nil {
+		t.Fatalf("nothing was removed; %d bundles", bundlesBefore)
 	}
-	if left := sim.state.KeyCount("bound/"); left >= most {
-		t.Errorf("%d bundles at the most, %d are left", most, left)
+	if left := sim.state.KeyCount("bound/"); left >= bundlesBefore {
+		t.Errorf("%d bundles at the most, %d are left", bundlesBefore, left)
 	}
-	held()
+	commitLate()
 	sim.scheduleArrayJobs(10, model.Second)
 	sim.requireAllEndBy(900 * model.Second)
 	sim.checkDuties()
@@ -525,29 +525,29 @@
 // holders, nothing is rented or returned that was not decided, and no rule is broken.
 func TestDutiesUnderRandomFailures(t *testing.T) {
 	t.Parallel()
-	held := 0
+	dutyRecords := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		sim := newDutyDeployment(t, rapid.Uint64().Draw(rt, "seed"), rapid.SampledFrom([]string{spreadDuties, leaderDuties}).Draw(rt, "file"))
-		const calm = 110 * model.Second
+		const faultsEnd = 110 * model.Second
 		sim.scheduleArrayJobs(rapid.IntRange(4, 12).Draw(rt, "jobs"), sim.Between(model.Second, 8*model.Second))
 		sim.duplicateHeartbeatChance = rapid.SampledFrom([]float64{0, 0.1}).Draw(rt, "copies")
 		sim.duplicateRequestChance = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "repeats")
 		for range rapid.IntRange(1, 6).Draw(rt, "faults") {
 			kind := rapid.IntRange(0, faultKinds-1).Draw(rt, "kind")
-			long := sim.Between(model.Second, 30*model.Second)
-			sim.At(sim.Between(5*model.Second, calm-30*model.Second), func() { injectFault(sim, kind, long) })
+			duration := sim.Between(model.Second, 30*model.Second)
+			sim.At(sim.Between(5*model.Second, faultsEnd-30*model.Second), func() { injectFault(sim, kind, duration) })
 		}
 		for range rapid.IntRange(1, 4).Draw(rt, "pauses") {
 			point := pausePoint(rapid.IntRange(0, int(pausePointCount)-1).Draw(rt, "point"))
-			long := sim.Between(2*model.Second, 45*model.Second)
+			duration := sim.Between(2*model.Second, 45*model.Second)
 			n := sim.nodes[rapid.IntRange(0, 2).Draw(rt, "node")]
-			sim.At(sim.Between(8*model.Second, calm-50*model.Second), func() { n.pauseAtNext(point, long) })
+			sim.At(sim.Between(8*model.Second, faultsEnd-50*model.Second), func() { n.pauseAtNext(point, duration) })
 		}
 		if rapid.Bool().Draw(rt, "no cloud") {
 			n := sim.nodes[rapid.IntRange(0, 2).Draw(rt, "without cloud")]
 			sim.At(sim.Between(10*model.Second, 60*model.Second), func() { n.cloudUnavailable = true })
 		}
-		sim.At(calm, func() {
+		sim.At(faultsEnd, func() {
 			(&failureScenario{simDeployment: sim}).endFaults()
 			for _, n := range sim.nodes {
 				n.cloudUnavailable, n.shouldPause = false, nil
@@ -555,34 +555,34 @@
 		})
 		sim.Run(330 * model.Second)
 		sim.invariants.CheckCancelled()
-		if broken := append(sim.invariants.Violations, sim.dutyViolations()...); len(broken) > 0 {
-			rt.Fatalf("%d violations: %v", len(broken), broken[:min(4, len(broken))])
+		if violations := append(sim.invariants.Violations, sim.dutyViolations()...); len(violations) > 0 {
+			rt.Fatalf("%d violations: %v", len(violations), violations[:min(4, len(violations))])
 		}
 		for ref := range sim.invariants.Accepted {
 			if sim.invariants.ReportedEnd(ref) == "" {
 				rt.Fatalf("%s never ended; %s", ref, sim.describe())
 			}
 		}
-		held += sim.state.KeyCount("duty/")
+		dutyRecords += sim.state.KeyCount("duty/")
 	})
-	if held == 0 {
+	if dutyRecords == 0 {
 		t.Error("no duty was ever held")
 	}
 }
 
 // pauseAtNext has the process stand still when it next comes to a point; at no point: now.
-func (n *simNode) pauseAtNext(point pausePoint, long model.Micros) {
+func (n *simNode) pauseAtNext(point pausePoint, duration model.Micros) {
 	switch {
 	case !n.alive || n.paused:
 	case point == noPausePoint:
-		n.pauseFor(long)
+		n.pauseFor(duration)
 	default:
 		n.shouldPause = func(at pausePoint) bool {
 			if at != point {
 				return false
 			}
 			n.shouldPause = nil
-			n.resumeAfter(long)
+			n.resumeAfter(duration)
 			return true
 		}
 	}
@@ -609,13 +609,13 @@
 	decided, outcomes := map[string]model.Micros{}, 0
 	for _, write := range sim.state.Log {
 		for _, op := range write.Txn.Then {
-			r, ok := op.Value.(duty.Rental)
-			switch at, known := decided[r.Request]; {
+			rental, ok := op.Value.(duty.Rental)
+			switch decidedAt, known := decided[rental.Request]; {
 			case !ok || len(write.Rejected) > 0:
 			case !known:
-				decided[r.Request] = write.At
-			case write.At-at > 4*model.Second:
-				t.Errorf("%s was decided at %.1f s and answered at %.1f s", r.Request, at.Seconds(), write.At.Seconds())
+				decided[rental.Request] = write.At
+			case write.At-decidedAt > 4*model.Second:
+				t.Errorf("%s was decided at %.1f s and answered at %.1f s", rental.Request, decidedAt.Seconds(), write.At.Seconds())
 			default:
 				outcomes++
 			}
--- a/internal/controller/edge_case_requests_test.go
+++ b/internal/controller/edge_case_requests_test.go
@@ -9,13 +9,13 @@
 
 // oddRequest is one that a user should not make, and the code that answers it.
 type edgeCaseRequest struct {
-	name string
-	msg  func(chan<- userapi.Answer) any
-	code int
+	name       string
+	newMessage func(chan<- userapi.Answer) any
+	wantCode   int
 }
 
 // oddRequests are such requests, some about a job that is done and one that is withdrawn.
-func edgeCaseRequests(done, withdrawn *user) []edgeCaseRequest {
+func edgeCaseRequests(done, cancelled *user) []edgeCaseRequest {
 	return []edgeCaseRequest{
 		{"unknown team", submitModified(func(s *model.Submission) { s.Team = "nobody" }), 422},
 		{"too large for a machine", submitModified(func(s *model.Submission) { s.Cores = 1000 }), 422},
@@ -29,21 +29,21 @@
 		{"cancelling one never submitted", func(r chan<- userapi.Answer) any { return msgCancel{"j-000999", r} }, 404},
 		{"cancelling a done job", func(r chan<- userapi.Answer) any { return msgCancel{done.submission.ID, r} }, 200},
 		{"repeating a done job, altered", submitModified(func(s *model.Submission) { s.ID, s.Team = done.submission.ID, "nobody" }), 200},
-		{"repeating a withdrawn job", submitModified(func(s *model.Submission) { s.ID = withdrawn.submission.ID }), 200},
+		{"repeating a withdrawn job", submitModified(func(s *model.Submission) { s.ID = cancelled.submission.ID }), 200},
 	}
 }
 
 // submitChanged submits an ordinary job with a change.
-func submitModified(change func(s *model.Submission)) func(chan<- userapi.Answer) any {
+func submitModified(modify func(s *model.Submission)) func(chan<- userapi.Answer) any {
 	s := arrayJob(900, 1, 5)
-	change(s)
+	modify(s)
 	return func(r chan<- userapi.Answer) any { return msgSubmit{s.ID, s, nil, r} }
 }
 
 // answer asks a node and gives its answer after two seconds, with code 0 if there is none.
-func (sc *failureScenario) requestAndWait(n *simNode, msg func(chan<- userapi.Answer) any) userapi.Answer {
+func (sc *failureScenario) requestAndWait(n *simNode, newMessage func(chan<- userapi.Answer) any) userapi.Answer {
 	var got userapi.Answer
-	sc.sendUserRequest(n, 2*model.Second, msg, func(a userapi.Answer) { got = a })
+	sc.sendUserRequest(n, 2*model.Second, newMessage, func(a userapi.Answer) { got = a })
 	sc.Run(sc.Now + 2*model.Second)
 	return got
 }
@@ -51,41 +51,41 @@
 // Odd requests get the answers that are published, on every node, and 503 where it can't
 // be known; none of them costs a write.
 func TestEdgeCaseRequests(t *testing.T) {
-	m := newFailureScenario(t, scenarioWorkerTimes[0], 77)
-	done, gone := m.submitArray(1, 2), m.submitArray(1, 300)
-	m.runUntil(60*model.Second, "one is done", func() bool { return m.invariants.ReportedEnd(done.submission.ID) == "done" })
-	gone.cancel(nil)
-	m.waitForCancelled(10*model.Second, gone)
-	m.Run(m.Now + 20*model.Second)
-	cases := edgeCaseRequests(done, gone)
+	sc := newFailureScenario(t, scenarioWorkerTimes[0], 77)
+	done, cancelled := sc.submitArray(1, 2), sc.submitArray(1, 300)
+	sc.runUntil(60*model.Second, "one is done", func() bool { return sc.invariants.ReportedEnd(done.submission.ID) == "done" })
+	cancelled.cancel(nil)
+	sc.waitForCancelled(10*model.Second, cancelled)
+	sc.Run(sc.Now + 20*model.Second)
+	requests := edgeCaseRequests(done, cancelled)
 	writes := 0
-	for _, n := range m.nodes {
-		n.intercept = func(c msgCommitted) bool {
-			if c.lane >= laneUsers {
+	for _, n := range sc.nodes {
+		n.intercept = func(m msgCommitted) bool {
+			if m.lane >= laneUsers {
 				writes++
 			}
 			return false
 		}
 	}
-	for _, c := range cases {
-		for _, n := range m.nodes {
-			if a := m.requestAndWait(n, c.msg); a.Code != c.code {
-				t.Errorf("%s: %s answers %d %s, want %d", c.name, n.name, a.Code, a.Body, c.code)
+	for _, request := range requests {
+		for _, n := range sc.nodes {
+			if a := sc.requestAndWait(n, request.newMessage); a.Code != request.wantCode {
+				t.Errorf("%s: %s answers %d %s, want %d", request.name, n.name, a.Code, a.Body, request.wantCode)
 			}
 		}
 	}
 	if writes != 0 {
 		t.Errorf("odd requests cost %d transactions", writes)
 	}
-	m.state.SetOutage(true)
-	m.Run(m.Now + 3*model.Second)
-	for _, c := range cases {
-		for _, n := range m.nodes {
-			a := m.requestAndWait(n, c.msg)
-			if ended := c.code == 200; ended != (a.Code == 200) || !ended && (a.Code != 503 || a.RetryAfter == 0) {
-				t.Errorf("%s, in an outage: %s answers %d %s", c.name, n.name, a.Code, a.Body)
+	sc.state.SetOutage(true)
+	sc.Run(sc.Now + 3*model.Second)
+	for _, request := range requests {
+		for _, n := range sc.nodes {
+			a := sc.requestAndWait(n, request.newMessage)
+			if ended := request.wantCode == 200; ended != (a.Code == 200) || !ended && (a.Code != 503 || a.RetryAfter == 0) {
+				t.Errorf("%s, in an outage: %s answers %d %s", request.name, n.name, a.Code, a.Body)
 			}
 		}
 	}
-	m.requireInvariants()
+	sc.requireInvariants()
 }
--- a/internal/controller/failing_jobs_test.go
+++ b/internal/controller/failing_jobs_test.go
@@ -9,18 +9,18 @@
 // watchQuarantine collects the machines that are ever quarantined from now on.
 func (sim *simDeployment) recordQuarantinedMachines() map[string]bool {
 	quarantined := map[string]bool{}
-	var watch func()
-	watch = func() {
-		if l := sim.leader(); l != nil && l.ctl.leading != nil && l.ctl.leading.shard != nil {
-			for _, m := range l.ctl.leading.shard.Machines {
+	var check func()
+	check = func() {
+		if leader := sim.leader(); leader != nil && leader.ctl.leading != nil && leader.ctl.leading.shard != nil {
+			for _, m := range leader.ctl.leading.shard.Machines {
 				if m.Quarantined {
 					quarantined[m.ID] = true
 				}
 			}
 		}
-		sim.After(model.Second/2, watch)
+		sim.After(model.Second/2, check)
 	}
-	sim.After(0, watch)
+	sim.After(0, check)
 	return quarantined
 }
 
@@ -40,7 +40,7 @@
 func TestJobThatFailsOnEveryMachine(t *testing.T) {
 	sim := newSmallDeployment(t, 41)
 	sim.invariants.FailingJobs = map[string]bool{}
-	var healthy, mistaken []*user
+	var healthy, failing []*user
 	for i := range 4 {
 		healthy = append(healthy, sim.submit(arrayJob(i, 8, 20), 0))
 	}
@@ -51,9 +51,9 @@
 		})
 	}
 	for i := range 2 {
-		sub := arrayJob(10+i, 16, 20)
-		sim.invariants.FailingJobs[sub.ID] = true
-		mistaken = append(mistaken, sim.submit(sub, 0))
+		submission := arrayJob(10+i, 16, 20)
+		sim.invariants.FailingJobs[submission.ID] = true
+		failing = append(failing, sim.submit(submission, 0))
 	}
 	quarantined := sim.recordQuarantinedMachines()
 	sim.Run(60 * model.Second)
@@ -67,23 +67,23 @@
 			t.Errorf("%s beside jobs that fail everywhere: %q", u.submission.ID, u.reportedEnd)
 		}
 	}
-	l := sim.leader()
-	if l == nil {
+	leader := sim.leader()
+	if leader == nil {
 		t.Fatal("nobody leads")
 	}
-	for _, u := range mistaken {
-		u.requireUnfinished(l)
+	for _, u := range failing {
+		u.requireUnfinished(leader)
 	}
 	// Without backoff each of the 32 tasks would be tried every few seconds for
 	// four minutes, some thousands of tries.
 	if n := sim.invariants.FailingJobAttempts; n > maxFailingJobAttempts {
 		t.Errorf("%d tries of tasks that fail everywhere, more than %d", n, maxFailingJobAttempts)
 	}
-	for _, u := range mistaken {
+	for _, u := range failing {
 		u.cancel(nil)
 	}
 	sim.runUntil(60*model.Second, "the mistaken jobs are withdrawn", func() bool {
-		return mistaken[0].reportedEnd == "withdrawn" && mistaken[1].reportedEnd == "withdrawn"
+		return failing[0].reportedEnd == "withdrawn" && failing[1].reportedEnd == "withdrawn"
 	})
 	sim.requireInvariants()
 }
--- a/internal/controller/guest_team_test.go
+++ b/internal/controller/guest_team_test.go
@@ -26,20 +26,20 @@
 
 // begins notes when the first task of each job was first seen running by the leader.
 func (sim *simDeployment) recordStartTimes() map[string]model.Micros {
-	began := map[string]model.Micros{}
-	var look func()
-	look = func() {
-		if l := sim.leader(); l != nil && l.ctl.leading.ready {
-			for ref, js := range l.ctl.leading.shard.Jobs {
-				if js.HasRun && began[ref] == 0 {
-					began[ref] = sim.Now
+	startTimes := map[string]model.Micros{}
+	var check func()
+	check = func() {
+		if leader := sim.leader(); leader != nil && leader.ctl.leading.ready {
+			for ref, job := range leader.ctl.leading.shard.Jobs {
+				if job.HasRun && startTimes[ref] == 0 {
+					startTimes[ref] = sim.Now
 				}
 			}
 		}
-		sim.After(model.Second/2, look)
+		sim.After(model.Second/2, check)
 	}
-	sim.After(0, look)
-	return began
+	sim.After(0, check)
+	return startTimes
 }
 
 // A guest team without a guarantee comes with one huge sweep, many tiny probes and a class
@@ -50,12 +50,12 @@
 func TestGuestTeamWithLargeSweep(t *testing.T) {
 	sim := newDeployment(t, 81, guestSettings, map[string]int{"small/a/false": 4, "small/b/false": 4})
 	sim.waitForLeader(10 * model.Second)
-	began := sim.recordStartTimes()
+	startTimes := sim.recordStartTimes()
 	submitted := map[string]model.Micros{}
-	submit := func(after model.Micros, sub *model.Submission, us *[]*user) {
-		sim.At(sim.Now+after, func() {
-			submitted[sub.ID] = sim.Now
-			*us = append(*us, sim.submit(sub, 0))
+	submit := func(delay model.Micros, submission *model.Submission, jobs *[]*user) {
+		sim.At(sim.Now+delay, func() {
+			submitted[submission.ID] = sim.Now
+			*jobs = append(*jobs, sim.submit(submission, 0))
 		})
 	}
 	var guests, guaranteed []*user
@@ -74,7 +74,7 @@
 
 	late := 0
 	for _, u := range guaranteed {
-		if at := began[u.submission.ID]; at == 0 || at-submitted[u.submission.ID] > 30*model.Second {
+		if at := startTimes[u.submission.ID]; at == 0 || at-submitted[u.submission.ID] > 30*model.Second {
 			late++
 		}
 		if u.reportedEnd != "done" {
@@ -86,7 +86,7 @@
 	}
 	for _, u := range guests {
 		ref := u.submission.ID
-		if at := began[ref]; at == 0 || at-submitted[ref] > 240*model.Second {
+		if at := startTimes[ref]; at == 0 || at-submitted[ref] > 240*model.Second {
 			t.Errorf("%s of the guest, submitted at %.0f s, began at %.0f s", ref, submitted[ref].Seconds(), at.Seconds())
 		}
 	}
