--- a/internal/controller/duties_bench_test.go
+++ b/internal/controller/duties_bench_test.go
@@ -12,30 +12,33 @@
 	"woadweir/internal/state"
 )
 
-// handOvers is how many losses of a holder are measured with each number of controllers.
+// holderFailureCount is the number of failures of a holder that are measured with each number
+// of controllers.
 const holderFailureCount = 120
 
-// loss is a way in which a holder loses its duties.
+// holderFailure is a kind of failure by which a holder loses its duties.
 type holderFailure struct {
-	name string
-	// strike begins it, and end ends it.
-	inject, restore func(*simNode)
+	name    string
+	inject  func(*simNode)
+	restore func(*simNode) // ends the failure
 }
 
+// holderFailures returns the failures in the order in which they are injected.
 func holderFailures() []holderFailure {
 	pause := func(duration model.Micros) holderFailure {
 		return holderFailure{fmt.Sprintf("paused %2.0f s", duration.Seconds()), func(n *simNode) { n.pauseFor(duration) }, func(*simNode) {}}
 	}
 	return []holderFailure{
 		pause(5 * model.Second), pause(12 * model.Second), pause(40 * model.Second),
-		{"ends, back in 20 s", func(n *simNode) { n.crash(); n.sim.After(20*model.Second, n.start) }, func(*simNode) {}},
-		{"ends, back in 0.2 s", func(n *simNode) { n.crash(); n.sim.After(200*model.Millisecond, n.start) }, func(*simNode) {}},
+		{"restart after 20 s", func(n *simNode) { n.crash(); n.sim.After(20*model.Second, n.start) }, func(*simNode) {}},
+		{"restart after 0.2 s", func(n *simNode) { n.crash(); n.sim.After(200*model.Millisecond, n.start) }, func(*simNode) {}},
 		{"no state service", func(n *simNode) { n.setStateLink(linkDropping) }, func(n *simNode) { n.setStateLink(linkOpen) }},
 		{"no cloud", func(n *simNode) { n.cloudUnavailable = true }, func(n *simNode) { n.cloudUnavailable = false }},
 	}
 }
 
-// severalControllers is a small deployment with more than three controllers.
+// newDeploymentWithControllers returns a small deployment with the given number of controllers,
+// three or more.
 func newDeploymentWithControllers(b *testing.B, seed uint64, controllers int, policy func(string) *duty.Policy) *simDeployment {
 	names := make([]string, controllers)
 	for i := range names {
@@ -63,15 +66,16 @@
 	return sim
 }
 
-// measured is what a run of hand-overs has shown.
+// handOverResults are the measurements of a run with repeated failures of the holder.
 type handOverResults struct {
-	withoutHolderMs map[string]*hdrhistogram.Histogram // time without an able holder, ms, by loss
-	keptByHolder    map[string]int                     // losses that the holder outlived
+	withoutHolderMs map[string]*hdrhistogram.Histogram // time without a holder that can perform the duty, by failure
+	keptByHolder    map[string]int                     // failures after which the holder kept the duty
 	rejectedWrites  int
 	violations      []string
 }
 
-// measureHandOvers has the holder of renting fail again and again.
+// measureHandOvers makes the holder of renting fail repeatedly and measures the time until
+// another lease is written.
 func measureHandOvers(sim *simDeployment) handOverResults {
 	results := handOverResults{withoutHolderMs: map[string]*hdrhistogram.Histogram{}, keptByHolder: map[string]int{}}
 	failures := holderFailures()
@@ -110,7 +114,7 @@
 	return results
 }
 
-// fenced tells whether a write is one of duties.
+// writesDutyRecord reports whether a transaction writes a duty's lease or an intent.
 func writesDutyRecord(txn *state.Txn) bool {
 	for _, op := range txn.Then {
 		switch op.Value.(type) {
@@ -121,7 +125,8 @@
 	return false
 }
 
-// changesPerSecond is how many changes a quiet world asks of the state service.
+// requestedWritesPerSecond returns the number of writes per second that a deployment without
+// faults requests from the state service.
 func requestedWritesPerSecond(b *testing.B, policy func(string) *duty.Policy) float64 {
 	sim := newDeploymentWithControllers(b, 3, 3, policy)
 	sim.scheduleArrayJobs(60, 4*model.Second)
@@ -130,7 +135,7 @@
 }
 
 // BenchmarkDutyHandOver measures, in simulated time, how long renting is without a holder
-// that can perform it. It is a measurement, not a part of CI:
+// that can perform it. CI does not run it:
 //
 //	go test -run '^$' -bench DutyHandOver -benchtime 1x ./internal/controller
 func BenchmarkDutyHandOver(b *testing.B) {
@@ -139,7 +144,7 @@
 		b.Fatal(err)
 	}
 	spread := func(string) *duty.Policy { return policy }
-	b.Logf("simulated; changes a second at the state service, 3 controllers: %.2f without the file, %.2f with the leader's duties, %.2f spread",
+	b.Logf("simulated; requested writes per second at the state service, 3 controllers: %.2f without a duties file, %.2f with duties on the leader, %.2f with duties spread",
 		requestedWritesPerSecond(b, nil), requestedWritesPerSecond(b, func(string) *duty.Policy { return duty.LeaderOnly() }), requestedWritesPerSecond(b, spread))
 	for _, controllers := range []int{3, 5, 9} {
 		b.Run(fmt.Sprint(controllers), func(b *testing.B) { reportHandOvers(b, controllers, spread) })
@@ -153,7 +158,7 @@
 		sim.nodes[0].ctl.authority.Times.TTL.Seconds(), results.rejectedWrites, len(results.violations))
 	for _, failure := range holderFailures() {
 		histogram := results.withoutHolderMs[failure.name]
-		b.Logf("simulated; %d controllers, %-19s: %3d hand-overs, ms without holder: median %d, 0.9 %d, most %d; outlived %d", controllers, failure.name,
+		b.Logf("simulated; %d controllers, %-19s: %3d hand-overs, ms without holder: median %d, p90 %d, max %d; kept by the holder %d", controllers, failure.name,
 			histogram.TotalCount(), histogram.ValueAtQuantile(50), histogram.ValueAtQuantile(90), histogram.Max(), results.keptByHolder[failure.name])
 	}
 	if len(results.violations) > 0 {
--- a/internal/controller/duties_test.go
+++ b/internal/controller/duties_test.go
@@ -25,6 +25,8 @@
 
 const leaderDuties = `<duties/>`
 
+// simDutyPolicy returns the same policy, parsed from the text of a duties file, for every
+// controller of a simulated deployment.
 func simDutyPolicy(t *testing.T, file string) func(string) *duty.Policy {
 	return func(string) *duty.Policy {
 		policy, err := duty.ParseSettings([]byte(file), []string{"node-0", "node-1", "node-2"}, 60*model.Second)
@@ -35,7 +37,8 @@
 	}
 }
 
-// newDutyWorld is a small deployment with a duties file, whose stand-ins keep logs.
+// newDutyDeployment returns a small deployment with a duties file. Its simulated state service
+// and cloud keep logs.
 func newDutyDeployment(t *testing.T, seed uint64, file string) *simDeployment {
 	sim := newSmallDeployment(t, seed)
 	sim.state.KeepLog = true
@@ -47,7 +50,8 @@
 	return sim
 }
 
-// holderOf is the node that the state service's records name for a duty.
+// dutyHolder returns the node that the state service records as the holder of a duty, nil if
+// there is none.
 func (sim *simDeployment) dutyHolder(name duty.Name) *simNode {
 	entry, err := sim.state.Get("", name.Key())
 	if err != nil {
@@ -60,12 +64,14 @@
 	return sim.nodes[slices.Index(sim.Nodes(), lease.Holder)]
 }
 
-// dutyHistory judges the logs of the stand-ins.
+// dutyViolations returns the violations of the duty invariants in the logs of the state
+// service and the cloud.
 func (sim *simDeployment) dutyViolations() []string {
 	return standin.CheckDuties(sim.state.Log, sim.cloud.Calls).Violations
 }
 
-func (sim *simDeployment) checkDuties() {
+// requireDutyInvariants fails the test if a general or a duty invariant is violated.
+func (sim *simDeployment) requireDutyInvariants() {
 	sim.t.Helper()
 	sim.requireInvariants()
 	if violations := sim.dutyViolations(); len(violations) > 0 {
@@ -73,8 +79,8 @@
 	}
 }
 
-// rejected counts the rejected writes of a node that were guarded by a key with that
-// prefix which failed.
+// countRejectedWrites counts the writes of a node that were rejected because of a condition
+// on a key with the prefix.
 func (sim *simDeployment) countRejectedWrites(node, prefix string) (n int) {
 	for _, write := range sim.state.Log {
 		if write.Node == node && slices.ContainsFunc(write.Rejected, func(key string) bool { return strings.HasPrefix(key, prefix) }) {
@@ -84,49 +90,51 @@
 	return n
 }
 
-// somework keeps machines being rented and returned.
+// scheduleArrayJobs submits array jobs at a fixed interval, so that machines are rented and
+// returned.
 func (sim *simDeployment) scheduleArrayJobs(jobs int, interval model.Micros) {
 	for i := range jobs {
 		sim.At(sim.Now+model.Micros(i)*interval, func() { sim.submit(arrayJob(i, 6, 6), 0) })
 	}
 }
 
-// endAll lets time pass until every accepted job has ended.
+// requireAllEndBy runs the simulation up to the deadline and checks that every accepted job
+// has ended.
 func (sim *simDeployment) requireAllEndBy(deadline model.Micros) {
 	sim.t.Helper()
 	sim.Run(deadline)
 	for ref := range sim.invariants.Accepted {
 		if sim.invariants.ReportedEnd(ref) == "" {
-			sim.t.Errorf("%s never ended; %s", ref, sim.describe())
+			sim.t.Errorf("%s has not ended; %s", ref, sim.describe())
 		}
 	}
 	if len(sim.invariants.Accepted) == 0 {
-		sim.t.Error("nothing was accepted")
+		sim.t.Error("no job was accepted")
 	}
 }
 
-// Duties that are spread are held by others than the leader, work runs, machines come
-// and go, and the cloud hears of them from the holders alone.
+// With duties spread, controllers other than the leader hold them, jobs run, machines are
+// rented and returned, and only the holders call the cloud to do so.
 func TestDutiesSpread(t *testing.T) {
 	sim := newDutyDeployment(t, 5, spreadDuties)
 	sim.scheduleArrayJobs(8, 15*model.Second)
 	sim.Run(60 * model.Second)
 	for _, name := range []duty.Name{duty.Renting, duty.Returning} {
 		if h := sim.dutyHolder(name); h == nil || h == sim.leader() {
-			t.Errorf("%s is at %v", name, h)
+			t.Errorf("%s is held by %v, want a controller other than the leader", name, h)
 		}
 	}
 	sim.requireAllEndBy(400 * model.Second)
-	sim.checkDuties()
+	sim.requireDutyInvariants()
 	if n := sim.cloud.RentedCount(); n > 3 {
-		t.Errorf("%d machines are still rented", n)
+		t.Errorf("%d machines are still rented, want at most 3", n)
 	}
 	if len(sim.cloud.Calls) < 4 {
-		t.Errorf("%d calls of the cloud", len(sim.cloud.Calls))
+		t.Errorf("%d calls to the cloud, want at least 4", len(sim.cloud.Calls))
 	}
 }
 
-// Without the file nothing of duties is written by any controller.
+// Without a duties file no controller writes records of duties or intents.
 func TestNoDutiesFile(t *testing.T) {
 	sim := newSmallDeployment(t, 5)
 	sim.state.KeepLog = true
@@ -140,15 +148,14 @@
 		}
 		for _, word := range []string{`"duty/`, `"intent/`, `"duties"`, `"drop"`} {
 			if strings.Contains(string(raw), word) {
-				t.Fatalf("%s in %s", word, raw)
+				t.Fatalf("a transaction contains %s: %s", word, raw)
 			}
 		}
 	}
 }
 
-// A holder that stands still past its lease, at whichever point, and goes on: its writes
-// are refused by the state service, and nothing is rented or returned that was not
-// decided once.
+// A holder that is paused for longer than its lease, at any point, has its writes rejected by
+// the state service when it resumes. Everything that is rented or returned was decided once.
 func TestDutyHolderPausedPastItsLease(t *testing.T) {
 	t.Parallel()
 	for point := beforeLease; point < pausePointCount; point++ {
@@ -168,13 +175,13 @@
 				}
 			}
 			if point == beforeHandOver || point == beforeLease || point == leaseAnswer {
-				// Something has to change hands.
+				// These points are reached only when a duty changes holders.
 				sim.At(70*model.Second, func() { sim.dutyHolder(duty.Renting).cloudUnavailable = true })
 				sim.At(75*model.Second, func() { sim.dutyHolder(duty.Returning).crash() })
 			}
 			sim.Run(140 * model.Second)
 			if paused == nil && point != beforeRemoval {
-				t.Errorf("point %d, seed %d: nobody came there", point, seed)
+				t.Errorf("point %d, seed %d: no controller reached the pause point", point, seed)
 			}
 			for _, n := range sim.nodes {
 				n.cloudUnavailable = false
@@ -183,16 +190,16 @@
 				}
 			}
 			sim.requireAllEndBy(420 * model.Second)
-			sim.checkDuties()
+			sim.requireDutyInvariants()
 			if prefix := guardPrefixAt(point); paused != nil && prefix != "" && sim.countRejectedWrites(paused.name, prefix) == 0 {
-				t.Errorf("point %d, seed %d: no write of %s was rejected for %s", point, seed, paused.name, prefix)
+				t.Errorf("point %d, seed %d: no write of %s was rejected because of a condition on %s", point, seed, paused.name, prefix)
 			}
 		}
 	}
 }
 
-// guardAt is what refuses the write that a process sends on waking, "" if it has none to
-// send.
+// guardPrefixAt returns the prefix of the key whose condition rejects the write that a
+// controller sends when it resumes from a pause at the point, "" if it sends none.
 func guardPrefixAt(point pausePoint) string {
 	switch point {
 	case beforeIntent:
@@ -203,8 +210,9 @@
 	return ""
 }
 
-// A holder that the cloud does not answer hands over, and says why; it does not get the
-// duty back while it is avoided. When the cloud answers nobody, the duty stays.
+// A holder that gets no answer from the cloud hands the duty over and records the reason. It
+// does not get the duty back while it is avoided. When the cloud answers no controller, the
+// duty stays where it is.
 func TestDutyHolderWithoutCloud(t *testing.T) {
 	sim := newDutyDeployment(t, 7, spreadDuties)
 	sim.scheduleArrayJobs(30, 5*model.Second)
@@ -214,15 +222,15 @@
 	sim.Run(95 * model.Second)
 	second := sim.dutyHolder(duty.Renting)
 	if second == first {
-		t.Fatal("the duty stays with a holder that can't perform it")
+		t.Fatal("renting stays with a holder that can't reach the cloud")
 	}
 	if lease := second.ctl.view.Duties[duty.Renting]; lease.Why != duty.ReasonNoCloud || lease.Previous != first.name {
-		t.Errorf("lease %+v", lease)
+		t.Errorf("lease %+v, want reason %q and previous holder %s", lease, duty.ReasonNoCloud, first.name)
 	}
 	first.cloudUnavailable = false
 	sim.Run(110 * model.Second)
 	if sim.dutyHolder(duty.Renting) == first {
-		t.Error("the duty came back at once")
+		t.Error("renting went back to its former holder while that holder is avoided")
 	}
 	for _, n := range sim.nodes {
 		n.cloudUnavailable = true
@@ -230,31 +238,32 @@
 	writesBefore := sim.countLeaseWrites(duty.Renting)
 	sim.Run(150 * model.Second)
 	if writes := sim.countLeaseWrites(duty.Renting) - writesBefore; writes > 2 {
-		t.Errorf("%d moves while the cloud answers nobody", writes)
+		t.Errorf("%d lease writes while the cloud answers no controller, want at most 2", writes)
 	}
 	for _, n := range sim.nodes {
 		n.cloudUnavailable = false
 	}
 	sim.requireAllEndBy(500 * model.Second)
-	sim.checkDuties()
+	sim.requireDutyInvariants()
 }
 
-// A cloud that is asked too often, or has no capacity, does answer.
+// Errors by which the cloud says that it is called too often or has no capacity count as
+// answers.
 func TestBusyCloudCountsAsReachable(t *testing.T) {
 	sim := newDutyDeployment(t, 17, spreadDuties)
 	sim.Run(20 * model.Second)
 	duties := sim.nodes[0].ctl.duties
 	for _, err := range []error{cloud.ErrBusy, cloud.ErrNoCapacity, nil} {
 		if duties.cloudAnswered(cloud.ErrUnavailable); duties.cloudFailingSince == 0 {
-			t.Error("trouble is no answer")
+			t.Errorf("%v counts as an answer of the cloud", cloud.ErrUnavailable)
 		}
 		if duties.cloudAnswered(err); duties.cloudFailingSince != 0 {
-			t.Errorf("%v is an answer", err)
+			t.Errorf("%v does not count as an answer of the cloud", err)
 		}
 	}
 }
 
-// leaseWrites counts the accepted writes of a duty's lease.
+// countLeaseWrites counts the accepted writes of a duty's lease.
 func (sim *simDeployment) countLeaseWrites(name duty.Name) (n int) {
 	for _, write := range sim.state.Log {
 		for _, op := range write.Txn.Then {
@@ -266,8 +275,9 @@
 	return n
 }
 
-// A holder that loses the state service stands down by itself; another takes the duty,
-// and the former one comes back without taking what has moved.
+// A holder that loses the connection to the state service stops holding its duties by itself.
+// Another controller takes renting over, and the former holder does not take it back when
+// it is connected again.
 func TestDutyHolderWithoutStateService(t *testing.T) {
 	for _, link := range []int{linkDropping, linkRefusing} {
 		sim := newDutyDeployment(t, 8, spreadDuties)
@@ -278,27 +288,27 @@
 		first.setStateLink(link)
 		sim.Run(85 * model.Second)
 		if n := len(first.ctl.duties.held); n != 0 {
-			t.Errorf("cut %d: it still holds %d duties", link, n)
+			t.Errorf("link state %d: the disconnected holder still holds %d duties", link, n)
 		}
 		second := sim.dutyHolder(duty.Renting)
 		if second == nil || second == first {
-			t.Fatalf("cut %d: nobody took over", link)
+			t.Fatalf("link state %d: no other controller took over renting", link)
 		}
 		first.setStateLink(linkOpen)
 		sim.Run(88 * model.Second)
 		if sim.dutyHolder(duty.Renting) != second || first.ctl.duties.held[duty.Renting] != 0 {
-			t.Errorf("cut %d: the duty came back at once", link)
+			t.Errorf("link state %d: the former holder took renting back when it was connected again", link)
 		}
 		sim.requireAllEndBy(420 * model.Second)
-		sim.checkDuties()
+		sim.requireDutyInvariants()
 		if now := sim.dutyHolder(duty.Renting).ctl.duties.held[duty.Renting]; now <= token {
-			t.Errorf("cut %d: token %d after %d", link, now, token)
+			t.Errorf("link state %d: fencing token %d, want one above %d", link, now, token)
 		}
 	}
 }
 
-// While any controller may run the version in production, the leader does everything
-// itself and no record of duties is written; once none does, duties spread.
+// While any controller may run the version in production, the leader performs all duties
+// itself and no record of duties is written. Once no controller does, duties are spread.
 func TestDutiesWaitForEveryControllersUpgrade(t *testing.T) {
 	withDuties := newDutyDeployment(t, 9, spreadDuties)
 	sim := newSmallDeployment(t, 9)
@@ -312,12 +322,12 @@
 	sim.scheduleArrayJobs(20, 10*model.Second)
 	sim.Run(100 * model.Second)
 	if n := sim.state.KeyCount("duty/") + sim.state.KeyCount("intent/"); n > 0 {
-		t.Errorf("%d records of duties beside production", n)
+		t.Errorf("%d records of duties while a controller runs the production version, want none", n)
 	}
 	if len(sim.cloud.Calls) == 0 {
-		t.Error("nothing was rented beside production")
+		t.Error("nothing was rented while a controller runs the production version")
 	}
-	// One goes back to production before the last is upgraded.
+	// One controller is rolled back to production before the last one is upgraded.
 	restart := func(n *simNode, production bool) {
 		n.crash()
 		n.runsProductionVersion = production
@@ -328,20 +338,20 @@
 	restart(sim.nodes[2], false)
 	sim.Run(135 * model.Second)
 	if n := sim.state.KeyCount("duty/") + sim.state.KeyCount("intent/"); n > 0 {
-		t.Errorf("%d records of duties beside one that went back to production", n)
+		t.Errorf("%d records of duties while a rolled-back controller runs the production version, want none", n)
 	}
 	restart(sim.nodes[1], false)
 	sim.Run(190 * model.Second)
 	if sim.state.KeyCount("duty/") != len(duty.Movable) {
-		t.Errorf("%d duties are held once all are upgraded", sim.state.KeyCount("duty/"))
+		t.Errorf("%d duties are held once all controllers are upgraded, want %d", sim.state.KeyCount("duty/"), len(duty.Movable))
 	}
 	sim.requireAllEndBy(500 * model.Second)
 	sim.requireInvariants()
 }
 
-// All controllers end at once, in the middle of renting: what was decided is carried out
-// once, by whoever comes back.
-func TestAllControllersEndWhileRenting(t *testing.T) {
+// All controllers crash at once while machines are being rented. Every decision to rent is
+// carried out once, by whichever controllers come back.
+func TestAllControllersCrashWhileRenting(t *testing.T) {
 	for seed := range uint64(6) {
 		sim := newDutyDeployment(t, 20+seed, spreadDuties)
 		sim.scheduleArrayJobs(12, 6*model.Second)
@@ -350,11 +360,12 @@
 			n.crashFor(model.Micros(i)*900*model.Millisecond + sim.Between(50*model.Millisecond, 2*model.Second))
 		}
 		sim.requireAllEndBy(360 * model.Second)
-		sim.checkDuties()
+		sim.requireDutyInvariants()
 	}
 }
 
-// A leader that starts without the file where duties are in use goes on through intents.
+// A leader that starts without a duties file keeps renting and returning machines through
+// intents if the state service has records of duties.
 func TestLeaderWithoutDutiesFileUsesIntents(t *testing.T) {
 	sim := newDutyDeployment(t, 11, spreadDuties)
 	sim.scheduleArrayJobs(14, 8*model.Second)
@@ -364,14 +375,14 @@
 		sim.After(model.Micros(i)*20*model.Second, func() { n.crash(); n.start() })
 	}
 	sim.requireAllEndBy(400 * model.Second)
-	sim.checkDuties()
+	sim.requireDutyInvariants()
 	if h := sim.dutyHolder(duty.Renting); h == nil || h != sim.leader() {
-		t.Error("without the file the leader holds the duties")
+		t.Error("renting is not held by the leader, although there is no duties file")
 	}
 }
 
-// Two controllers that acquire a duty at the same time: one gets it, the other's write
-// stands in the log of rejected ones.
+// When two controllers acquire a duty at the same time, one gets it, and the write of the
+// other is logged as rejected.
 func TestConcurrentDutyAcquisition(t *testing.T) {
 	sim := newDutyDeployment(t, 13, spreadDuties)
 	sim.scheduleArrayJobs(10, 5*model.Second)
@@ -390,7 +401,7 @@
 	first.crash()
 	sim.Run(65 * model.Second)
 	if len(delayedWrites) != 2 {
-		t.Fatalf("%d controllers acquire", len(delayedWrites))
+		t.Fatalf("%d controllers try to acquire renting, want 2", len(delayedWrites))
 	}
 	writesBefore, rejected := sim.countLeaseWrites(duty.Renting), 0
 	for _, send := range delayedWrites {
@@ -401,15 +412,15 @@
 		rejected += sim.countRejectedWrites(name, duty.Renting.Key())
 	}
 	if n := sim.countLeaseWrites(duty.Renting) - writesBefore; n != 1 || rejected == 0 {
-		t.Errorf("%d acquisitions were accepted, %d rejected", n, rejected)
+		t.Errorf("%d acquisitions were accepted and %d rejected, want 1 accepted and at least 1 rejected", n, rejected)
 	}
 	first.start()
 	sim.requireAllEndBy(360 * model.Second)
-	sim.checkDuties()
+	sim.requireDutyInvariants()
 }
 
-// All duties on one controller, then each on another, and then all controllers but one
-// end: the duties follow, and work goes on.
+// The duties move when the duties file prefers one controller for all of them, then a
+// different controller for each, and when all controllers but one crash. Jobs keep running.
 func TestDutiesFollowPreferredNodes(t *testing.T) {
 	sim := newDutyDeployment(t, 14, `<duties><duty name="renting"><prefer>node-1</prefer></duty><duty name="returning"><prefer>node-1</prefer></duty>
 		<duty name="cleanup"><prefer>node-1</prefer></duty><settle-s>5</settle-s></duties>`)
@@ -417,7 +428,7 @@
 		t.Helper()
 		for name, node := range want {
 			if h := sim.dutyHolder(name); h == nil || h.name != node {
-				t.Errorf("%.0f s: %s is at %v, not at %s", sim.Now.Seconds(), name, h, node)
+				t.Errorf("%.0f s: %s is held by %v, want %s", sim.Now.Seconds(), name, h, node)
 			}
 		}
 	}
@@ -438,10 +449,11 @@
 	sim.nodes[0].start()
 	sim.nodes[1].start()
 	sim.requireAllEndBy(480 * model.Second)
-	sim.checkDuties()
+	sim.requireDutyInvariants()
 }
 
-// spanParents counts the spans that are recorded meanwhile, by their name and their parent's.
+// countSpansByParent counts the spans that are recorded during run, by their name and their
+// parent's, as in "call of intent".
 func countSpansByParent(run func()) map[string]int {
 	exporter := tracetest.NewInMemoryExporter()
 	previousProvider := otel.GetTracerProvider()
@@ -459,7 +471,7 @@
 	return counts
 }
 
-// The leader's decision and the call of the cloud on another controller are one trace.
+// The leader's decision and another controller's call to the cloud belong to one trace.
 func TestIntentTraceAcrossControllers(t *testing.T) {
 	spans := countSpansByParent(func() {
 		sim := newDutyDeployment(t, 15, spreadDuties)
@@ -469,12 +481,12 @@
 		sim.Run(80 * model.Second)
 	})
 	if spans["call of intent"] < 2 || spans["acquire of "] < 3 {
-		t.Errorf("spans: %v", spans)
+		t.Errorf("spans %v, want at least 2 calls below an intent and 3 acquisitions", spans)
 	}
 }
 
-// The cleaner removes bundles of which nothing counts, under its token, and a late
-// removal does not touch what has been written since.
+// The holder of cleanup removes unused bundles under its fencing token. A removal that is
+// carried out late does not delete what has been written since.
 func TestDutyCleanup(t *testing.T) {
 	sim := newDutyDeployment(t, 12, spreadDuties)
 	sim.settings = func(name string) *config.Settings {
@@ -499,7 +511,7 @@
 			commitLate = func() {
 				res, err := sim.state.Commit(n.name, &lateTxn)
 				if err != nil || res.OK {
-					t.Errorf("a late removal was carried out: %+v, %v", res, err)
+					t.Errorf("late removal: result %+v, error %v, want it rejected", res, err)
 				}
 			}
 			sim.After(10*model.Millisecond, func() {
@@ -510,19 +522,20 @@
 	}
 	sim.Run(700 * model.Second)
 	if commitLate == nil {
-		t.Fatalf("nothing was removed; %d bundles", bundlesBefore)
+		t.Fatalf("no bundle was removed, there were %d", bundlesBefore)
 	}
 	if left := sim.state.KeyCount("bound/"); left >= bundlesBefore {
-		t.Errorf("%d bundles at the most, %d are left", bundlesBefore, left)
+		t.Errorf("%d bundles are left, want fewer than the %d before the cleanup", left, bundlesBefore)
 	}
 	commitLate()
 	sim.scheduleArrayJobs(10, model.Second)
 	sim.requireAllEndBy(900 * model.Second)
-	sim.checkDuties()
+	sim.requireDutyInvariants()
 }
 
-// Random pauses, cuts, copies, repeats and ends: no write of a duty is accepted from two
-// holders, nothing is rented or returned that was not decided, and no rule is broken.
+// Under random pauses, cut-off controllers, duplicated heartbeats, repeated requests and
+// crashes, writes for a duty are never accepted from two holders, nothing is rented or
+// returned without a decision, and no other invariant is violated.
 func TestDutiesUnderRandomFailures(t *testing.T) {
 	t.Parallel()
 	dutyRecords := 0
@@ -560,17 +573,18 @@
 		}
 		for ref := range sim.invariants.Accepted {
 			if sim.invariants.ReportedEnd(ref) == "" {
-				rt.Fatalf("%s never ended; %s", ref, sim.describe())
+				rt.Fatalf("%s has not ended; %s", ref, sim.describe())
 			}
 		}
 		dutyRecords += sim.state.KeyCount("duty/")
 	})
 	if dutyRecords == 0 {
-		t.Error("no duty was ever held")
+		t.Error("no duty was held at the end of any run")
 	}
 }
 
-// pauseAtNext has the process stand still when it next comes to a point; at no point: now.
+// pauseAtNext pauses the controller when it next reaches the point, or at once for
+// noPausePoint.
 func (n *simNode) pauseAtNext(point pausePoint, duration model.Micros) {
 	switch {
 	case !n.alive || n.paused:
@@ -588,8 +602,8 @@
 	}
 }
 
-// Where the state service bears few changes, intents and their outcomes do not queue up
-// behind bindings and submissions: machines would be asked for a minute late.
+// When the state service takes few writes per second, intents and their outcomes do not wait
+// behind bindings and submissions. If they did, machines would be requested a minute late.
 func TestIntentsDoNotWaitBehindOtherWrites(t *testing.T) {
 	sim := newDeployment(t, 16, func(name string) *config.Settings {
 		s := simSettings(name)
@@ -615,14 +629,14 @@
 			case !known:
 				decided[rental.Request] = write.At
 			case write.At-decidedAt > 4*model.Second:
-				t.Errorf("%s was decided at %.1f s and answered at %.1f s", rental.Request, decidedAt.Seconds(), write.At.Seconds())
+				t.Errorf("rental %s: intent written at %.1f s, outcome at %.1f s, want at most 4 s between them", rental.Request, decidedAt.Seconds(), write.At.Seconds())
 			default:
 				outcomes++
 			}
 		}
 	}
 	if outcomes < 10 {
-		t.Errorf("%d outcomes", outcomes)
+		t.Errorf("%d outcomes within 4 s, want at least 10", outcomes)
 	}
 	sim.requireInvariants()
 }
--- a/internal/controller/failing_jobs_test.go
+++ b/internal/controller/failing_jobs_test.go
@@ -6,7 +6,8 @@
 	"woadweir/internal/core/model"
 )
 
-// watchQuarantine collects the machines that are ever quarantined from now on.
+// recordQuarantinedMachines returns a set to which every machine is added that is quarantined
+// from now on.
 func (sim *simDeployment) recordQuarantinedMachines() map[string]bool {
 	quarantined := map[string]bool{}
 	var check func()
@@ -24,19 +25,19 @@
 	return quarantined
 }
 
-// requireUnfinished checks that a job is known to a node and has not ended.
+// requireUnfinished checks that a node knows the job and that the job has not ended.
 func (u *user) requireUnfinished(n *simNode) {
 	u.sim.t.Helper()
 	status, _, _, known := n.ctl.view.Status(u.submission.ID)
 	if !known || u.reportedEnd != "" || status == "done" || status == "withdrawn" {
-		u.sim.t.Errorf("%s: known %v, status %q, ended %q", u.submission.ID, known, status, u.reportedEnd)
+		u.sim.t.Errorf("%s: known %v, status %q, reported end %q, want a known job that has not ended", u.submission.ID, known, status, u.reportedEnd)
 	}
 }
 
-// A job that was submitted with a mistake fails on every machine until its user
-// cancels it. Across a failover it must not burn the fleet, nor get healthy
-// machines set aside, nor be forgotten: it is retried with backoff, one task at
-// a time, its user is told that it waits, and the other jobs are served.
+// A job that was submitted with a mistake fails on every machine until its user cancels it.
+// Across a failover it must not use up the fleet, cause healthy machines to be quarantined,
+// or be lost: it is retried with backoff, one task at a time, its user is told that it
+// waits, and other jobs run.
 func TestJobThatFailsOnEveryMachine(t *testing.T) {
 	sim := newSmallDeployment(t, 41)
 	sim.invariants.FailingJobs = map[string]bool{}
@@ -44,7 +45,8 @@
 	for i := range 4 {
 		healthy = append(healthy, sim.submit(arrayJob(i, 8, 20), 0))
 	}
-	// Other work goes on all the while: where it runs, a failure is not the machine's.
+	// Other jobs run throughout: on a machine where they succeed, a failure of the failing
+	// jobs is not the machine's fault.
 	for i := range 15 {
 		sim.At(model.Micros(10+10*i)*model.Second, func() {
 			healthy = append(healthy, sim.submit(arrayJob(100+i, 8, 20), 0))
@@ -60,35 +62,35 @@
 	sim.leader().crash()
 	sim.Run(sim.Now + 180*model.Second)
 	if len(quarantined) > 0 {
-		t.Errorf("healthy machines set aside for jobs that fail everywhere: %v", quarantined)
+		t.Errorf("healthy machines are quarantined because of jobs that fail everywhere: %v", quarantined)
 	}
 	for _, u := range healthy {
 		if u.reportedEnd != "done" {
-			t.Errorf("%s beside jobs that fail everywhere: %q", u.submission.ID, u.reportedEnd)
+			t.Errorf("%s, submitted beside jobs that fail everywhere, has end %q, want done", u.submission.ID, u.reportedEnd)
 		}
 	}
 	leader := sim.leader()
 	if leader == nil {
-		t.Fatal("nobody leads")
+		t.Fatal("no controller leads")
 	}
 	for _, u := range failing {
 		u.requireUnfinished(leader)
 	}
 	// Without backoff each of the 32 tasks would be tried every few seconds for
-	// four minutes, some thousands of tries.
+	// four minutes, some thousands of attempts.
 	if n := sim.invariants.FailingJobAttempts; n > maxFailingJobAttempts {
-		t.Errorf("%d tries of tasks that fail everywhere, more than %d", n, maxFailingJobAttempts)
+		t.Errorf("%d attempts of tasks that fail everywhere, want at most %d", n, maxFailingJobAttempts)
 	}
 	for _, u := range failing {
 		u.cancel(nil)
 	}
-	sim.runUntil(60*model.Second, "the mistaken jobs are withdrawn", func() bool {
+	sim.runUntil(60*model.Second, "the failing jobs are withdrawn", func() bool {
 		return failing[0].reportedEnd == "withdrawn" && failing[1].reportedEnd == "withdrawn"
 	})
 	sim.requireInvariants()
 }
 
-// maxMistakenTries bounds the tries of two jobs of 16 tasks that fail everywhere
-// in four minutes: each fails on a few machines before it is found out, then one
-// task at a time is tried, with a wait that doubles up to a minute.
+// maxFailingJobAttempts is the maximum number of attempts in four minutes of two jobs with 16
+// tasks that fail everywhere: each job fails on a few machines before this is detected, and
+// then one task at a time is tried, with a backoff that doubles up to a minute.
 const maxFailingJobAttempts = 120
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -11,52 +11,53 @@
 	"woadweir/internal/userapi"
 )
 
-// until lets time pass until the condition holds.
+// runUntil runs the simulation until the condition holds, and fails the test if it does not
+// within the timeout.
 func (sim *simDeployment) runUntil(timeout model.Micros, description string, condition func() bool) {
 	sim.t.Helper()
 	end := sim.Now + timeout
 	for !condition() {
 		if sim.Now >= end {
-			sim.t.Fatalf("%.1f s: not within %.1f s: %s\n%s", sim.Now.Seconds(), timeout.Seconds(), description, sim.describe())
+			sim.t.Fatalf("%.1f s: not reached within %.1f s: %s\n%s", sim.Now.Seconds(), timeout.Seconds(), description, sim.describe())
 		}
 		sim.Run(sim.Now + 20*model.Millisecond)
 	}
 }
 
-// waitForLeader waits until somebody leads and has taken over.
+// waitForLeader runs the simulation until a controller leads and has completed its takeover.
 func (sim *simDeployment) waitForLeader(timeout model.Micros) {
 	sim.t.Helper()
-	sim.runUntil(timeout, "somebody leads", func() bool { l := sim.leader(); return l != nil && l.ctl.leading.ready })
+	sim.runUntil(timeout, "a controller leads and has completed its takeover", func() bool { l := sim.leader(); return l != nil && l.ctl.leading.ready })
 }
 
-// A cut-off leader is replaced when its session is over, its held transactions
-// are carried out late without effect, and no rule breaks.
+// A leader that is cut off from the state service is replaced when its session expires. Its
+// held transactions are carried out later, have no effect and violate no invariant.
 func TestTakeoverWithLateCommits(t *testing.T) {
 	sim := newSmallDeployment(t, 3)
 	for i := range 6 {
 		sim.submit(arrayJob(i, 8, 20), 0)
 	}
-	sim.runUntil(40*model.Second, "something runs", func() bool { return sim.invariants.TasksOnMachines() > 10 })
+	sim.runUntil(40*model.Second, "more than 10 tasks run", func() bool { return sim.invariants.TasksOnMachines() > 10 })
 	formerLeader := sim.leader()
 	formerLeader.setStateLink(linkHolding)
 	for i := 6; i < 9; i++ {
 		sim.submit(arrayJob(i, 8, 10), 0)
 	}
-	sim.runUntil(14*model.Second, "another leads", func() bool { l := sim.leader(); return l != nil && l != formerLeader })
+	sim.runUntil(14*model.Second, "another controller leads", func() bool { l := sim.leader(); return l != nil && l != formerLeader })
 	if formerLeader.ctl.authority.IsValid(formerLeader.ctl.clock()) {
-		t.Fatal("two hold authority")
+		t.Fatal("the former leader still has authority beside the new one")
 	}
 	sim.Run(sim.Now + 20*model.Second)
 	formerLeader.setStateLink(linkOpen)
 	sim.Run(sim.Now + 60*model.Second)
 	sim.requireInvariants()
 	if n := sim.invariants.TasksOnMachines(); n != 0 {
-		t.Errorf("%d tasks are still on machines", n)
+		t.Errorf("%d tasks are still on machines, want none", n)
 	}
 }
 
-// A transaction without an answer may be carried out long after a later one for
-// the same key, under the same grant. It must not bring the old value back.
+// A transaction whose answer is lost may be carried out long after a later transaction of the
+// same leader for the same key, under the same grant. It must not restore the old value.
 func TestOwnLateCommitIsRejected(t *testing.T) {
 	sim := newSmallDeployment(t, 4)
 	sim.waitForLeader(5 * model.Second)
@@ -73,19 +74,19 @@
 		return true
 	}
 	job := sim.submit(arrayJob(1, 6, 15), 0)
-	sim.runUntil(60*model.Second, "it runs", func() bool { return sim.invariants.TasksOnMachines() == 6 })
+	sim.runUntil(60*model.Second, "the job runs", func() bool { return sim.invariants.TasksOnMachines() == 6 })
 	if res, err := sim.state.Commit(leader.name, heldTxn); err != nil || res.OK {
-		t.Fatalf("a late copy is carried out: %v, %v", heldTxn, err)
+		t.Fatalf("the late transaction %v was carried out, error %v", heldTxn, err)
 	}
-	sim.runUntil(60*model.Second, "done", func() bool { return job.reportedEnd == "done" })
+	sim.runUntil(60*model.Second, "the job is done", func() bool { return job.reportedEnd == "done" })
 	sim.requireInvariants()
 	if sim.invariants.Starts != 6 {
 		t.Errorf("%d starts for 6 tasks", sim.invariants.Starts)
 	}
 }
 
-// A former holder's transaction that is carried out after the takeover changes
-// nothing, even where the new holder has not written the same keys yet.
+// A former leader's transaction that reaches the state service after the takeover changes
+// nothing, even if the new leader has not written the same keys yet.
 func TestFormerLeadersLateCommitIsRejected(t *testing.T) {
 	sim := newSmallDeployment(t, 14)
 	sim.waitForLeader(5 * model.Second)
@@ -99,11 +100,11 @@
 		return true
 	}
 	job := sim.submit(arrayJob(1, 6, 15), 0)
-	sim.runUntil(60*model.Second, "a binding is on its way", func() bool { return heldTxn != nil })
+	sim.runUntil(60*model.Second, "a binding has been sent", func() bool { return heldTxn != nil })
 	formerLeader.crash()
 	sim.state.RefusedNodes[formerLeader.name] = false
 	// The new leader rewrites the grant and nothing else.
-	sim.runUntil(15*model.Second, "another leads", func() bool {
+	sim.runUntil(15*model.Second, "another controller leads", func() bool {
 		for _, other := range sim.nodes {
 			if l := other.ctl.leading; other != formerLeader && l != nil {
 				return true
@@ -112,20 +113,20 @@
 		return false
 	})
 	if res, err := sim.state.Commit(formerLeader.name, heldTxn); err != nil || res.OK {
-		t.Fatalf("a former holder's transaction is carried out: %v, %v", heldTxn, err)
+		t.Fatalf("the former leader's transaction %v was carried out, error %v", heldTxn, err)
 	}
-	sim.runUntil(90*model.Second, "done", func() bool { return job.reportedEnd == "done" })
+	sim.runUntil(90*model.Second, "the job is done", func() bool { return job.reportedEnd == "done" })
 	sim.requireInvariants()
 }
 
-// A leader that ends and is back within a fraction of a second takes over from
-// itself: under a new grant, without waiting for its old session.
+// A leader that crashes and restarts within a fraction of a second takes over from its former
+// run under a new grant, without waiting for its old session to expire.
 func TestRestartWithinTheSession(t *testing.T) {
 	sim := newSmallDeployment(t, 5)
 	for i := range 4 {
 		sim.submit(arrayJob(i, 8, 25), 0)
 	}
-	sim.runUntil(40*model.Second, "something runs", func() bool { return sim.invariants.TasksOnMachines() > 10 })
+	sim.runUntil(40*model.Second, "more than 10 tasks run", func() bool { return sim.invariants.TasksOnMachines() > 10 })
 	leader := sim.leader()
 	token := leader.ctl.leading.token
 	leader.crash()
@@ -133,7 +134,7 @@
 	leader.start()
 	sim.waitForLeader(3 * model.Second)
 	if now := sim.leader().ctl.leading.token; now <= token {
-		t.Fatalf("token %d after %d", now, token)
+		t.Fatalf("fencing token %d after the restart, want one above %d", now, token)
 	}
 	startsBefore := sim.invariants.Starts
 	sim.Run(sim.Now + 10*model.Second)
@@ -144,8 +145,8 @@
 	sim.requireInvariants()
 }
 
-// The election's answer is lost: the node finds the key under its own session,
-// and leads under a grant of its own.
+// If the answer to an election's transaction is lost, the controller finds the leader key under
+// its own session and leads under a new grant of its own.
 func TestLostElectionAnswer(t *testing.T) {
 	sim := newSmallDeployment(t, 6)
 	lostRevision := uint64(0)
@@ -168,109 +169,110 @@
 	}
 	sim.waitForLeader(10 * model.Second)
 	if token := sim.leader().ctl.leading.token; lostRevision == 0 || token <= lostRevision {
-		t.Fatalf("leads under token %d, the lost election's was %d", token, lostRevision)
+		t.Fatalf("fencing token %d, want one above revision %d of the election whose answer was lost", token, lostRevision)
 	}
 }
 
-// A submission whose 201 was lost is 200 when it is repeated, anywhere, even if
-// the repetition would be refused by itself.
+// If the answer 201 to a submission is lost, a repeated submission is answered 200 by every
+// controller, even if the repeated request on its own would be refused.
 func TestRepeatedSubmissionAfterLostAnswer(t *testing.T) {
 	sim := newSmallDeployment(t, 7)
-	sim.runUntil(5*model.Second, "a leader that knows the machine types", func() bool { return len(sim.nodes[0].ctl.view.MachineTypes) > 0 })
+	sim.runUntil(5*model.Second, "machine types are known", func() bool { return len(sim.nodes[0].ctl.view.MachineTypes) > 0 })
 	sim.Run(sim.Now + model.Second)
 	submission := arrayJob(1, 3, 5)
 	sim.invariants.Submitted[submission.ID] = submission.Job(0)
 	sim.nodes[0].send(msgSubmit{submission.ID, submission, nil, make(chan userapi.Answer, 1)}, nil)
-	sim.runUntil(model.Second, "it is accepted", func() bool { return sim.state.HasKey("job/" + submission.ID) })
+	sim.runUntil(model.Second, "the job is accepted", func() bool { return sim.state.HasKey("job/" + submission.ID) })
 	sim.nodes[0].crash()
 	for _, m := range []msgSubmit{{jobID: submission.ID, submission: submission}, {jobID: submission.ID, err: errors.New("malformed")},
 		{jobID: submission.ID, submission: func() *model.Submission { c := *submission; c.Team = "nobody"; return &c }()}} {
 		reply := make(chan userapi.Answer, 1)
 		m.reply = reply
 		sim.nodes[1].send(m, nil)
-		sim.runUntil(model.Second, "an answer", func() bool { return len(reply) == 1 })
+		sim.runUntil(model.Second, "the request is answered", func() bool { return len(reply) == 1 })
 		if a := <-reply; a.Code != 200 {
-			t.Errorf("a repeated submission is answered %d %s", a.Code, a.Body)
+			t.Errorf("a repeated submission is answered %d %s, want 200", a.Code, a.Body)
 		}
 	}
 }
 
-// An ended job is never accepted again, also by a node that does not know it.
+// A job that has ended is not accepted again, not even by a node that does not know it.
 func TestEndedJobIsNotRunAgain(t *testing.T) {
 	sim := newSmallDeployment(t, 8)
 	job := sim.submit(arrayJob(1, 2, 2), 0)
-	sim.runUntil(60*model.Second, "done", func() bool { return job.reportedEnd == "done" })
+	sim.runUntil(60*model.Second, "the job is done", func() bool { return job.reportedEnd == "done" })
 	node := sim.nodes[1]
-	node.ctl.view = state.NewView() // a node that knows nothing
+	node.ctl.view = state.NewView() // the node knows no jobs
 	node.ctl.view.MachineTypes, node.ctl.sync.needsList = simMachineTypes, true
 	reply := make(chan userapi.Answer, 1)
 	node.send(msgSubmit{"j-000001", arrayJob(1, 2, 2), nil, reply}, nil)
-	sim.runUntil(2*model.Second, "an answer", func() bool { return len(reply) == 1 })
+	sim.runUntil(2*model.Second, "the request is answered", func() bool { return len(reply) == 1 })
 	if a := <-reply; a.Code != 200 || !strings.Contains(string(a.Body), "done") {
-		t.Fatalf("answered %d %s", a.Code, a.Body)
+		t.Fatalf("a repeated submission is answered %d %s, want 200 and status done", a.Code, a.Body)
 	}
 	sim.Run(sim.Now + 30*model.Second)
 	if sim.invariants.Starts != 2 {
-		t.Fatalf("%d starts for 2 tasks", sim.invariants.Starts)
+		t.Fatalf("%d starts for 2 tasks, want 2", sim.invariants.Starts)
 	}
 }
 
-// answerAtOnce asks a node for what it has to refuse, and fails if it holds the request.
+// requireImmediateAnswer sends a node a request that it can't serve, and fails the test if the
+// node holds the request instead of answering at once.
 func (n *simNode) requireImmediateAnswer(msg func(chan<- userapi.Answer) any) userapi.Answer {
 	n.sim.t.Helper()
 	reply := make(chan userapi.Answer, 1)
 	n.send(msg(reply), nil)
 	if len(reply) != 1 {
-		n.sim.t.Fatal("a request that can't be served is held")
+		n.sim.t.Fatal("a request that can't be served gets no immediate answer")
 	}
 	return <-reply
 }
 
-// An outage of the state service that outlasts the session: nobody acts in it,
-// what runs goes on as long as the workers' leases last, and everything is
-// finished afterwards. Submissions are refused at once.
+// In an outage of the state service that is longer than a session, no controller leads, running
+// tasks continue as long as the workers' leases last, and submissions are refused at once.
+// After the outage all work is finished.
 func TestOutageLongerThanASession(t *testing.T) {
 	sim := newSmallDeployment(t, 9)
 	job := sim.submit(arrayJob(1, 8, 60), 0)
-	sim.runUntil(40*model.Second, "it runs", func() bool { return sim.invariants.TasksOnMachines() == 8 })
+	sim.runUntil(40*model.Second, "the job runs", func() bool { return sim.invariants.TasksOnMachines() == 8 })
 	sim.state.SetOutage(true)
 	sim.Run(sim.Now + 13*model.Second)
 	if sim.leader() != nil {
-		t.Fatal("somebody leads without the state service")
+		t.Fatal("a controller leads although the state service is down")
 	}
 	if sim.invariants.TasksOnMachines() != 8 {
-		t.Fatal("running tasks were lost in a short outage")
+		t.Fatal("running tasks were lost during the outage, before the workers' leases expired")
 	}
 	answer := sim.nodes[1].requireImmediateAnswer(func(r chan<- userapi.Answer) any { return msgSubmit{"j-000002", arrayJob(2, 1, 1), nil, r} })
 	if answer.Code != 503 || answer.RetryAfter == 0 {
-		t.Fatalf("answered %d, Retry-After %d", answer.Code, answer.RetryAfter)
+		t.Fatalf("a submission is answered %d with Retry-After %d, want 503 and a positive Retry-After", answer.Code, answer.RetryAfter)
 	}
 	if !sim.nodes[1].ctl.isHealthy() {
-		t.Error("all nodes leave the load balancer in an outage")
+		t.Error("the node reports itself unhealthy: in an outage all nodes would leave the load balancer")
 	}
 	sim.Run(sim.Now + 6*model.Second)
 	sim.state.SetOutage(false)
-	sim.runUntil(120*model.Second, "it is done", func() bool { return job.reportedEnd == "done" })
+	sim.runUntil(120*model.Second, "the job is done", func() bool { return job.reportedEnd == "done" })
 	sim.requireInvariants()
 	if sim.invariants.Starts != 8 {
 		t.Errorf("%d starts for 8 tasks: an outage of 19 s should lose nothing", sim.invariants.Starts)
 	}
 }
 
-// One node alone gets 503s: a sibling answers its users, and if it led, another
-// takes over.
+// If the state service answers 503 to one node only, the node refers its users to a sibling,
+// and if it leads, another node takes over.
 func TestNodeRefusedByStateService(t *testing.T) {
 	sim := newSmallDeployment(t, 10)
 	sim.submit(arrayJob(1, 4, 30), 0)
-	sim.runUntil(40*model.Second, "it runs", func() bool { return sim.invariants.TasksOnMachines() == 4 })
+	sim.runUntil(40*model.Second, "the job runs", func() bool { return sim.invariants.TasksOnMachines() == 4 })
 	formerLeader := sim.leader()
 	formerLeader.setStateLink(linkRefusing)
 	sim.Run(sim.Now + 3*model.Second)
 	answer := formerLeader.requireImmediateAnswer(func(r chan<- userapi.Answer) any { return msgStatusRequest{"j-000001", r} })
 	if answer.Code != 503 || answer.ForwardTo == "" || answer.ForwardTo == formerLeader.name {
-		t.Fatalf("answered %+v, want a sibling named", answer)
+		t.Fatalf("answered %+v, want 503 and a sibling to forward to", answer)
 	}
-	sim.runUntil(3*model.Second, "another leads, long before the session runs out",
+	sim.runUntil(3*model.Second, "another controller leads, long before the session expires",
 		func() bool { l := sim.leader(); return l != nil && l != formerLeader })
 	sim.Run(sim.Now + 40*model.Second)
 	sim.requireInvariants()
@@ -279,15 +281,15 @@
 	}
 }
 
-// A leader that no worker reaches any more hands over to a sibling that they do
-// reach, before their leases run out.
+// A leader that no worker can reach hands over to a sibling that workers can reach, before the
+// workers' leases expire.
 func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	sim := newSmallDeployment(t, 15)
 	sim.submit(arrayJob(1, 12, 60), 0)
-	sim.runUntil(40*model.Second, "it runs", func() bool { return sim.invariants.TasksOnMachines() == 12 })
+	sim.runUntil(40*model.Second, "the job runs", func() bool { return sim.invariants.TasksOnMachines() == 12 })
 	formerLeader := sim.leader()
 	formerLeader.reachableByWorkers = false
-	sim.runUntil(12*model.Second, "another leads", func() bool { l := sim.leader(); return l != nil && l != formerLeader })
+	sim.runUntil(12*model.Second, "another controller leads", func() bool { l := sim.leader(); return l != nil && l != formerLeader })
 	sim.Run(sim.Now + 30*model.Second)
 	sim.requireInvariants()
 	if sim.invariants.Starts != 12 {
@@ -295,8 +297,7 @@
 	}
 }
 
-// The credits of all grants together never exceed the teams' limits, across
-// moves.
+// Across takeovers, the sum of the credits of all grants never exceeds a team's limit.
 func TestCreditsAcrossATakeover(t *testing.T) {
 	sim := newSmallDeployment(t, 11)
 	for range 4 {
@@ -319,10 +320,11 @@
 	}
 }
 
-// A node whose watch is too far behind reads everything again.
+// A node whose watch is too far behind for the events that the state service keeps reads all
+// records again.
 func TestWatchRevisionTooOld(t *testing.T) {
 	sim := newSmallDeployment(t, 12)
-	sim.runUntil(5*model.Second, "a leader", func() bool { return sim.leader() != nil })
+	sim.runUntil(5*model.Second, "a controller leads", func() bool { return sim.leader() != nil })
 	sim.state.KeptEvents = 2
 	node := sim.nodes[0]
 	node.setStateLink(linkRefusing)
@@ -333,17 +335,17 @@
 	node.setStateLink(linkOpen)
 	sim.Run(sim.Now + 10*model.Second)
 	if got, want := node.ctl.view.Revision, sim.nodes[1].ctl.view.Revision; got+50 < want {
-		t.Fatalf("the view is at %d, another's at %d", got, want)
+		t.Fatalf("the view is at revision %d, want at most 50 behind another node's %d", got, want)
 	}
 	for ref := range sim.invariants.Accepted {
 		if _, _, _, known := node.ctl.view.Status(ref); !known {
-			t.Errorf("%s is not known", ref)
+			t.Errorf("the node does not know job %s", ref)
 		}
 	}
 }
 
-// A job with the most tasks there may be runs within the limits of the state
-// service: the stand-in refuses values and transactions that are too large.
+// Jobs with the maximum number of tasks run within the limits of the state service: the
+// simulated service refuses values and transactions that are too large.
 func TestVeryManyTinyTasks(t *testing.T) {
 	t.Parallel()
 	sim := newSmallDeployment(t, 16)
@@ -353,7 +355,7 @@
 		s.Cores, s.MemoryGB, s.Team, s.ImageGB = 0.001, 0.001, "red", 0.1
 		jobs = append(jobs, sim.submit(s, 0))
 	}
-	sim.runUntil(60*model.Second, "they run", func() bool { return sim.invariants.TasksOnMachines() > 1000 })
+	sim.runUntil(60*model.Second, "more than 1000 tasks run", func() bool { return sim.invariants.TasksOnMachines() > 1000 })
 	sim.Run(sim.Now + 6*model.Second)
 	sim.requireInvariants()
 	done := 0
@@ -362,11 +364,12 @@
 		done += s.Len()
 	}
 	if done < 1500 {
-		t.Errorf("only %d tasks done", done)
+		t.Errorf("%d tasks are done, want at least 1500", done)
 	}
 }
 
-// Without authority no worker gets a 200, however early its lease ends.
+// A controller without authority does not answer 200 to a worker, however soon the worker's
+// lease expires.
 func TestNoAnswerToWorkersWithoutAuthority(t *testing.T) {
 	sim := newSmallDeployment(t, 13)
 	sim.waitForLeader(5 * model.Second)
@@ -374,7 +377,7 @@
 	leaseTimes := leader.ctl.authority.Times
 	for _, other := range sim.nodes {
 		if other != leader {
-			other.crash() // nobody is there to resign to
+			other.crash() // leaves no sibling to hand over to
 		}
 	}
 	leader.setStateLink(linkDropping)
@@ -383,16 +386,18 @@
 	heartbeat := simHeartbeat("host-z")
 	leader.send(msgHeartbeat{heartbeat: heartbeat, reply: reply}, nil)
 	if a := <-reply; a.code == 200 {
-		t.Fatal("a worker was answered without authority")
+		t.Fatal("a heartbeat was answered 200 without authority")
 	}
 }
 
+// The session has to be short enough that a cut-off leader does not keep a cancelled task
+// running for too long, and that a takeover completes within the workers' lease.
 func TestComputeLeaseTimes(t *testing.T) {
 	for _, settings := range []struct{ lease, report, cancel float64 }{{18, 2.5, 38}, {18, 2.5, 43}, {30, 5, 45}, {10, 2, 22}} {
 		lease, report, cancel := model.Seconds(settings.lease), model.Seconds(settings.report), model.Seconds(settings.cancel)
 		times := leadership.ComputeLeaseTimes(30*model.Second, lease, report, cancel)
 		if times.TTL+lease+lease/1000 >= cancel {
-			t.Errorf("%v: a cut-off holder keeps a cancelled task for %v", settings, times.TTL+lease)
+			t.Errorf("%v: a cut-off leader keeps a cancelled task for %v", settings, times.TTL+lease)
 		}
 		if times.TTL > 30*model.Second || times.TTL+2*report >= lease+report {
 			t.Errorf("%v: session of %v is too long for a takeover within the lease", settings, times.TTL)
@@ -400,8 +405,8 @@
 	}
 }
 
-// Now and then the state service takes very long for a transaction. What others
-// submit meanwhile is accepted at once all the same.
+// The state service occasionally takes very long for a transaction. Jobs that other users submit
+// in the meantime are still accepted at once.
 func TestSlowWritesDoNotDelayOtherSubmissions(t *testing.T) {
 	sim := newSmallDeployment(t, 43)
 	sim.runUntil(10*model.Second, "machine types are known", func() bool { return len(sim.nodes[0].ctl.view.MachineTypes) > 0 })
@@ -410,7 +415,7 @@
 	node.intercept = func(m msgCommitted) bool {
 		if m.lane >= laneUsers && unanswered < 2 {
 			unanswered++
-			return true // no answer, for now
+			return true // no answer
 		}
 		return false
 	}
@@ -427,52 +432,53 @@
 		return 0
 	}
 	if a, b := submit(1), submit(2); a != 0 || b != 0 || unanswered != 2 {
-		t.Fatalf("answered %d and %d with %d transactions on their way", a, b, unanswered)
+		t.Fatalf("answered %d and %d with %d unanswered transactions, want no answers and 2 transactions", a, b, unanswered)
 	}
 	if code := submit(3); code != 201 {
-		t.Errorf("behind two slow transactions: %d", code)
+		t.Errorf("a submission during two slow transactions is answered %d, want 201", code)
 	}
 }
 
-// A cancellation that waits its turn, as all transactions of users are on their way
-// without an answer, finds its job ended when it is written: the end stays what it is.
-// Once it was written over, as the guard is taken from the view at that moment: the job
-// had been told done, and was told withdrawn from then on.
+// A cancellation is queued because all lanes for users' transactions wait for answers, and the
+// job ends before the cancellation is written. The recorded end must stay. The
+// transaction's condition is taken from the view at the time of writing, which already has the
+// end, so the condition alone does not protect it: a job that had been reported as done was
+// reported as withdrawn from then on.
 func TestQueuedCancellationKeepsRecordedEnd(t *testing.T) {
 	for seed := range uint64(5) {
 		sim := newSmallDeployment(t, 60+seed)
 		job := sim.submit(arrayJob(1, 2, 8), 0)
-		sim.runUntil(60*model.Second, "it runs", func() bool { return sim.invariants.TasksOnMachines() == 2 })
+		sim.runUntil(60*model.Second, "the job runs", func() bool { return sim.invariants.TasksOnMachines() == 2 })
 		node := sim.nodes[0]
 		if node == sim.leader() {
 			node = sim.nodes[1]
 		}
 		release := node.blockUserLanes()
-		sim.Run(sim.Now + 6*model.Second) // of eight
+		sim.Run(sim.Now + 6*model.Second) // of the 8 s that the tasks run
 		reply := make(chan userapi.Answer, 1)
 		sim.invariants.CancelRequested(job.submission.ID)
 		node.send(msgCancel{job.submission.ID, reply}, nil)
-		sim.runUntil(4*model.Second, "the end is written while the cancellation waits", func() bool {
+		sim.runUntil(4*model.Second, "the job's end is written while the cancellation is queued", func() bool {
 			_, ended := node.ctl.view.EffectiveEnd(job.submission.ID)
 			return ended && len(node.ctl.userWrites.queue) > 0
 		})
 		release()
 		sim.runUntil(3*model.Second, "the cancellation is answered", func() bool { return len(reply) == 1 })
 		if a := <-reply; a.Code != 200 || !strings.Contains(string(a.Body), "done") {
-			t.Errorf("seed %d: the cancellation of a done job is answered %d %s", seed, a.Code, a.Body)
+			t.Errorf("seed %d: the cancellation of a done job is answered %d %s, want 200 and status done", seed, a.Code, a.Body)
 		}
 		for _, other := range sim.nodes {
 			sim.Run(sim.Now + model.Second)
 			if end, _ := other.ctl.view.EffectiveEnd(job.submission.ID); end != model.JobDone {
-				t.Errorf("seed %d: %s says %q of a done job", seed, other.name, end)
+				t.Errorf("seed %d: %s has end %q for the job, want %q", seed, other.name, end, model.JobDone)
 			}
 		}
 		sim.requireInvariants()
 	}
 }
 
-// blockUserLanes fills all lanes for users' transactions of a node with submissions that get
-// no answer, until the returned function is called.
+// blockUserLanes occupies all lanes of a node for users' transactions with submissions that get
+// no answer until the returned function is called.
 func (n *simNode) blockUserLanes() (release func()) {
 	n.sim.t.Helper()
 	blocked := true
@@ -489,7 +495,7 @@
 		n.send(msgSubmit{s.ID, s, nil, make(chan userapi.Answer, 1)}, nil)
 	}
 	if len(unansweredWrites) != userLanes {
-		n.sim.t.Fatalf("%d transactions on their way", len(unansweredWrites))
+		n.sim.t.Fatalf("%d transactions wait for an answer, want %d", len(unansweredWrites), userLanes)
 	}
 	return func() {
 		blocked = false
--- a/internal/controller/guest_team_test.go
+++ b/internal/controller/guest_team_test.go
@@ -8,7 +8,7 @@
 	"woadweir/internal/core/model"
 )
 
-// guestSettings have a third team that is guaranteed nothing.
+// guestSettings returns settings with a third team, guest, that has no guarantee.
 func guestSettings(name string) *config.Settings {
 	s := simSettings(name)
 	s.Params.Teams = append(s.Params.Teams, config.Team{Name: "guest", CPUsMax: 64})
@@ -16,15 +16,16 @@
 	return s
 }
 
-// guestJob is of one of the guest's classes: large arrays and tiny ones, all idle work
-// that saves its progress.
+// guestJob returns an array job of the guest team. Large and small ones alike have priority idle
+// and save checkpoints.
 func guestJob(i, tasks int, cores, guess float64) *model.Submission {
 	s := arrayJob(i, tasks, guess)
 	s.Team, s.Priority, s.Cores, s.CheckpointS, s.SaveS = "guest", "idle", cores, 5, 1
 	return s
 }
 
-// begins notes when the first task of each job was first seen running by the leader.
+// recordStartTimes returns a map to which the time is added at which the leader first saw a
+// task of each job running.
 func (sim *simDeployment) recordStartTimes() map[string]model.Micros {
 	startTimes := map[string]model.Micros{}
 	var check func()
@@ -42,11 +43,10 @@
 	return startTimes
 }
 
-// A guest team without a guarantee comes with one huge sweep, many tiny probes and a class
-// for quiet hours, into a fleet that is full. They borrow what is idle: the sweep, its
-// class's largest job, begins within four minutes and goes on, and the team whose work is
-// within its guarantee does not wait for it, since the guest's tasks are evicted and
-// save their progress.
+// A guest team without a guarantee submits one large sweep, many tiny jobs and a few
+// off-peak jobs to a fleet that is full. They use idle capacity: the sweep, the largest job of
+// its class, starts within four minutes and keeps running. The team whose work is within its
+// guarantee does not wait for it, because the guest's tasks are evicted and save their progress.
 func TestGuestTeamWithLargeSweep(t *testing.T) {
 	sim := newDeployment(t, 81, guestSettings, map[string]int{"small/a/false": 4, "small/b/false": 4})
 	sim.waitForLeader(10 * model.Second)
@@ -78,19 +78,19 @@
 			late++
 		}
 		if u.reportedEnd != "done" {
-			t.Errorf("%s, within the guarantee: %q", u.submission.ID, u.reportedEnd)
+			t.Errorf("%s, within the guarantee, has end %q, want done", u.submission.ID, u.reportedEnd)
 		}
 	}
 	if late > len(guaranteed)/10 {
-		t.Errorf("%d of %d jobs within the guarantee began later than 30 s", late, len(guaranteed))
+		t.Errorf("%d of %d jobs within the guarantee started more than 30 s after submission, want at most a tenth", late, len(guaranteed))
 	}
 	for _, u := range guests {
 		ref := u.submission.ID
 		if at := startTimes[ref]; at == 0 || at-submitted[ref] > 240*model.Second {
-			t.Errorf("%s of the guest, submitted at %.0f s, began at %.0f s", ref, submitted[ref].Seconds(), at.Seconds())
+			t.Errorf("guest job %s, submitted at %.0f s, started at %.0f s, want within 240 s", ref, submitted[ref].Seconds(), at.Seconds())
 		}
 	}
-	sim.runUntil(900*model.Second, "all of the guest is done", func() bool {
+	sim.runUntil(900*model.Second, "all jobs of the guest are done", func() bool {
 		return !slices.ContainsFunc(guests, func(u *user) bool { return u.reportedEnd != "done" })
 	})
 	sim.requireInvariants()
