--- a/internal/controller/failing_jobs_test.go
+++ b/internal/controller/failing_jobs_test.go
@@ -6,89 +6,91 @@
 	"woadweir/internal/core/model"
 )
 
-// watchQuarantine collects the machines that are ever quarantined from now on.
+// recordQuarantinedMachines returns a set to which every machine is added that is quarantined
+// from now on.
 func (sim *simDeployment) recordQuarantinedMachines() map[string]bool {
 	quarantined := map[string]bool{}
-	var watch func()
-	watch = func() {
-		if l := sim.leader(); l != nil && l.ctl.leading != nil && l.ctl.leading.shard != nil {
-			for _, m := range l.ctl.leading.shard.Machines {
+	var check func()
+	check = func() {
+		if leader := sim.leader(); leader != nil && leader.ctl.leading != nil && leader.ctl.leading.shard != nil {
+			for _, m := range leader.ctl.leading.shard.Machines {
 				if m.Quarantined {
 					quarantined[m.ID] = true
 				}
 			}
 		}
-		sim.After(model.Second/2, watch)
+		sim.After(model.Second/2, check)
 	}
-	sim.After(0, watch)
+	sim.After(0, check)
 	return quarantined
 }
 
-// requireUnfinished checks that a job is known to a node and has not ended.
+// requireUnfinished checks that a node knows the job and that the job has not ended.
 func (u *user) requireUnfinished(n *simNode) {
 	u.sim.t.Helper()
 	status, _, _, known := n.ctl.view.Status(u.submission.ID)
 	if !known || u.reportedEnd != "" || status == "done" || status == "withdrawn" {
-		u.sim.t.Errorf("%s: known %v, status %q, ended %q", u.submission.ID, known, status, u.reportedEnd)
+		u.sim.t.Errorf("%s: known %v, status %q, reported end %q, want a known job that has not ended", u.submission.ID, known, status, u.reportedEnd)
 	}
 }
 
-// A job that was submitted with a mistake fails on every machine until its user
-// cancels it. Across a failover it must not burn the fleet, nor get healthy
-// machines set aside, nor be forgotten: it is retried with backoff, one task at
-// a time, its user is told that it waits, and the other jobs are served.
+// A job that was submitted with a mistake fails on every machine until its user cancels it.
+// Across a failover it must not use up the fleet, cause healthy machines to be quarantined,
+// or be lost: it is retried with backoff, one task at a time, its user is told that it
+// waits, and other jobs run.
 func TestJobThatFailsOnEveryMachine(t *testing.T) {
 	sim := newSmallDeployment(t, 41)
 	sim.invariants.FailingJobs = map[string]bool{}
-	var healthy, mistaken []*user
+	var healthy, failing []*user
 	for i := range 4 {
 		healthy = append(healthy, sim.submit(arrayJob(i, 8, 20), 0))
 	}
-	// Other work goes on all the while: where it runs, a failure is not the machine's.
+	// Other jobs run throughout: on a machine where they succeed, a failure of the failing
+	// jobs is not the machine's fault.
 	for i := range 15 {
 		sim.At(model.Micros(10+10*i)*model.Second, func() {
 			healthy = append(healthy, sim.submit(arrayJob(100+i, 8, 20), 0))
 		})
 	}
 	for i := range 2 {
-		sub := arrayJob(10+i, 16, 20)
-		sim.invariants.FailingJobs[sub.ID] = true
-		mistaken = append(mistaken, sim.submit(sub, 0))
+		submission := arrayJob(10+i, 16, 20)
+		sim.invariants.FailingJobs[submission.ID] = true
+		failing = append(failing, sim.submit(submission, 0))
 	}
 	quarantined := sim.recordQuarantinedMachines()
 	sim.Run(60 * model.Second)
 	sim.leader().crash()
 	sim.Run(sim.Now + 180*model.Second)
 	if len(quarantined) > 0 {
-		t.Errorf("healthy machines set aside for jobs that fail everywhere: %v", quarantined)
+		t.Errorf("healthy machines are quarantined because of jobs that fail everywhere: %v", quarantined)
 	}
 	for _, u := range healthy {
 		if u.reportedEnd != "done" {
-			t.Errorf("%s beside jobs that fail everywhere: %q", u.submission.ID, u.reportedEnd)
+			t.Errorf("%s, submitted beside jobs that fail everywhere, has end %q, want done", u.submission.ID, u.reportedEnd)
 		}
 	}
-	l := sim.leader()
-	if l == nil {
-		t.Fatal("nobody leads")
+	leader := sim.leader()
+	if leader == nil {
+		t.Fatal("no controller leads")
 	}
-	for _, u := range mistaken {
-		u.requireUnfinished(l)
+	for _, u := range failing {
+		u.requireUnfinished(leader)
 	}
 	// Without backoff each of the 32 tasks would be tried every few seconds for
-	// four minutes, some thousands of tries.
+	// four minutes, some thousands of attempts.
 	if n := sim.invariants.FailingJobAttempts; n > maxFailingJobAttempts {
-		t.Errorf("%d tries of tasks that fail everywhere, more than %d", n, maxFailingJobAttempts)
+		t.Errorf("%d attempts of tasks that fail everywhere, want at most %d", n, maxFailingJobAttempts)
 	}
-	for _, u := range mistaken {
+	for _, u := range failing {
 		u.cancel(nil)
 	}
-	sim.runUntil(60*model.Second, "the mistaken jobs are withdrawn", func() bool {
-		return mistaken[0].reportedEnd == "withdrawn" && mistaken[1].reportedEnd == "withdrawn"
+	sim.runUntil(60*model.Second, "the failing jobs are withdrawn", func() bool {
+		return failing[0].reportedEnd == "withdrawn" && failing[1].reportedEnd == "withdrawn"
 	})
 	sim.requireInvariants()
 }
 
-// maxMistakenTries bounds the tries of two jobs of 16 tasks that fail everywhere
-// in four minutes: each fails on a few machines before it is found out, then one
-// task at a time is tried, with a wait that doubles up to a minute.
+// maxFailingJobAttempts is the maximum number of attempts in four minutes of two jobs with 16
+// tasks that fail everywhere: each job fails on a few machines before this is detected, and
+// then one task at a time is tried, with a backoff that doubles up to a minute.
 const maxFailingJobAttempts = 120
