--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -49,40 +49,40 @@
 }
 
 // newFault draws the controller that a fault concerns.
-func newFaultInjection(sim *simDeployment, long model.Micros) *faultInjection {
-	n := sim.nodes[sim.Rand.IntN(len(sim.nodes))]
-	if l := sim.leader(); l != nil && sim.Chance(0.7) {
-		n = l
+func newFaultInjection(sim *simDeployment, duration model.Micros) *faultInjection {
+	node := sim.nodes[sim.Rand.IntN(len(sim.nodes))]
+	if leader := sim.leader(); leader != nil && sim.Chance(0.7) {
+		node = leader
 	}
-	return &faultInjection{simDeployment: sim, node: n, workers: sim.cloud.Workers(), duration: long}
+	return &faultInjection{simDeployment: sim, node: node, workers: sim.cloud.Workers(), duration: duration}
 }
 
 // fault has a fault of that kind begin now.
-func injectFault(sim *simDeployment, kind int, long model.Micros) {
+func injectFault(sim *simDeployment, kind int, duration model.Micros) {
 	sim.startedFaults = append(sim.startedFaults, fmt.Sprintf("%.3f %s", sim.Now.Seconds(), faults[kind].name))
-	faults[kind].inject(newFaultInjection(sim, long))
+	faults[kind].inject(newFaultInjection(sim, duration))
 }
 
 // restart ends a controller that is up, and starts it again within seconds.
-func (f *faultInjection) restart(n *simNode) {
-	if !n.alive {
+func (f *faultInjection) restart(node *simNode) {
+	if !node.alive {
 		return
 	}
 	delay := f.Between(100*model.Millisecond, 6*model.Second)
 	if f.Chance(0.3) {
 		delay = f.Between(0, 300*model.Millisecond)
 	}
-	n.crashFor(delay)
+	node.crashFor(delay)
 }
 
 func (f *faultInjection) restartAll() {
-	for _, n := range f.nodes {
-		f.restart(n)
+	for _, node := range f.nodes {
+		f.restart(node)
 	}
 }
 
-func (f *faultInjection) cutFromState(kind int) {
-	f.node.setStateLink(kind)
+func (f *faultInjection) cutFromState(link int) {
+	f.node.setStateLink(link)
 	f.After(f.duration, func() { f.node.setStateLink(linkOpen) })
 }
 
@@ -102,27 +102,27 @@
 }
 
 func (f *faultInjection) hangMachines() {
-	for _, x := range f.workers {
+	for _, worker := range f.workers {
 		if f.Chance(0.4) {
-			f.hang(x)
+			f.hang(worker)
 		}
 	}
 }
 
-func (f *faultInjection) hang(x *standin.Worker) {
-	x.SetHung(true)
-	f.After(f.duration, func() { x.SetHung(false) })
+func (f *faultInjection) hang(worker *standin.Worker) {
+	worker.SetHung(true)
+	f.After(f.duration, func() { worker.SetHung(false) })
 }
 
 func (f *faultInjection) loseMachines() {
-	for _, x := range f.workers {
+	for _, worker := range f.workers {
 		switch {
-		case x.Spot && f.Chance(0.7):
-			x.Recall(f.Between(0, 15*model.Second))
+		case worker.Spot && f.Chance(0.7):
+			worker.Recall(f.Between(0, 15*model.Second))
 		case f.Chance(0.2):
-			x.Terminate()
+			worker.Terminate()
 		case f.Chance(0.2):
-			x.FailsTasks = true
+			worker.FailsTasks = true
 		}
 	}
 }
@@ -130,17 +130,17 @@
 // isolateWithWorkers cuts a controller off from the state service and the other
 // controllers, but not from the workers.
 func (f *faultInjection) isolateWithWorkers() {
-	n := f.node
-	n.setStateLink(linkDropping)
-	n.peersCutOff = true
-	f.After(f.duration, func() { n.setStateLink(linkOpen); n.peersCutOff = false })
+	node := f.node
+	node.setStateLink(linkDropping)
+	node.peersCutOff = true
+	f.After(f.duration, func() { node.setStateLink(linkOpen); node.peersCutOff = false })
 }
 
 func (f *faultInjection) loseResponses() {
-	for _, x := range f.workers {
+	for _, worker := range f.workers {
 		if f.Chance(0.3) {
-			f.responsesLost[x.ID] = true
-			f.After(2*f.duration, func() { delete(f.responsesLost, x.ID) })
+			f.responsesLost[worker.ID] = true
+			f.After(2*f.duration, func() { delete(f.responsesLost, worker.ID) })
 		}
 	}
 }
@@ -149,9 +149,9 @@
 func (f *faultInjection) restartDuringElections() {
 	for i := range model.Micros(4) {
 		f.After(i*300*model.Millisecond, func() {
-			for _, n := range f.nodes {
-				if n.alive && f.Chance(0.6) {
-					n.crashFor(f.Between(0, 200*model.Millisecond))
+			for _, node := range f.nodes {
+				if node.alive && f.Chance(0.6) {
+					node.crashFor(f.Between(0, 200*model.Millisecond))
 				}
 			}
 		})
@@ -159,36 +159,36 @@
 }
 
 func (f *faultInjection) restartWorkers() {
-	for _, x := range f.workers {
+	for _, worker := range f.workers {
 		if f.Chance(0.4) {
-			x.Restart()
+			worker.Restart()
 		}
 	}
 }
 
 func (f *faultInjection) blockHeartbeats() {
-	for _, x := range f.workers {
+	for _, worker := range f.workers {
 		if f.Chance(0.4) {
-			f.heartbeatsBlocked[x.ID] = true
-			f.After(f.duration, func() { delete(f.heartbeatsBlocked, x.ID) })
+			f.heartbeatsBlocked[worker.ID] = true
+			f.After(f.duration, func() { delete(f.heartbeatsBlocked, worker.ID) })
 		}
 	}
 }
 
-func (f *faultInjection) delayWrites(lateBy func() model.Micros) {
-	f.lateWriteChance, f.lateWriteDelay = 0.4, lateBy
+func (f *faultInjection) delayWrites(delay func() model.Micros) {
+	f.lateWriteChance, f.lateWriteDelay = 0.4, delay
 	f.After(f.duration, func() { f.lateWriteChance = 0 })
 }
 
 func (f *faultInjection) cancelAndHang() {
-	for _, u := range f.users {
-		if !u.accepted || u.reportedEnd != "" || !f.Chance(0.5) {
+	for _, job := range f.users {
+		if !job.accepted || job.reportedEnd != "" || !f.Chance(0.5) {
 			continue
 		}
-		u.cancel(nil)
-		for _, x := range f.workers {
-			if x.HasTaskOf(u.submission.ID) && f.Chance(0.5) {
-				f.hang(x)
+		job.cancel(nil)
+		for _, worker := range f.workers {
+			if worker.HasTaskOf(job.submission.ID) && f.Chance(0.5) {
+				f.hang(worker)
 			}
 		}
 	}
@@ -196,13 +196,13 @@
 
 // cutOffZone cuts a zone with its workers and a controller off from all else.
 func (f *faultInjection) cutOffZone() {
-	n := f.node
-	n.setStateLink(linkDropping)
-	n.peersCutOff, n.usersCutOff = true, true
-	f.canReach = func(x *standin.Worker, o *simNode) bool { return (x.Zone == "a") == (o == n) }
+	node := f.node
+	node.setStateLink(linkDropping)
+	node.peersCutOff, node.usersCutOff = true, true
+	f.canReach = func(worker *standin.Worker, other *simNode) bool { return (worker.Zone == "a") == (other == node) }
 	f.After(f.duration, func() {
-		n.setStateLink(linkOpen)
-		n.peersCutOff, n.usersCutOff = false, false
+		node.setStateLink(linkOpen)
+		node.peersCutOff, node.usersCutOff = false, false
 		f.canReach = nil
 	})
 }
@@ -212,14 +212,14 @@
 func (f *faultInjection) repeatHeartbeats() {
 	f.recordsHeartbeats = true
 	f.After(3*model.Second, func() {
-		old := f.recordedHeartbeats
+		heartbeats := f.recordedHeartbeats
 		f.recordsHeartbeats, f.recordedHeartbeats = false, nil
-		if l := f.leader(); l != nil {
-			f.restart(l)
+		if leader := f.leader(); leader != nil {
+			f.restart(leader)
 		}
 		for i := range model.Micros(8) {
 			f.After(i*2*model.Second, func() {
-				replayHeartbeats(old)
+				replayHeartbeats(heartbeats)
 			})
 		}
 	})
@@ -227,10 +227,10 @@
 
 // cancelAtEnd has users cancel jobs at the moment of their end.
 func (f *faultInjection) cancelAtEnd() {
-	f.invariants.OnJobCompleted = func(ref string) {
-		for _, u := range f.users {
-			if u.submission.ID == ref && u.accepted && f.Chance(0.7) {
-				f.After(f.Between(0, 1500*model.Millisecond), func() { u.cancel(nil) })
+	f.invariants.OnJobCompleted = func(jobID string) {
+		for _, job := range f.users {
+			if job.submission.ID == jobID && job.accepted && f.Chance(0.7) {
+				f.After(f.Between(0, 1500*model.Millisecond), func() { job.cancel(nil) })
 			}
 		}
 	}
@@ -240,15 +240,15 @@
 // askEverywhere has users ask at all nodes, repeat submissions, also altered ones, and
 // cancel what is done.
 func (f *faultInjection) queryAllNodes() {
-	before := f.checksEveryNode
+	previous := f.checksEveryNode
 	f.checksEveryNode = true
-	for _, u := range f.users {
-		if u.accepted && f.Chance(0.6) {
-			u.checkEveryNode()
+	for _, job := range f.users {
+		if job.accepted && f.Chance(0.6) {
+			job.checkEveryNode()
 		}
-		if u.reportedEnd == "done" && f.Chance(0.5) {
-			u.cancel(nil)
+		if job.reportedEnd == "done" && f.Chance(0.5) {
+			job.cancel(nil)
 		}
 	}
-	f.checksEveryNode = before
+	f.checksEveryNode = previous
 }
--- a/internal/controller/fault_tolerance_test.go
+++ b/internal/controller/fault_tolerance_test.go
@@ -15,9 +15,9 @@
 func (sim *simDeployment) waitForRunningTasks(tasks int) *standin.Worker {
 	sim.t.Helper()
 	sim.runUntil(60*model.Second, "tasks run", func() bool { return sim.invariants.TasksOnMachines() >= tasks })
-	for _, x := range sim.cloud.Workers() {
-		if x.TaskCount() > 0 {
-			return x
+	for _, worker := range sim.cloud.Workers() {
+		if worker.TaskCount() > 0 {
+			return worker
 		}
 	}
 	sim.t.Fatal("no machine has a task")
@@ -31,31 +31,31 @@
 func TestMachineWithoutResponses(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		sim := newSmallDeployment(t, 21)
-		u := sim.submit(arrayJob(1, 12, 50), 0)
-		x := sim.waitForRunningTasks(12)
-		sim.responsesLost[x.ID] = true
+		job := sim.submit(arrayJob(1, 12, 50), 0)
+		worker := sim.waitForRunningTasks(12)
+		sim.responsesLost[worker.ID] = true
 		if takeover {
 			sim.leader().crash()
 		}
 		sim.Run(sim.Now + 25*model.Second)
-		if n := x.TaskCount(); n != 0 {
+		if n := worker.TaskCount(); n != 0 {
 			t.Fatalf("takeover %v: %d tasks on a machine without a lease", takeover, n)
 		}
-		l := sim.leader()
-		if l == nil {
+		leader := sim.leader()
+		if leader == nil {
 			t.Fatal("nobody leads")
 		}
 		sim.submit(arrayJob(2, 30, 5), 0)
 		sim.runUntil(80*model.Second, "it is returned", func() bool {
-			h := l.ctl.leading.shard.Machines[x.ID]
-			for _, y := range sim.cloud.Workers() {
-				if y == x {
+			machine := leader.ctl.leading.shard.Machines[worker.ID]
+			for _, other := range sim.cloud.Workers() {
+				if other == worker {
 					return false
 				}
 			}
-			return h == nil
+			return machine == nil
 		})
-		sim.runUntil(100*model.Second, "its work is done elsewhere", func() bool { return u.reportedEnd == "done" })
+		sim.runUntil(100*model.Second, "its work is done elsewhere", func() bool { return job.reportedEnd == "done" })
 		sim.requireInvariants()
 	}
 }
@@ -64,21 +64,21 @@
 // returned, and go on once they hear again.
 func TestFleetWithoutResponsesIsNotReturned(t *testing.T) {
 	sim := newSmallDeployment(t, 32)
-	u := sim.submit(arrayJob(1, 16, 40), 0)
+	job := sim.submit(arrayJob(1, 16, 40), 0)
 	sim.waitForRunningTasks(16)
-	before := sim.cloud.Workers()
-	for _, x := range before {
-		sim.responsesLost[x.ID] = true
+	workersBefore := sim.cloud.Workers()
+	for _, worker := range workersBefore {
+		sim.responsesLost[worker.ID] = true
 	}
 	sim.Run(sim.Now + 60*model.Second)
 	clear(sim.responsesLost)
-	now := sim.cloud.Workers()
-	for _, x := range before {
-		if !slices.Contains(now, x) {
-			t.Errorf("%s was returned", x.ID)
+	workersNow := sim.cloud.Workers()
+	for _, worker := range workersBefore {
+		if !slices.Contains(workersNow, worker) {
+			t.Errorf("%s was returned", worker.ID)
 		}
 	}
-	sim.runUntil(150*model.Second, "it is done", func() bool { return u.reportedEnd == "done" })
+	sim.runUntil(150*model.Second, "it is done", func() bool { return job.reportedEnd == "done" })
 	sim.requireInvariants()
 }
 
@@ -88,10 +88,10 @@
 func TestLateDuplicatesOfHeartbeats(t *testing.T) {
 	sim := newSmallDeployment(t, 22)
 	sim.duplicateHeartbeatChance = 0.5
-	var us []*user
+	var jobs []*user
 	for i := range 8 {
-		us = append(us, sim.submit(arrayJob(i, 8, 12), 0))
-		us = append(us, sim.submit(gangJob(20+i, 2, 15), 0))
+		jobs = append(jobs, sim.submit(arrayJob(i, 8, 12), 0))
+		jobs = append(jobs, sim.submit(gangJob(20+i, 2, 15), 0))
 	}
 	sim.Run(50 * model.Second)
 	sim.leader().crash()
@@ -99,7 +99,7 @@
 	sim.startStoppedNodes()
 	sim.Run(400 * model.Second)
 	sim.requireInvariants()
-	for _, u := range us {
+	for _, u := range jobs {
 		if u.reportedEnd != "done" {
 			t.Errorf("%s: %q", u.submission.ID, u.reportedEnd)
 		}
@@ -115,41 +115,41 @@
 	sim := newSmallDeployment(t, 23)
 	sim.recordsHeartbeats = true
 	sim.submit(arrayJob(1, 12, 300), 0)
-	x := sim.waitForRunningTasks(12)
+	worker := sim.waitForRunningTasks(12)
 	sim.Run(sim.Now + 5*model.Second)
-	old := sim.recordedHeartbeats
+	oldHeartbeats := sim.recordedHeartbeats
 	sim.recordsHeartbeats = false
 	sim.leader().crash()
-	x.Terminate()
-	for _, y := range sim.cloud.Workers() {
-		y.SetHung(true) // only the copies speak
-	}
-	sim.runUntil(15*model.Second, "another leads", func() bool { l := sim.leader(); return l != nil && l.ctl.leading.ready })
-	l := sim.leader().ctl.leading
-	bound := func() (n int) {
-		for _, js := range l.shard.Jobs {
-			n += js.BindingCount()
+	worker.Terminate()
+	for _, other := range sim.cloud.Workers() {
+		other.SetHung(true) // only the copies speak
+	}
+	sim.runUntil(15*model.Second, "another leads", func() bool { leader := sim.leader(); return leader != nil && leader.ctl.leading.ready })
+	leading := sim.leader().ctl.leading
+	countBindings := func() (n int) {
+		for _, job := range leading.shard.Jobs {
+			n += job.BindingCount()
 		}
 		return n
 	}
-	before, starts := bound(), sim.invariants.Starts
-	took := sim.Now
+	boundBefore, startsBefore := countBindings(), sim.invariants.Starts
+	replayStart := sim.Now
 	for range 3 {
-		replayHeartbeats(old)
+		replayHeartbeats(oldHeartbeats)
 		sim.Run(sim.Now + 3*model.Second)
 	}
-	if sim.Now > took+15*model.Second {
+	if sim.Now > replayStart+15*model.Second {
 		t.Fatal("the leases may be over by now")
 	}
-	if n := bound(); n != before || before != 12 {
-		t.Errorf("%d of %d bindings are left after copies of old reports", n, before)
+	if n := countBindings(); n != boundBefore || boundBefore != 12 {
+		t.Errorf("%d of %d bindings are left after copies of old reports", n, boundBefore)
 	}
-	if n := sim.invariants.Starts - starts; n != 0 {
+	if n := sim.invariants.Starts - startsBefore; n != 0 {
 		t.Errorf("%d starts", n)
 	}
-	for ref, h := range l.shard.Machines {
-		if h.ReceivesAnswers || h.Up {
-			t.Errorf("%s: hears %v, is up %v", ref, h.ReceivesAnswers, h.Up)
+	for id, machine := range leading.shard.Machines {
+		if machine.ReceivesAnswers || machine.Up {
+			t.Errorf("%s: hears %v, is up %v", id, machine.ReceivesAnswers, machine.Up)
 		}
 	}
 	sim.requireInvariants()
@@ -161,21 +161,24 @@
 func TestLeaderIsolatedWithWorkers(t *testing.T) {
 	sim := newSmallDeployment(t, 24)
 	sim.submit(arrayJob(1, 12, 90), 0)
-	u := sim.submit(arrayJob(2, 6, 90), 0)
+	job := sim.submit(arrayJob(2, 6, 90), 0)
 	sim.waitForRunningTasks(18)
-	n := sim.leader()
-	n.setStateLink(linkDropping)
-	n.peersCutOff = true
-	cut := sim.Now
-	u.cancelAt = sim.Now + 2*model.Second
-	sim.runUntil(n.ctl.authority.Times.TTL+3*model.Second, "a successor leads", func() bool { l := sim.leader(); return l != nil && l != n && l.ctl.leading.ready })
-	if n.ctl.authority.IsValid(n.ctl.clock()) {
+	leader := sim.leader()
+	leader.setStateLink(linkDropping)
+	leader.peersCutOff = true
+	isolatedAt := sim.Now
+	job.cancelAt = sim.Now + 2*model.Second
+	sim.runUntil(leader.ctl.authority.Times.TTL+3*model.Second, "a successor leads", func() bool {
+		successor := sim.leader()
+		return successor != nil && successor != leader && successor.ctl.leading.ready
+	})
+	if leader.ctl.authority.IsValid(leader.ctl.clock()) {
 		t.Fatal("two hold authority")
 	}
-	sim.runUntil(30*model.Second, "the cancellation is answered", func() bool { return u.reportedEnd == "withdrawn" })
-	sim.Run(cut + 80*model.Second)
-	n.setStateLink(linkOpen)
-	n.peersCutOff = false
+	sim.runUntil(30*model.Second, "the cancellation is answered", func() bool { return job.reportedEnd == "withdrawn" })
+	sim.Run(isolatedAt + 80*model.Second)
+	leader.setStateLink(linkOpen)
+	leader.peersCutOff = false
 	sim.Run(sim.Now + 60*model.Second)
 	sim.requireInvariants()
 	if got := sim.invariants.Starts; got > 18 {
@@ -189,29 +192,29 @@
 // crashInElections has every other election carried out while the process ends before it
 // gets the answer, and starts again at once.
 func (sim *simDeployment) crashDuringElections() *electionLog {
-	seen := new(electionLog)
-	for _, n := range sim.nodes {
-		n.intercept = func(m msgCommitted) bool {
+	elections := new(electionLog)
+	for _, node := range sim.nodes {
+		node.intercept = func(m msgCommitted) bool {
 			if m.lane != laneElection {
 				return false
 			}
-			seen.txns = append(seen.txns, m.txn)
-			if len(seen.txns)%2 == 0 {
+			elections.txns = append(elections.txns, m.txn)
+			if len(elections.txns)%2 == 0 {
 				return false
 			}
-			_, _ = sim.state.Commit(n.name, m.txn) // whatever comes of it
-			n.crashFor(sim.Between(10*model.Millisecond, 300*model.Millisecond))
+			_, _ = sim.state.Commit(node.name, m.txn) // whatever comes of it
+			node.crashFor(sim.Between(10*model.Millisecond, 300*model.Millisecond))
 			return true
 		}
 	}
-	return seen
+	return elections
 }
 
 func (sim *simDeployment) requireAtMostOneLeader() {
 	sim.t.Helper()
 	leaders := 0
-	for _, n := range sim.nodes {
-		if n.alive && n.ctl.leading != nil && n.ctl.authority.IsValid(n.ctl.clock()) {
+	for _, node := range sim.nodes {
+		if node.alive && node.ctl.leading != nil && node.ctl.authority.IsValid(node.ctl.clock()) {
 			leaders++
 		}
 	}
@@ -226,33 +229,33 @@
 func TestQuickRestartsDuringElections(t *testing.T) {
 	sim := newSmallDeployment(t, 25)
 	sim.duplicateRequestChance = 0.3
-	var us []*user
+	var jobs []*user
 	for i := range 6 {
-		us = append(us, sim.submit(arrayJob(i, 8, 20), 0))
+		jobs = append(jobs, sim.submit(arrayJob(i, 8, 20), 0))
 	}
 	sim.waitForRunningTasks(20)
 	elections := sim.crashDuringElections()
 	for range 5 {
-		if l := sim.leader(); l != nil {
-			l.crashFor(sim.Between(10*model.Millisecond, 300*model.Millisecond))
+		if leader := sim.leader(); leader != nil {
+			leader.crashFor(sim.Between(10*model.Millisecond, 300*model.Millisecond))
 		}
 		sim.Run(sim.Now + 3*model.Second)
 		sim.requireAtMostOneLeader()
 	}
-	for _, n := range sim.nodes {
-		n.intercept = nil
+	for _, node := range sim.nodes {
+		node.intercept = nil
 	}
 	sim.waitForLeader(20 * model.Second)
 	token := sim.leader().ctl.leading.token
-	for _, e := range elections.txns {
-		if res, err := sim.state.Commit("", e); err == nil && res.OK {
+	for _, txn := range elections.txns {
+		if res, err := sim.state.Commit("", txn); err == nil && res.OK {
 			t.Fatalf("a former election is carried out: %v, %v", res, err)
 		}
 	}
-	if now := sim.leader().ctl.leading.token; now != token {
-		t.Fatalf("token %d after %d", now, token)
+	if newToken := sim.leader().ctl.leading.token; newToken != token {
+		t.Fatalf("token %d after %d", newToken, token)
 	}
-	sim.runUntil(200*model.Second, "all is done", func() bool { return allReportedDone(us) })
+	sim.runUntil(200*model.Second, "all is done", func() bool { return allReportedDone(jobs) })
 	sim.requireInvariants()
 }
 
@@ -260,26 +263,26 @@
 // new session: they run again, and none twice at once.
 func TestQuickWorkerRestarts(t *testing.T) {
 	sim := newSmallDeployment(t, 26)
-	u := sim.submit(arrayJob(1, 12, 20), 0)
+	job := sim.submit(arrayJob(1, 12, 20), 0)
 	sim.waitForRunningTasks(12)
 	for range 3 {
-		for _, x := range sim.cloud.Workers() {
-			x.Restart()
+		for _, worker := range sim.cloud.Workers() {
+			worker.Restart()
 		}
 		sim.Run(sim.Now + 300*model.Millisecond)
 	}
-	sim.runUntil(120*model.Second, "it is done", func() bool { return u.reportedEnd == "done" })
+	sim.runUntil(120*model.Second, "it is done", func() bool { return job.reportedEnd == "done" })
 	sim.requireInvariants()
 }
 
 // overload is a time in which far more is submitted than can be taken.
 type overload struct {
 	*simDeployment
-	end             model.Micros
-	lastJobNumber   int // the number of the last job
-	refused         int // submissions that were refused
-	refusedLate     int // those of them whose answer took long
-	asked, answered int // questions about a job that was accepted before
+	end                model.Micros
+	lastJobNumber      int // the number of the last job
+	refusals           int // submissions that were refused
+	lateRefusals       int // those of them whose answer took long
+	requests, answered int // questions about a job that was accepted before
 }
 
 // flood submits 400 jobs a second at each controller; 25 changes a second may be made.
@@ -287,28 +290,28 @@
 	if o.Now >= o.end {
 		return
 	}
-	for _, n := range o.nodes {
-		if !n.alive {
+	for _, node := range o.nodes {
+		if !node.alive {
 			continue
 		}
 		for range 20 {
-			o.submitTo(n)
+			o.submitTo(node)
 		}
 	}
 	o.After(50*model.Millisecond, o.flood)
 }
 
-func (o *overload) submitTo(n *simNode) {
+func (o *overload) submitTo(node *simNode) {
 	o.lastJobNumber++
 	reply := make(chan userapi.Answer, 1)
-	asked := o.Now
-	s := arrayJob(o.lastJobNumber, 1, 1)
-	o.invariants.Submitted[s.ID] = s.Job(0)
-	n.send(msgSubmit{s.ID, s, nil, reply}, func() bool {
+	askedAt := o.Now
+	submission := arrayJob(o.lastJobNumber, 1, 1)
+	o.invariants.Submitted[submission.ID] = submission.Job(0)
+	node.send(msgSubmit{submission.ID, submission, nil, reply}, func() bool {
 		select {
 		case a := <-reply:
-			o.invariants.CheckAnswer(s.ID, a.Code, a.Body, asked)
-			o.countRefusal(a, asked)
+			o.invariants.CheckAnswer(submission.ID, a.Code, a.Body, askedAt)
+			o.countRefusal(a, askedAt)
 			return true
 		default:
 			return false
@@ -316,16 +319,16 @@
 	})
 }
 
-func (o *overload) countRefusal(a userapi.Answer, asked model.Micros) {
+func (o *overload) countRefusal(a userapi.Answer, askedAt model.Micros) {
 	if a.Code != 429 && a.Code != 503 {
 		return
 	}
-	o.refused++
+	o.refusals++
 	if a.RetryAfter == 0 {
 		o.t.Fatalf("refused with %d without a time to come back", a.Code)
 	}
-	if o.Now > asked+2*model.Second {
-		o.refusedLate++
+	if o.Now > askedAt+2*model.Second {
+		o.lateRefusals++
 	}
 }
 
@@ -334,7 +337,7 @@
 	if o.Now >= o.end {
 		return
 	}
-	o.asked++
+	o.requests++
 	o.sendUserRequest(nil, 2*model.Second, func(r chan<- userapi.Answer) any { return msgStatusRequest{job.submission.ID, r} }, func(a userapi.Answer) {
 		if a.Code == 200 {
 			o.answered++
@@ -355,17 +358,17 @@
 	first := sim.submit(arrayJob(1, 4, 60), 0)
 	cancelled := sim.submit(arrayJob(2, 4, 60), 30*model.Second)
 	sim.waitForRunningTasks(8)
-	o := &overload{simDeployment: sim, end: sim.Now + 60*model.Second, lastJobNumber: 1000}
-	sim.After(0, o.flood)
+	load := &overload{simDeployment: sim, end: sim.Now + 60*model.Second, lastJobNumber: 1000}
+	sim.After(0, load.flood)
 	sim.At(sim.Now+20*model.Second, func() { sim.leader().crashFor(4 * model.Second) })
-	o.pollStatus(first)
-	sim.Run(o.end)
+	load.pollStatus(first)
+	sim.Run(load.end)
 	// A few wait for a transaction whose answer got lost.
-	if o.refused < 1000 || o.refusedLate*1000 > o.refused {
-		t.Errorf("%d refused, %d of them held back", o.refused, o.refusedLate)
+	if load.refusals < 1000 || load.lateRefusals*1000 > load.refusals {
+		t.Errorf("%d refused, %d of them held back", load.refusals, load.lateRefusals)
 	}
-	if o.answered < o.asked*8/10 {
-		t.Errorf("%d of %d questions answered", o.answered, o.asked)
+	if load.answered < load.requests*8/10 {
+		t.Errorf("%d of %d questions answered", load.answered, load.requests)
 	}
 	if cancelled.reportedEnd != "withdrawn" {
 		t.Errorf("the cancelled job is %q", cancelled.reportedEnd)
@@ -378,33 +381,33 @@
 // by job.
 func TestAcceptedJobsSurviveRestartsOfAllControllers(t *testing.T) {
 	sim := newSmallDeployment(t, 28)
-	var us []*user
+	var jobs []*user
 	for i := range 40 {
-		us = append(us, sim.submit(arrayJob(i, 1+i%4, 5), 0))
+		jobs = append(jobs, sim.submit(arrayJob(i, 1+i%4, 5), 0))
 	}
 	sim.Run(12 * model.Second)
 	for round := range 3 {
-		for _, n := range sim.nodes {
-			n.crashFor(sim.Between(50*model.Millisecond, 4*model.Second))
+		for _, node := range sim.nodes {
+			node.crashFor(sim.Between(50*model.Millisecond, 4*model.Second))
 		}
 		sim.Run(sim.Now + model.Second*model.Micros(4+round))
 	}
 	sim.Run(sim.Now + 10*model.Second)
-	for _, u := range us {
+	for _, u := range jobs {
 		if !u.accepted {
 			continue
 		}
-		for _, n := range sim.nodes {
+		for _, node := range sim.nodes {
 			reply := make(chan userapi.Answer, 1)
-			n.send(msgStatusRequest{u.submission.ID, reply}, nil)
+			node.send(msgStatusRequest{u.submission.ID, reply}, nil)
 			sim.runUntil(3*model.Second, "an answer", func() bool { return len(reply) == 1 })
 			if a := <-reply; a.Code == 404 {
-				t.Errorf("%s is forgotten by %s", u.submission.ID, n.name)
+				t.Errorf("%s is forgotten by %s", u.submission.ID, node.name)
 			}
 		}
 	}
 	sim.runUntil(300*model.Second, "all that was accepted is done", func() bool {
-		for _, u := range us {
+		for _, u := range jobs {
 			if u.accepted && u.reportedEnd != "done" {
 				return false
 			}
@@ -420,46 +423,46 @@
 func TestNoStarvationInFullFleet(t *testing.T) {
 	sim := newSmallDeployment(t, 29)
 	sim.cloud.Capacity = map[string]int{"small/a/false": 3, "small/b/false": 3}
-	next := 100
-	var small func()
-	small = func() {
+	jobNumber := 100
+	var submitSmallGangs func()
+	submitSmallGangs = func() {
 		if sim.Now > 500*model.Second {
 			return
 		}
-		next++
-		s := gangJob(next, 1, 20)
-		s.Cores, s.Class = 3, "small"
-		sim.submit(s, 0)
-		sim.After(1200*model.Millisecond, small)
+		jobNumber++
+		submission := gangJob(jobNumber, 1, 20)
+		submission.Cores, submission.Class = 3, "small"
+		sim.submit(submission, 0)
+		sim.After(1200*model.Millisecond, submitSmallGangs)
 	}
-	small()
+	submitSmallGangs()
 	sim.Run(60 * model.Second)
-	big := gangJob(1, 6, 20)
-	big.SameZone, big.Cores = true, 3
-	ub := sim.submit(big, 0)
-	low := arrayJob(2, 3, 10)
-	low.Priority, low.Cores = "idle", 2
-	ul := sim.submit(low, 0)
-	since := sim.Now
-	began := map[string]model.Micros{}
-	before := 0
-	for sim.Now < since+240*model.Second {
+	bigSubmission := gangJob(1, 6, 20)
+	bigSubmission.SameZone, bigSubmission.Cores = true, 3
+	bigJob := sim.submit(bigSubmission, 0)
+	lowSubmission := arrayJob(2, 3, 10)
+	lowSubmission.Priority, lowSubmission.Cores = "idle", 2
+	lowJob := sim.submit(lowSubmission, 0)
+	begin := sim.Now
+	startDelay := map[string]model.Micros{}
+	startsBefore := 0
+	for sim.Now < begin+240*model.Second {
 		sim.Run(sim.Now + model.Second)
-		if l := sim.leader(); l != nil && l.ctl.leading.ready {
-			for _, ref := range []string{big.ID, low.ID} {
-				if js := l.ctl.leading.shard.Jobs[ref]; js != nil && js.HasRun && began[ref] == 0 {
-					began[ref] = sim.Now - since
+		if leader := sim.leader(); leader != nil && leader.ctl.leading.ready {
+			for _, id := range []string{bigSubmission.ID, lowSubmission.ID} {
+				if job := leader.ctl.leading.shard.Jobs[id]; job != nil && job.HasRun && startDelay[id] == 0 {
+					startDelay[id] = sim.Now - begin
 				}
 			}
 		}
-		if sim.Now == since+20*model.Second {
-			before = sim.invariants.Starts
+		if sim.Now == begin+20*model.Second {
+			startsBefore = sim.invariants.Starts
 		}
 	}
-	if began[big.ID] == 0 && ub.reportedEnd == "" || began[low.ID] == 0 && ul.reportedEnd == "" {
-		t.Errorf("begun after: %v", began)
+	if startDelay[bigSubmission.ID] == 0 && bigJob.reportedEnd == "" || startDelay[lowSubmission.ID] == 0 && lowJob.reportedEnd == "" {
+		t.Errorf("begun after: %v", startDelay)
 	}
-	if n := sim.invariants.Starts - before; n < 60 {
+	if n := sim.invariants.Starts - startsBefore; n < 60 {
 		t.Errorf("only %d tasks began meanwhile", n)
 	}
 	sim.requireInvariants()
@@ -470,14 +473,14 @@
 func TestHeartbeatWithOldTokenGetsTokenOnly(t *testing.T) {
 	sim := newSmallDeployment(t, 30)
 	sim.waitForLeader(5 * model.Second)
-	l := sim.leader()
+	leader := sim.leader()
 	reply := make(chan workerAnswer, 1)
-	l.send(msgHeartbeat{heartbeat: simHeartbeat("host-000999"), reply: reply}, nil)
+	leader.send(msgHeartbeat{heartbeat: simHeartbeat("host-000999"), reply: reply}, nil)
 	a := <-reply
-	if want := string(workerapi.Answer(l.ctl.leading.token, nil)); a.code != 200 || string(a.body) != want {
+	if want := string(workerapi.Answer(leader.ctl.leading.token, nil)); a.code != 200 || string(a.body) != want {
 		t.Errorf("answered %d %s", a.code, a.body)
 	}
-	if l.ctl.leading.shard.Machines["host-000999"] != nil {
+	if leader.ctl.leading.shard.Machines["host-000999"] != nil {
 		t.Error("a machine is in the books though its report may be an old copy")
 	}
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -71,30 +71,30 @@
 
 // asProduction is a record as production reads it, or writes it again.
 func reencodeAsProduction(path string, value json.RawMessage) (json.RawMessage, error) {
-	var rec any
+	var record any
 	switch kind, rest, _ := strings.Cut(path, "/"); {
 	case kind == "job" && rest != "" && !strings.Contains(rest, "/"):
-		rec = new(prodJob)
+		record = new(prodJob)
 	case kind == "bound":
-		rec = new(prodBundle)
+		record = new(prodBundle)
 	case kind == "leader":
-		rec = new(prodLeader)
+		record = new(prodLeader)
 	case kind == "grant":
-		rec = new(prodGrant)
+		record = new(prodGrant)
 	case kind == "flavors":
-		rec = new(prodFlavors)
+		record = new(prodFlavors)
 	case kind == "node":
 		return value, nil
 	default:
 		return nil, fmt.Errorf("%s: no such key", path)
 	}
-	if err := json.Unmarshal(value, rec); err != nil {
+	if err := json.Unmarshal(value, record); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if j, ok := rec.(*prodJob); ok && j.Spec == nil && j.End == "" {
+	if j, ok := record.(*prodJob); ok && j.Spec == nil && j.End == "" {
 		return nil, fmt.Errorf("%s is empty", path)
 	}
-	return json.Marshal(rec)
+	return json.Marshal(record)
 }
 
 // reads is a value as this node's version reads it.
@@ -110,12 +110,12 @@
 }
 
 // writes is a transaction as this node's version writes it.
-func (n *simNode) txnAsWritten(t *state.Txn) *state.Txn {
+func (n *simNode) txnAsWritten(txn *state.Txn) *state.Txn {
 	if !n.runsProductionVersion {
-		return t
+		return txn
 	}
-	out := &state.Txn{Conditions: t.Conditions}
-	for _, op := range t.Then {
+	out := &state.Txn{Conditions: txn.Conditions}
+	for _, op := range txn.Then {
 		raw, err := json.Marshal(op.Value)
 		if err != nil {
 			panic(err)
@@ -128,17 +128,17 @@
 
 // nextSettings announce limits that are to fall far.
 func settingsWithNextLimits(name string) *config.Settings {
-	s := simSettings(name)
+	submission := simSettings(name)
 	kb, ops, rate := 2.0, 5, 18.0
-	n := &s.Params.State.Next
-	n.ValueKB, n.TxnOps, n.WriteRPS = &kb, &ops, &rate
-	return s
+	next := &submission.Params.State.Next
+	next.ValueKB, next.TxnOps, next.WriteRPS = &kb, &ops, &rate
+	return submission
 }
 
 // restartAs starts a node at once with the version in production, or the new one.
-func (n *simNode) restartAs(old bool) {
+func (n *simNode) restartAs(production bool) {
 	n.crash()
-	n.runsProductionVersion = old
+	n.runsProductionVersion = production
 	n.start()
 }
 
@@ -152,29 +152,29 @@
 // records is all that the state service holds.
 func (sim *simDeployment) storedEntries() []state.Entry {
 	sim.t.Helper()
-	es, _, err := sim.state.List("node-0")
+	entries, _, err := sim.state.List("node-0")
 	if err != nil {
 		sim.t.Fatal(err)
 	}
-	return es
+	return entries
 }
 
 // requireReadByProduction fails if production can't read a record, or loses some of it when
 // it writes it again. It returns the kind of the record.
-func requireReadableByProduction(t *testing.T, e state.Entry) string {
+func requireReadableByProduction(t *testing.T, entry state.Entry) string {
 	t.Helper()
-	raw, err := reencodeAsProduction(e.Path, e.Value)
+	raw, err := reencodeAsProduction(entry.Path, entry.Value)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var ours, theirs map[string]any
-	if json.Unmarshal(e.Value, &ours) != nil || json.Unmarshal(raw, &theirs) != nil {
-		t.Fatalf("%s: %s", e.Path, e.Value)
+	if json.Unmarshal(entry.Value, &ours) != nil || json.Unmarshal(raw, &theirs) != nil {
+		t.Fatalf("%s: %s", entry.Path, entry.Value)
 	}
 	if delete(ours, "atMs"); fmt.Sprint(ours) != fmt.Sprint(theirs) {
-		t.Fatalf("%s: %s, which production reads as %s", e.Path, e.Value, raw)
+		t.Fatalf("%s: %s, which production reads as %s", entry.Path, entry.Value, raw)
 	}
-	kind, _, _ := strings.Cut(e.Path, "/")
+	kind, _, _ := strings.Cut(entry.Path, "/")
 	return kind
 }
 
@@ -205,44 +205,44 @@
 }
 
 // upgrade replaces all nodes, one after the other, and then runs f.
-func (sim *simDeployment) rollingUpgrade(at, every model.Micros, f func()) {
+func (sim *simDeployment) rollingUpgrade(start, interval model.Micros, done func()) {
 	for i, n := range sim.nodes {
-		sim.At(at+model.Micros(i)*every, n.restartUpgraded)
+		sim.At(start+model.Micros(i)*interval, n.restartUpgraded)
 	}
-	sim.At(at+model.Micros(len(sim.nodes))*every+6*model.Second, f)
+	sim.At(start+model.Micros(len(sim.nodes))*interval+6*model.Second, done)
 }
 
 // pipeline submits jobs one after another, each when those it awaits are accepted:
 // one first, some that await it, and a last one that awaits those and is due.
-func (sim *simDeployment) submitPipeline(first int, cancelAfter model.Micros) (us []*user) {
-	chosen := sim.Rand.IntN(4)
-	add := func(s *model.Submission, then func()) *user {
-		cancel := model.Micros(0)
-		if cancelAfter > 0 && s.ID == arrayJob(first+chosen, 1, 1).ID {
-			cancel = cancelAfter
+func (sim *simDeployment) submitPipeline(first int, cancelAfter model.Micros) (jobs []*user) {
+	cancelIndex := sim.Rand.IntN(4)
+	add := func(submission *model.Submission, onAccepted func()) *user {
+		cancelDelay := model.Micros(0)
+		if cancelAfter > 0 && submission.ID == arrayJob(first+cancelIndex, 1, 1).ID {
+			cancelDelay = cancelAfter
 		}
-		u := sim.submit(s, cancel)
-		u.onAccepted = then
-		us = append(us, u)
-		return u
-	}
-	a, b, c, last := arrayJob(first, 1+sim.Rand.IntN(6), 4), arrayJob(first+1, 1+sim.Rand.IntN(12), 6), gangJob(first+2, 1+sim.Rand.IntN(3), 6), arrayJob(first+3, 2, 3)
-	a.Priority, b.Priority, c.Priority, last.Priority = "idle", "idle", "standard", "urgent"
-	due := 60.0
-	last.DeadlineS = &due
-	b.Awaits, c.Awaits, last.Awaits = []string{a.ID}, []string{a.ID}, []string{b.ID, c.ID}
-	add(a, func() {
-		add(b, func() {
-			add(c, func() { add(last, nil) })
+		job := sim.submit(submission, cancelDelay)
+		job.onAccepted = onAccepted
+		jobs = append(jobs, job)
+		return job
+	}
+	root, array, gang, last := arrayJob(first, 1+sim.Rand.IntN(6), 4), arrayJob(first+1, 1+sim.Rand.IntN(12), 6), gangJob(first+2, 1+sim.Rand.IntN(3), 6), arrayJob(first+3, 2, 3)
+	root.Priority, array.Priority, gang.Priority, last.Priority = "idle", "idle", "standard", "urgent"
+	deadline := 60.0
+	last.DeadlineS = &deadline
+	array.Awaits, gang.Awaits, last.Awaits = []string{root.ID}, []string{root.ID}, []string{array.ID, gang.ID}
+	add(root, func() {
+		add(array, func() {
+			add(gang, func() { add(last, nil) })
 		})
 	})
-	return us
+	return jobs
 }
 
 // What production wrote is read, and means the same.
 func TestProductionRecordsAreRead(t *testing.T) {
-	v := state.NewView()
-	for stamp, r := range [][2]string{
+	view := state.NewView()
+	for revision, entry := range [][2]string{
 		{"job/j-000001", `{"spec":{"ref":"j-000001","jobclass":"c","owner":"red","shape":"sweep","rank":"urgent","pieces":3,"cores":2,"gpus":0,"memoryGb":4,"bundle":"img","imageGb":1,"loaners":true,"guessS":5,"keepsakeS":0,"stowS":0,"dueS":90,"atMs":1000}}`},
 		{"bound/b0/0", `{"hosts":{"host-000001":{"build":"small","yard":"a","spot":true,"pieces":{"j-000001":[[1,4194305],[2,4194306]]}},"host-000002":null},"done":{"j-000001":"AQ=="}}`},
 		{"job/j-000002", `{"end":"done","pieces":4}`},
@@ -252,28 +252,28 @@
 		{"flavors", `{"builds":[{"label":"small","cores":8,"gpus":0,"memoryGb":32,"cacheGb":20,"fetchGbPerS":1,"price":1,"lowPrice":0.3,"bootS":5,"yards":["a"]}]}`},
 		{"node/node-0", `{"session":7,"serve":"10.0.0.1:8080"}`},
 	} {
-		if _, err := reencodeAsProduction(r[0], json.RawMessage(r[1])); err != nil {
+		if _, err := reencodeAsProduction(entry[0], json.RawMessage(entry[1])); err != nil {
 			t.Fatalf("not a record of production: %v", err)
 		}
-		if ok, err := v.Set(r[0], json.RawMessage(r[1]), uint64(stamp+5)); !ok || err != nil {
-			t.Errorf("%s: %v, %v", r[0], ok, err)
+		if ok, err := view.Set(entry[0], json.RawMessage(entry[1]), uint64(revision+5)); !ok || err != nil {
+			t.Errorf("%s: %v, %v", entry[0], ok, err)
 		}
 	}
-	if status, done, running, _ := v.Status("j-000001"); status != "running" || done != 1 || running != 2 {
+	if status, done, running, _ := view.Status("j-000001"); status != "running" || done != 1 || running != 2 {
 		t.Errorf("j-000001 is %s, %d done, %d running", status, done, running)
 	}
-	for ref, want := range map[string]string{"j-000002": "done", "j-000003": "withdrawn"} {
-		if status, _, _, _ := v.Status(ref); status != want {
-			t.Errorf("%s is %s, want %s", ref, status, want)
+	for id, want := range map[string]string{"j-000002": "done", "j-000003": "withdrawn"} {
+		if status, _, _, _ := view.Status(id); status != want {
+			t.Errorf("%s is %s, want %s", id, status, want)
 		}
 	}
-	j := v.Jobs["j-000001"]
+	j := view.Jobs["j-000001"]
 	if !j.Ready() || j.ReadyMs() != 1000 || j.Job().Deadline != 90*model.Second || j.Job().Priority != model.HighPriority {
 		t.Errorf("j-000001 is read as %+v", j.Job())
 	}
 	// A job that awaits what production ended counts its times from its own submission.
-	v.Put("job/j-000004", shard.JobRecord{Spec: &model.Submission{ID: "j-000004", Tasks: 1, AcceptedMs: 9000, Awaits: []string{"j-000002"}}}, 30)
-	if j := v.Jobs["j-000004"]; !j.Ready() || j.ReadyMs() != 9000 {
+	view.Put("job/j-000004", shard.JobRecord{Spec: &model.Submission{ID: "j-000004", Tasks: 1, AcceptedMs: 9000, Awaits: []string{"j-000002"}}}, 30)
+	if j := view.Jobs["j-000004"]; !j.Ready() || j.ReadyMs() != 9000 {
 		t.Errorf("ready %v from %d ms", j.Ready(), j.ReadyMs())
 	}
 }
@@ -283,23 +283,23 @@
 // records get denser; at these it would stop instead of misreading them.
 func TestProductionReadsNewRecords(t *testing.T) {
 	sim := newDeployment(t, 51, settingsWithNextLimits, cloudCapacity(4, 2))
-	last := sim.nodes[2]
-	last.restartAs(true)
+	oldNode := sim.nodes[2]
+	oldNode.restartAs(true)
 	for i := range 8 {
 		sim.submit(arrayJob(i, 6, 8), model.Micros(i%3)*10*model.Second)
 		sim.submit(gangJob(20+i, 1+i%3, 8), 0)
 	}
-	seen := map[string]bool{}
+	kinds := map[string]bool{}
 	for range 40 {
 		sim.Run(sim.Now + model.Second)
 		for _, e := range sim.storedEntries() {
-			seen[requireReadableByProduction(t, e)] = true
+			kinds[requireReadableByProduction(t, e)] = true
 		}
 	}
-	if len(seen) != 6 {
-		t.Errorf("only records of %v", seen)
+	if len(kinds) != 6 {
+		t.Errorf("only records of %v", kinds)
 	}
-	last.restartAs(false)
+	oldNode.restartAs(false)
 	sim.submit(arrayJob(50, 10, 20), 0)
 	sim.runUntil(30*model.Second, "something dense is written", func() bool { return sim.countDenseRecords() > 0 })
 	// A leader that has not seen the others goes by what is written.
@@ -315,9 +315,9 @@
 	sim.nodes[2].start()
 	sim.Run(sim.Now + 90*model.Second)
 	sim.requireInvariants()
-	for ref := range sim.invariants.Accepted {
-		if sim.invariants.ReportedEnd(ref) == "" {
-			t.Errorf("%s never ended", ref)
+	for id := range sim.invariants.Accepted {
+		if sim.invariants.ReportedEnd(id) == "" {
+			t.Errorf("%s never ended", id)
 		}
 	}
 }
@@ -332,13 +332,13 @@
 		sim := newDeployment(t, rapid.Uint64().Draw(rt, "seed"), withFDLimit(rapid.SampledFrom([]int{0, 14}).Draw(rt, "sockets"), settingsWithNextLimits), cloudCapacity(4, 2))
 		sim.restartAllAsProduction()
 		sim.submitDuringUpgrade()
-		every := sim.Between(3*model.Second, 15*model.Second)
+		interval := sim.Between(3*model.Second, 15*model.Second)
 		after := &afterUpgrade{simDeployment: sim}
-		sim.rollingUpgrade(sim.Between(10*model.Second, 40*model.Second), every, after.begin)
+		sim.rollingUpgrade(sim.Between(10*model.Second, 40*model.Second), interval, after.begin)
 		for range rapid.IntRange(1, 8).Draw(rt, "faults") {
 			kind := rapid.IntRange(0, upgradeFaultKinds-1).Draw(rt, "kind")
-			long := sim.Between(model.Second, 25*model.Second)
-			sim.At(sim.Between(10*model.Second, 130*model.Second), func() { injectFault(sim, kind, long) })
+			duration := sim.Between(model.Second, 25*model.Second)
+			sim.At(sim.Between(10*model.Second, 130*model.Second), func() { injectFault(sim, kind, duration) })
 		}
 		sim.duplicateHeartbeatChance = rapid.SampledFrom([]float64{0, 0.05}).Draw(rt, "copies")
 		sim.At(160*model.Second, func() {
@@ -369,11 +369,11 @@
 func (sim *simDeployment) submitDuringUpgrade() {
 	for i := range 14 {
 		sim.At(sim.Between(0, 110*model.Second), func() {
-			s := arrayJob(i, 1+sim.Rand.IntN(12), float64(2+sim.Rand.IntN(25)))
+			submission := arrayJob(i, 1+sim.Rand.IntN(12), float64(2+sim.Rand.IntN(25)))
 			if sim.Chance(0.3) {
-				s = gangJob(i, 1+sim.Rand.IntN(4), float64(2+sim.Rand.IntN(25)))
+				submission = gangJob(i, 1+sim.Rand.IntN(4), float64(2+sim.Rand.IntN(25)))
 			}
-			sim.submit(s, model.Micros(sim.Rand.IntN(3)/2)*sim.Between(model.Second, 30*model.Second))
+			sim.submit(submission, model.Micros(sim.Rand.IntN(3)/2)*sim.Between(model.Second, 30*model.Second))
 		})
 	}
 }
@@ -389,12 +389,12 @@
 func (a *afterUpgrade) begin() {
 	for i := range 4 {
 		a.After(a.Between(0, 60*model.Second), func() {
-			cancel := model.Micros(0)
+			cancelDelay := model.Micros(0)
 			if a.Chance(0.4) {
-				cancel = a.Between(model.Second, 20*model.Second)
+				cancelDelay = a.Between(model.Second, 20*model.Second)
 			}
 			a.pipelines++
-			a.submitPipeline(100+10*i, cancel)
+			a.submitPipeline(100+10*i, cancelDelay)
 		})
 	}
 	a.After(a.Between(0, 40*model.Second), func() {
@@ -409,18 +409,18 @@
 func TestStateLimitsLoweredDuringTakeover(t *testing.T) {
 	sim := newDeployment(t, 52, settingsWithNextLimits, cloudCapacity(6, 2))
 	sim.restartAllAsProduction()
-	var us []*user
+	var jobs []*user
 	for i := range 3 {
-		s := arrayJob(i, 400, 25)
-		s.Cores, s.MemoryGB = 0.05, 0.1
-		us = append(us, sim.submit(s, 0))
+		submission := arrayJob(i, 400, 25)
+		submission.Cores, submission.MemoryGB = 0.05, 0.1
+		jobs = append(jobs, sim.submit(submission, 0))
 	}
 	sim.runUntil(60*model.Second, "many run", func() bool { return sim.invariants.TasksOnMachines() > 700 })
-	largest := func() (most int) {
+	largest := func() (size int) {
 		for _, e := range sim.storedEntries() {
-			most = max(most, len(e.Value))
+			size = max(size, len(e.Value))
 		}
-		return most
+		return size
 	}
 	if n := largest(); n < 4096 {
 		t.Fatalf("the largest value has %d bytes", n)
@@ -432,9 +432,9 @@
 	}
 	sim.After(500*model.Millisecond, func() { sim.state.LowerLimits(2, 5, 18) })
 	for i := 10; i < 14; i++ {
-		us = append(us, sim.submit(arrayJob(i, 20, 5), 0))
+		jobs = append(jobs, sim.submit(arrayJob(i, 20, 5), 0))
 	}
-	sim.runUntil(300*model.Second, "all is done", func() bool { return allReportedDone(us) })
+	sim.runUntil(300*model.Second, "all is done", func() bool { return allReportedDone(jobs) })
 	if sim.state.TooBigTxns > 0 {
 		t.Errorf("%d transactions were too large", sim.state.TooBigTxns)
 	}
@@ -445,44 +445,44 @@
 // anew, and goes on.
 func TestStateLimitsLoweredUnannounced(t *testing.T) {
 	sim := newSmallDeployment(t, 53)
-	var us []*user
+	var jobs []*user
 	for i := range 3 {
-		us = append(us, sim.submit(arrayJob(i, 30, 10), 0))
+		jobs = append(jobs, sim.submit(arrayJob(i, 30, 10), 0))
 	}
 	sim.runUntil(60*model.Second, "something runs", func() bool { return sim.invariants.TasksOnMachines() > 5 })
 	sim.state.LowerLimits(2, 4, 20)
 	for i := 10; i < 40; i++ {
-		us = append(us, sim.submit(arrayJob(i, 6, 5), 0))
+		jobs = append(jobs, sim.submit(arrayJob(i, 6, 5), 0))
 	}
-	sim.runUntil(400*model.Second, "all is done", func() bool { return allReportedDone(us) })
+	sim.runUntil(400*model.Second, "all is done", func() bool { return allReportedDone(jobs) })
 	sim.requireInvariants()
 }
 
 // What was accepted under larger limits can be cancelled under smaller ones, and a
 // leader can be elected though the limits of all teams do not fit into its grant.
 func TestCancellationAndElectionUnderLoweredLimits(t *testing.T) {
-	many := func(name string) *config.Settings {
+	settings := func(name string) *config.Settings {
 		s := settingsWithNextLimits(name)
 		for i := range 60 {
 			s.Params.Teams = append(s.Params.Teams, config.Team{Name: fmt.Sprintf("team-%d-of-many", i), CPUsMax: 10})
 		}
 		return s
 	}
-	sim := newDeployment(t, 54, many, cloudCapacity(4, 2))
+	sim := newDeployment(t, 54, settings, cloudCapacity(4, 2))
 	sim.restartAllAsProduction()
 	sim.waitForLeader(10 * model.Second)
-	long := arrayJob(1, 4, 60)
-	long.Image = strings.Repeat("x", 5000)
-	u := sim.submit(long, 0)
+	submission := arrayJob(1, 4, 60)
+	submission.Image = strings.Repeat("x", 5000)
+	job := sim.submit(submission, 0)
 	sim.waitForRunningTasks(4)
 	for _, n := range sim.nodes {
 		n.restartAs(false)
 	}
 	sim.state.LowerLimits(2, 5, 18)
 	sim.waitForLeader(20 * model.Second)
-	sim.invariants.CancelRequested(long.ID)
-	u.sendCancel()
-	sim.runUntil(10*model.Second, "it is cancelled", func() bool { return sim.invariants.ReportedEnd(long.ID) == "withdrawn" })
+	sim.invariants.CancelRequested(submission.ID)
+	job.sendCancel()
+	sim.runUntil(10*model.Second, "it is cancelled", func() bool { return sim.invariants.ReportedEnd(submission.ID) == "withdrawn" })
 	sim.runUntil(38*model.Second, "nothing of it is left", func() bool { return sim.invariants.TasksOnMachines() == 0 })
 	if sim.state.TooBigTxns > 0 {
 		t.Errorf("%d transactions were too large", sim.state.TooBigTxns)
