--- a/internal/controller/combined_failures_test.go
+++ b/internal/controller/combined_failures_test.go
@@ -8,12 +8,16 @@
 	"woadweir/internal/standin"
 )
 
-// meetings are the others, in the order in which the users name them.
+// combinedFailures lists combinations of failures and load. The comment of each says what
+// would be wrong if the combination were not handled. Combinations with a leader that the
+// state service refuses are also tested in refused_leader_test.go.
 var combinedFailures = []struct {
 	name string
 	run  func(sc *failureScenario)
 }{
-	{"all controllers away for longer than a lease", func(sc *failureScenario) {
+	// Tasks would outlive their leases, and a cancelled job would run again once controllers
+	// are back.
+	{"all controllers are down for longer than a lease, after a cancellation", func(sc *failureScenario) {
 		long, _, _ := sc.startMixedLoad()
 		long.cancel(nil)
 		sc.waitForCancelled(10*model.Second, long)
@@ -22,26 +26,29 @@
 		}
 		sc.Run(sc.Now + sc.workerLease() + sc.heartbeatInterval() + model.Second)
 		if n := sc.invariants.TasksOnMachines(); n != 0 || sc.leader() != nil {
-			sc.t.Fatalf("%d tasks are on machines without a lease", n)
+			sc.t.Fatalf("%d tasks are on machines after all leases have expired, or a controller leads", n)
 		}
 		sc.requireStopped(long)
 	}},
-	{"cancellations while work changes hands", func(sc *failureScenario) {
+	// The new leader would start tasks of jobs whose cancellation another controller
+	// confirmed before or during the takeover.
+	{"cancellations through other controllers during a leader change", func(sc *failureScenario) {
 		long, gang, _ := sc.startMixedLoad()
 		leader := sc.requireLeader()
 		leader.crash()
-		node := sc.otherNode(leader)
-		long.cancel(node)
+		sibling := sc.otherNode(leader)
+		long.cancel(sibling)
 		sc.waitForCancelled(sc.sessionTTL(), long)
 		if sc.readyLeader() != nil {
-			sc.t.Fatal("another leads already")
+			sc.t.Fatal("another controller has already taken over")
 		}
-		sc.runUntil(60*model.Second, "another leads", func() bool { return sc.leader() != nil })
+		sc.runUntil(60*model.Second, "another controller leads", func() bool { return sc.leader() != nil })
 		gang.cancel(sc.otherNode(sc.leader()))
 		sc.waitForCancelled(10*model.Second, gang)
 		sc.requireStopped(long, gang)
 	}},
-	{"transactions carried out late, after newer ones", func(sc *failureScenario) {
+	// A late transaction would overwrite what newer ones wrote, such as a cancellation.
+	{"transactions are applied late, after newer ones, with cancellations and a restart", func(sc *failureScenario) {
 		long, gang, _ := sc.startMixedLoad()
 		sc.lateWriteChance, sc.lateWriteDelay = 0.4, sc.longWriteDelay
 		sc.submitArray(8, 10)
@@ -53,10 +60,11 @@
 		gang.cancel(nil)
 		sc.Run(sc.Now + 30*model.Second)
 		if sc.lateWritesArrived < 10 {
-			sc.t.Fatalf("only %d transactions came late", sc.lateWritesArrived)
+			sc.t.Fatalf("only %d transactions arrived late, want at least 10", sc.lateWritesArrived)
 		}
 	}},
-	{"a transaction is carried out and its answer lost, while others read", func(sc *failureScenario) {
+	// A node would answer from a state older than what another node has told a user.
+	{"transactions are applied but their responses lost, while all nodes are queried", func(sc *failureScenario) {
 		long, _, _ := sc.startMixedLoad()
 		sc.lateWriteChance, sc.lateWriteDelay = 0.5, sc.shortWriteDelay
 		for range 6 {
@@ -69,10 +77,11 @@
 		}
 		sc.Run(sc.Now + 20*model.Second)
 		if sc.lateWritesApplied < 5 || sc.everyNodeAnswers < 50 {
-			sc.t.Fatalf("%d transactions without an answer, %d looks", sc.lateWritesApplied, sc.everyNodeAnswers)
+			sc.t.Fatalf("%d transactions applied without a response, want at least 5; %d queries answered, want at least 50", sc.lateWritesApplied, sc.everyNodeAnswers)
 		}
 	}},
-	{"more work than room, urgent and not, over slow links", func(sc *failureScenario) {
+	// Commands that arrive late would run tasks twice or let teams exceed their limits.
+	{"more work than capacity, of different priorities, over slow links", func(sc *failureScenario) {
 		sc.startMixedLoad()
 		sc.heartbeatLag = 1500 * model.Millisecond
 		for i := range 6 {
@@ -85,7 +94,7 @@
 			idleJob.Priority = "idle"
 			sc.submitAndTrack(idleJob)
 		}
-		sc.runUntil(60*model.Second, "there is more work than room", func() bool {
+		sc.runUntil(60*model.Second, "there is more work than capacity", func() bool {
 			leader := sc.requireLeader()
 			if leader == nil {
 				return false
@@ -98,7 +107,8 @@
 		})
 		sc.Run(sc.Now + 60*model.Second)
 	}},
-	{"old reports reach every controller as a new leader begins", func(sc *failureScenario) {
+	// The new leader would take replayed heartbeats for the present state of the machines.
+	{"old heartbeats reach every controller as a new leader takes over", func(sc *failureScenario) {
 		sc.recordsHeartbeats = true
 		long, _, _ := sc.startMixedLoad()
 		oldHeartbeats := sc.recordedHeartbeats
@@ -106,16 +116,17 @@
 		leader := sc.requireLeader()
 		leader.crash()
 		long.cancel(sc.otherNode(leader))
-		sc.runUntil(60*model.Second, "a new leader begins", func() bool { return sc.leader() != nil })
+		sc.runUntil(60*model.Second, "a new controller leads", func() bool { return sc.leader() != nil })
 		for range 20 {
 			replayHeartbeats(oldHeartbeats)
 			sc.Run(sc.Now + 100*model.Millisecond)
 		}
 		if len(oldHeartbeats) < 20 || sc.readyLeader() == nil {
-			sc.t.Fatalf("%d old reports", len(oldHeartbeats))
+			sc.t.Fatalf("%d old heartbeats replayed, want at least 20, and a leader that has taken over", len(oldHeartbeats))
 		}
 	}},
-	{"an answer is held up for seconds, and the machine then goes on", func(sc *failureScenario) {
+	// A machine would start or keep tasks of cancelled jobs after it resumes.
+	{"responses take seconds, and machines hang and resume, during cancellations", func(sc *failureScenario) {
 		long, gang, _ := sc.startMixedLoad()
 		sc.heartbeatLag = 3500 * model.Millisecond
 		sc.submitArray(8, 10)
@@ -132,11 +143,12 @@
 		gang.cancel(nil)
 		sc.waitForCancelled(15*model.Second, long, gang)
 		if hung < 3 {
-			sc.t.Fatalf("%d machines hung", hung)
+			sc.t.Fatalf("%d machines hung, want at least 3", hung)
 		}
 		sc.requireStopped(long, gang)
 	}},
-	{"a report is held back until a new leader has acted", func(sc *failureScenario) {
+	// The new leader would act on a heartbeat that was sent before its takeover.
+	{"heartbeats are held back until a new leader has acted", func(sc *failureScenario) {
 		long, _, _ := sc.startMixedLoad()
 		for i, worker := range sc.cloud.Workers() {
 			sc.delayedMachines[worker.ID] = i%2 == 0
@@ -146,7 +158,7 @@
 		leader := sc.requireLeader()
 		leader.crash()
 		long.cancel(sc.otherNode(leader))
-		sc.runUntil(60*model.Second, "a new leader has acted", func() bool {
+		sc.runUntil(60*model.Second, "a new leader has taken over and written its changes", func() bool {
 			node := sc.readyLeader()
 			return node != nil && node.ctl.leading.shard.PendingWrites() == 0 && len(node.ctl.leading.shard.Machines) > 0
 		})
@@ -157,11 +169,12 @@
 		}
 		clear(sc.delayedMachines)
 		if len(heldHeartbeats) == 0 {
-			sc.t.Fatal("no report was held back")
+			sc.t.Fatal("no heartbeat was held back")
 		}
 		sc.Run(sc.Now + 5*model.Second)
 	}},
-	{"jobs bound to one zone lose machines", func(sc *failureScenario) {
+	// Tasks would run outside the job's zone, or twice.
+	{"jobs bound to one zone lose machines as the leader restarts", func(sc *failureScenario) {
 		zone := "a"
 		var jobs []*user
 		for i := range 3 {
@@ -173,7 +186,7 @@
 			submission.Zone = &zone
 			jobs = append(jobs, sc.submitAndTrack(submission))
 		}
-		sc.runUntil(90*model.Second, "they run", func() bool { return sc.tasksOnMachines(jobs[0]) > 0 && sc.tasksOnMachines(jobs[2]) == 3 })
+		sc.runUntil(90*model.Second, "the jobs run", func() bool { return sc.tasksOnMachines(jobs[0]) > 0 && sc.tasksOnMachines(jobs[2]) == 3 })
 		lost := 0
 		for i, worker := range sc.cloud.Workers() {
 			if worker.Zone == zone && worker.TaskCount() > 0 && i%3 < 2 {
@@ -189,34 +202,37 @@
 		jobs[1].cancel(nil)
 		sc.Run(sc.Now + sc.workerLease())
 		if lost < 2 {
-			sc.t.Fatalf("%d machines were lost", lost)
+			sc.t.Fatalf("%d machines were lost, want at least 2", lost)
 		}
 	}},
-	{"a team at its limit, machines that can't be asked, a cancellation, a new leader", func(sc *failureScenario) { cancelAtTeamLimits(sc, "red") }},
-	{"a zone with workers and a controller is cut off for longer than a lease", func(sc *failureScenario) {
+	{"a team at its limit, with hung and unreachable machines, cancellations and leader changes", func(sc *failureScenario) { cancelAtTeamLimits(sc, "red") }},
+	// The old leader would go on starting tasks of jobs that were cancelled outside its zone.
+	{"a zone with workers and the leader is cut off for longer than a lease", func(sc *failureScenario) {
 		long, _, service := sc.startMixedLoad()
 		leader := sc.requireLeader()
 		leader.setStateLink(linkDropping)
 		leader.peersCutOff, leader.usersCutOff = true, true
 		sc.canReach = func(worker *standin.Worker, node *simNode) bool { return (worker.Zone == "a") == (node == leader) }
-		node := sc.otherNode(leader)
+		sibling := sc.otherNode(leader)
 		sc.submitArray(4, 10)
-		long.cancel(node)
-		service.cancel(node)
+		long.cancel(sibling)
+		service.cancel(sibling)
 		sc.waitForCancelled(20*model.Second, long, service)
 		sc.Run(sc.Now + sc.workerLease() + 2*model.Second)
 		if node := sc.readyLeader(); node == nil || node == leader {
-			sc.t.Fatal("no other leads")
+			sc.t.Fatal("no other controller leads")
 		}
 		sc.requireStopped(long, service)
 	}},
+	// Tasks in the other zone would outlive their leases, and the cancelled job would run
+	// again when the zones are connected again.
 	{"the zone of all controllers is cut off for longer than a lease, right after a cancellation", func(sc *failureScenario) {
 		long, gang, service := sc.startMixedLoad()
 		if sc.tasksInZone("a") == 0 || sc.tasksInZone("b") == 0 {
-			sc.t.Fatal("nothing runs in one of the zones")
+			sc.t.Fatal("one of the zones has no tasks")
 		}
 		leader := sc.requireLeader()
-		leader.setStateLink(linkDropping) // the leader does not hear of the cancellation
+		leader.setStateLink(linkDropping) // so that it does not learn of the cancellation
 		leader.peersCutOff = true
 		long.cancel(sc.otherNode(leader))
 		sc.waitForCancelled(10*model.Second, long)
@@ -233,12 +249,14 @@
 		}
 		sc.requireStopped(long)
 		sc.endFaults()
-		// What ended there goes on, a report and its start after the takeover.
-		sc.runUntil(3*sc.heartbeatInterval()+10*model.Second, "replicas and gang run again", func() bool {
+		// What ended in the other zone runs again: this takes a heartbeat and a start after the
+		// takeover.
+		sc.runUntil(3*sc.heartbeatInterval()+10*model.Second, "the service's replicas and the gang run again", func() bool {
 			return sc.tasksOnMachines(service) == 2 && sc.tasksOnMachines(gang) == 3
 		})
 	}},
-	{"jobs of two or three tasks end far apart across a change of leader", func(sc *failureScenario) {
+	// Completed tasks of jobs that are half done would be lost and run again.
+	{"jobs whose tasks end far apart are half done at leader changes", func(sc *failureScenario) {
 		sc.cloud.TaskDuration = func(*model.Job) model.Micros { return sc.Between(2*model.Second, 50*model.Second) }
 		for i := range 8 {
 			sc.submitArray(2+i%2, 20)
@@ -257,12 +275,14 @@
 			}
 		}
 		if halfDoneJobs == 0 {
-			sc.t.Fatal("no job was half done at a change of leader")
+			sc.t.Fatal("no job was half done at a leader change")
 		}
 	}},
-	{"a leader ends while machines with long tasks can't be reached or don't hear", func(sc *failureScenario) {
+	// A task would be started elsewhere while it still runs on a machine that the new leader
+	// does not hear from or that gets no responses.
+	{"the leader crashes while machines with long tasks are unreachable or get no responses", func(sc *failureScenario) {
 		long, gang, _ := sc.startMixedLoad()
-		unreached, unhearing := 0, 0
+		unreached, withoutResponses := 0, 0
 		for i, worker := range sc.cloud.Workers() {
 			switch {
 			case worker.TaskCount() == 0:
@@ -271,24 +291,26 @@
 				unreached++
 			case i%3 == 1:
 				sc.responsesLost[worker.ID] = true
-				unhearing++
+				withoutResponses++
 			}
 		}
 		leader := sc.requireLeader()
 		leader.crash()
-		sc.runUntil(60*model.Second, "another leads", func() bool { return sc.readyLeader() != nil })
+		sc.runUntil(60*model.Second, "another controller leads", func() bool { return sc.readyLeader() != nil })
 		gang.cancel(nil)
 		sc.Run(sc.Now + sc.workerLease()/2)
 		clear(sc.heartbeatsBlocked)
 		sc.Run(sc.Now + sc.workerLease())
-		long.cancel(sc.otherNode(leader)) // not at the node that is away: its users are not answered for 5 s
-		if unreached == 0 || unhearing == 0 {
-			sc.t.Fatal("no such machines")
+		long.cancel(sc.otherNode(leader)) // not through the crashed node, whose users get no answer for 5 s
+		if unreached == 0 || withoutResponses == 0 {
+			sc.t.Fatal("no task was on an unreachable machine, or none on a machine without responses")
 		}
 		sc.waitForCancelled(10*model.Second, long, gang)
 		sc.requireStopped(long, gang)
 	}},
-	{"new machines are up at once while writes lag, and the leader ends", func(sc *failureScenario) {
+	// The next leader would not know of tasks on a machine that booted before the delayed
+	// transactions were applied, and would start them twice.
+	{"new machines boot at once while transactions are late, and the leader restarts", func(sc *failureScenario) {
 		sc.cloud.FastBootChance = 1
 		sc.waitForLeader(10 * model.Second)
 		sc.lateWriteChance, sc.lateWriteDelay = 0.5, sc.longWriteDelay
@@ -307,14 +329,15 @@
 		long.cancel(nil)
 		sc.Run(sc.Now + 10*model.Second)
 		if sc.lateWritesArrived == 0 {
-			sc.t.Fatal("no write was late")
+			sc.t.Fatal("no transaction arrived late")
 		}
 	}},
-	{"the state service is slow, refuses the leader, then everybody, while users cancel and ask", func(sc *failureScenario) {
+	// A cancellation would be lost, or confirmed and not carried out in time.
+	{"the state service is slow, refuses the leader, then all, while users cancel and poll", func(sc *failureScenario) {
 		long, gang, service := sc.startMixedLoad()
 		sc.stateLag = 700 * model.Millisecond
 		sc.Run(sc.Now + 5*model.Second)
-		sc.runUntil(30*model.Second, "somebody leads", func() bool { return sc.leader() != nil })
+		sc.runUntil(30*model.Second, "a controller leads", func() bool { return sc.leader() != nil })
 		leader := sc.leader()
 		leader.setStateLink(linkRefusing)
 		for _, u := range []*user{long, gang, service} {
@@ -329,21 +352,23 @@
 		sc.waitForCancelled(60*model.Second, long, gang, service)
 		sc.requireStopped(long, gang, service)
 	}},
-	{"a leader alone with its workers and users, cancellations through the new one", func(sc *failureScenario) {
+	// The isolated leader would keep running, or start, jobs that its successor cancelled.
+	{"the leader is isolated with its workers and users, cancellations through its successor", func(sc *failureScenario) {
 		long, gang, _ := sc.startMixedLoad()
 		leader := sc.requireLeader()
 		leader.setStateLink(linkDropping)
 		leader.peersCutOff = true
-		sc.runUntil(90*model.Second, "another leads", func() bool { node := sc.readyLeader(); return node != nil && node != leader })
+		sc.runUntil(90*model.Second, "another controller leads", func() bool { node := sc.readyLeader(); return node != nil && node != leader })
 		long.cancel(sc.readyLeader())
 		gang.cancel(sc.readyLeader())
 		sc.waitForCancelled(10*model.Second, long, gang)
 		if leader.stateLink != linkDropping || !leader.alive {
-			sc.t.Fatal("the old leader is back")
+			sc.t.Fatal("the old leader is connected again or down")
 		}
 		sc.requireStopped(long, gang)
 	}},
-	{"old reports after newer ones, from earlier sessions and attempts", func(sc *failureScenario) {
+	// Heartbeats of earlier sessions or attempts would end or restart tasks that run now.
+	{"old heartbeats, from earlier sessions and attempts, arrive after newer ones", func(sc *failureScenario) {
 		sc.duplicateHeartbeatChance = 0.6
 		sc.recordsHeartbeats = true
 		long, _, _ := sc.startMixedLoad()
@@ -352,17 +377,18 @@
 				worker.Restart()
 			}
 		}
-		sc.runUntil(90*model.Second, "it runs again", func() bool { return sc.tasksOnMachines(long) == 6 })
+		sc.runUntil(90*model.Second, "the long job runs again", func() bool { return sc.tasksOnMachines(long) == 6 })
 		oldHeartbeats := sc.recordedHeartbeats
 		sc.recordsHeartbeats = false
 		starts := sc.invariants.Starts
 		replayHeartbeats(oldHeartbeats)
 		sc.Run(sc.Now + 3*sc.heartbeatInterval())
 		if len(oldHeartbeats) < 20 || sc.tasksOnMachines(long) != 6 {
-			sc.t.Fatalf("%d old reports, %d tasks, %d starts", len(oldHeartbeats), sc.tasksOnMachines(long), sc.invariants.Starts-starts)
+			sc.t.Fatalf("%d old heartbeats replayed, want at least 20; %d tasks run, want 6; %d starts", len(oldHeartbeats), sc.tasksOnMachines(long), sc.invariants.Starts-starts)
 		}
 	}},
-	{"leaders change ten times in two minutes, also inside an outage", func(sc *failureScenario) {
+	// Work and grants would be lost or doubled in takeovers that follow on each other.
+	{"ten leader changes in two minutes, some during an outage of the state service", func(sc *failureScenario) {
 		sc.startMixedLoad()
 		tokens := map[uint64]bool{}
 		end := sc.Now + 120*model.Second
@@ -388,10 +414,11 @@
 			}
 		}
 		if len(tokens) < 10 {
-			sc.t.Fatalf("only %d grants", len(tokens))
+			sc.t.Fatalf("only %d grants, want at least 10", len(tokens))
 		}
 	}},
-	{"workers reach no controller", func(sc *failureScenario) {
+	// Cancelled jobs would stay on machines that no controller can tell to stop.
+	{"most workers reach no controller, during cancellations and a leader restart", func(sc *failureScenario) {
 		long, gang, _ := sc.startMixedLoad()
 		for i, worker := range sc.cloud.Workers() {
 			sc.heartbeatsBlocked[worker.ID] = i%3 != 2
@@ -405,15 +432,17 @@
 		sc.Run(sc.Now + sc.workerLease())
 		sc.requireStopped(long, gang)
 	}},
-	{"every team at its limit, cancelled jobs on machines cut off or hanging, a new leader", func(sc *failureScenario) { cancelAtTeamLimits(sc, "red", "blue") }},
-	{"controllers hand over and back, all end, and one returns, also within a second", func(sc *failureScenario) {
+	{"all teams at their limits, with hung and unreachable machines, cancellations and leader changes", func(sc *failureScenario) { cancelAtTeamLimits(sc, "red", "blue") }},
+	// A controller that leads again soon would act on what it knew from its earlier term, or
+	// nobody would lead.
+	{"leadership changes twice, all controllers crash, and one is back within a second", func(sc *failureScenario) {
 		sc.startMixedLoad()
 		first := sc.requireLeader()
 		sc.restartAfter(first, 300*model.Millisecond)
-		sc.runUntil(60*model.Second, "somebody leads", func() bool { return sc.readyLeader() != nil })
+		sc.runUntil(60*model.Second, "a controller leads", func() bool { return sc.readyLeader() != nil })
 		second := sc.requireLeader()
 		second.setStateLink(linkRefusing)
-		sc.runUntil(60*model.Second, "another leads", func() bool { node := sc.readyLeader(); return node != nil && node != second })
+		sc.runUntil(60*model.Second, "another controller leads", func() bool { node := sc.readyLeader(); return node != nil && node != second })
 		second.setStateLink(linkOpen)
 		sc.Run(sc.Now + 2*model.Second)
 		sc.submitArray(4, 10)
@@ -424,11 +453,12 @@
 			}
 			sc.restartAfter(node, after)
 		}
-		// Another may have led; its session has to run out.
-		sc.runUntil(sc.sessionTTL()+6*model.Second, "the one that is back leads", func() bool { return sc.readyLeader() == second })
+		// Another controller may have led; its session has to expire first.
+		sc.runUntil(sc.sessionTTL()+6*model.Second, "the controller that is back leads", func() bool { return sc.readyLeader() == second })
 		sc.Run(sc.Now + 15*model.Second)
 	}},
-	{"one-task jobs four a second, a quarter cancelled", func(sc *failureScenario) {
+	// The writes of many small jobs would keep submissions from being accepted.
+	{"four one-task jobs per second, a quarter of them cancelled, and a leader restart", func(sc *failureScenario) {
 		sc.waitForLeader(10 * model.Second)
 		sc.Run(sc.Now + 5*model.Second)
 		for i := range 400 {
@@ -449,10 +479,11 @@
 			}
 		}
 		if accepted < 380 {
-			sc.t.Fatalf("%d of 400 are accepted", accepted)
+			sc.t.Fatalf("%d of 400 jobs were accepted, want at least 380", accepted)
 		}
 	}},
-	{"a cancellation, a question and a repetition meet the end of the last task", func(sc *failureScenario) {
+	// Nodes would report different ends of a job, or answer that an accepted job is unknown.
+	{"cancellations, status requests and repeated submissions as the last task ends", func(sc *failureScenario) {
 		jobsByID := map[string]*user{}
 		cancellations := 0
 		sc.invariants.OnJobCompleted = func(jobID string) {
@@ -474,7 +505,7 @@
 			jobsByID[job.submission.ID] = job
 		}
 		sc.Run(sc.Now + 60*model.Second)
-		// Once more, while cancellations wait for others' transactions that get no answer.
+		// Once more, while cancellations wait for other transactions, which get no answer.
 		sc.waitForLeader(60 * model.Second)
 		sc.lateWriteChance, sc.lateWriteDelay = 0.9, sc.shortWriteDelay
 		for i := range 60 {
@@ -484,13 +515,14 @@
 		}
 		sc.Run(sc.Now + 60*model.Second)
 		if cancellations < 3 {
-			sc.t.Fatalf("%d cancellations met the end of a job", cancellations)
+			sc.t.Fatalf("%d cancellations came as a job ended, want at least 3", cancellations)
 		}
 	}},
 }
 
-// atTheLimit has teams use all that they may, and then a cancellation while machines
-// can't be asked and the leader changes: what is on those machines goes on counting.
+// cancelAtTeamLimits brings teams to their limits, and then cancels their jobs while machines
+// are hung or unreachable and the leader changes. What is on those machines has to go on
+// counting against the limits.
 func cancelAtTeamLimits(sc *failureScenario, teams ...string) {
 	var cancelled, waiting []*user
 	for i, team := range teams {
@@ -526,10 +558,10 @@
 		u.cancel(nil)
 	}
 	sc.waitForCancelled(60*model.Second, cancelled...)
-	sc.runUntil(60*model.Second, "a new leader", func() bool { return sc.readyLeader() != nil })
+	sc.runUntil(60*model.Second, "a controller has taken over", func() bool { return sc.readyLeader() != nil })
 	sc.restartAfter(sc.requireLeader(), model.Second)
 	sc.requireStopped(cancelled...)
-	sc.runUntil(150*model.Second, "what waited runs", func() bool {
+	sc.runUntil(150*model.Second, "the jobs that waited are done", func() bool {
 		for _, u := range waiting {
 			if sc.invariants.ReportedEnd(u.submission.ID) != "done" {
 				return false
@@ -539,6 +571,8 @@
 	})
 }
 
+// TestCombinedFailures runs each combination under both settings of workers and with three
+// seeds, and then requires that the deployment recovers.
 func TestCombinedFailures(t *testing.T) {
 	for _, failure := range combinedFailures {
 		for i, times := range scenarioWorkerTimes {
--- a/internal/controller/failure_scenario_test.go
+++ b/internal/controller/failure_scenario_test.go
@@ -7,30 +7,31 @@
 	"woadweir/internal/core/model"
 )
 
-// Most rules that schedulers like this one broke were broken when two troubles met.
-// Each test here brings about one such meeting, asserts that it happened, and then that
-// the rules held and that the work was served. docs/meetings.md tells which points of
-// the safety argument carry them.
+// Most invariant violations in schedulers like this one occurred when two failures
+// coincided. Each test here makes failures coincide, asserts that they did, and then asserts
+// that the invariants held and that the accepted jobs ended. docs/meetings.md explains which
+// points of the safety argument cover the combinations.
 
-// meeting is a world in which troubles meet.
+// failureScenario is a simulated deployment in which failures coincide.
 type failureScenario struct {
 	*simDeployment
-	submitted     []*user
-	lastJobNumber int
+	submitted     []*user // jobs that have to end after the failures
+	lastJobNumber int     // number of the last array or gang that submitArray or submitGang submitted
 }
 
-// workerTimes are settings of workers, in seconds.
+// workerTimes holds the heartbeat interval, the lease and the cancellation time of workers,
+// in seconds.
 type workerTimes struct{ report, lease, cancel float64 }
 
-// The settings under which each meeting is brought about: short reports, and long ones
-// beside a short cancellation.
+// scenarioWorkerTimes are the settings under which each scenario runs: a short heartbeat
+// interval, and a long one combined with a cancellation time that is short for it.
 var scenarioWorkerTimes = []workerTimes{{2.5, 18, 38}, {8, 38, 58}}
 
 func (times workerTimes) settings(name string) *config.Settings {
-	submission := simSettings(name)
-	workers := &submission.Params.Workers
+	settings := simSettings(name)
+	workers := &settings.Params.Workers
 	workers.ReportS, workers.LeaseS, workers.CancelS = times.report, times.lease, times.cancel
-	return submission
+	return settings
 }
 
 func newFailureScenario(t *testing.T, times workerTimes, seed uint64) *failureScenario {
@@ -67,7 +68,8 @@
 	return sc.submitAndTrack(gangJob(sc.lastJobNumber, tasks, estimate))
 }
 
-// load is a mixed load: what runs long, what is short, and a service.
+// startMixedLoad submits long jobs, short jobs and a service, and waits until the long jobs
+// and the service run.
 func (sc *failureScenario) startMixedLoad() (long *user, gang *user, service *user) {
 	long, gang = sc.submitArray(6, 300), sc.submitGang(3, 300)
 	submission := arrayJob(500, 2, 0)
@@ -76,13 +78,13 @@
 	for range 3 {
 		sc.submitArray(4, 20)
 	}
-	sc.runUntil(90*model.Second, "the load runs", func() bool {
+	sc.runUntil(90*model.Second, "the long array, the gang and the service run", func() bool {
 		return sc.tasksOnMachines(long) == 6 && sc.tasksOnMachines(gang) == 3 && sc.tasksOnMachines(service) == 2
 	})
 	return long, gang, service
 }
 
-// tasksIn is the number of tasks on the machines of a zone.
+// tasksInZone returns the number of tasks on the machines of a zone.
 func (sc *failureScenario) tasksInZone(zone string) (n int) {
 	for _, worker := range sc.cloud.Workers() {
 		if worker.Zone == zone {
@@ -96,7 +98,8 @@
 	return sc.invariants.JobTasksOnMachines(u.submission.ID)
 }
 
-// readyLeader is the controller that leads and has taken over, nil if there is none.
+// readyLeader returns the controller that leads and has completed its takeover, or nil if
+// there is none.
 func (sc *failureScenario) readyLeader() *simNode {
 	if leader := sc.leader(); leader != nil && leader.ctl.leading.ready {
 		return leader
@@ -104,14 +107,15 @@
 	return nil
 }
 
-// requireLeader waits until a controller leads and has taken over, and returns it.
+// requireLeader waits until a controller leads and has completed its takeover, and returns
+// it.
 func (sc *failureScenario) requireLeader() *simNode {
 	sc.t.Helper()
 	sc.waitForLeader(60 * model.Second)
 	return sc.readyLeader()
 }
 
-// other is a node that is up and is not n.
+// otherNode returns a node that is up, other than the given one.
 func (sc *failureScenario) otherNode(node *simNode) *simNode {
 	for _, other := range sc.nodes {
 		if other != node && other.alive {
@@ -122,7 +126,7 @@
 	return nil
 }
 
-// withdrawn waits until users were told that the jobs are withdrawn.
+// waitForCancelled waits until users have been told that the jobs are withdrawn.
 func (sc *failureScenario) waitForCancelled(limit model.Micros, jobs ...*user) {
 	sc.t.Helper()
 	sc.runUntil(limit, "the cancellations are confirmed", func() bool {
@@ -135,6 +139,8 @@
 	})
 }
 
+// restartAfter crashes a node and starts it again after the given time, unless it is up
+// again by then.
 func (sc *failureScenario) restartAfter(node *simNode, after model.Micros) {
 	node.crash()
 	sc.After(after, func() {
@@ -144,7 +150,7 @@
 	})
 }
 
-// calm ends all troubles.
+// endFaults ends all injected faults and starts the nodes that are down.
 func (sc *failureScenario) endFaults() {
 	sc.state.SetOutage(false)
 	for _, node := range sc.nodes {
@@ -164,8 +170,9 @@
 	sc.invariants.FaultsOverAt = sc.Now
 }
 
-// requireServed ends all troubles and checks that the work is served: all that was accepted
-// comes to its end, nothing waits beside room, what comes anew runs, and the rules held.
+// requireRecovery ends all injected faults and checks that the deployment recovers: every
+// accepted job ends, no job waits while a machine has room for it, new jobs run, and no
+// invariant was violated.
 func (sc *failureScenario) requireRecovery() {
 	sc.t.Helper()
 	sc.endFaults()
@@ -184,14 +191,15 @@
 	sc.requireInvariants()
 	for _, u := range sc.submitted {
 		if sc.invariants.Accepted[u.submission.ID] && sc.invariants.ReportedEnd(u.submission.ID) == "" {
-			sc.t.Fatalf("%s never ended: %s", u.submission.ID, sc.describe())
+			sc.t.Fatalf("accepted job %s never ended: %s", u.submission.ID, sc.describe())
 		}
 	}
 	if n := sc.invariants.CancelledStarts; n > 0 {
-		sc.t.Logf("%d starts after a confirmed cancellation", n)
+		sc.t.Logf("%d tasks started after a confirmed cancellation", n)
 	}
 }
 
+// allEnded reports whether users have been told the end of every accepted job.
 func (sc *failureScenario) allEnded() bool {
 	for _, u := range sc.submitted {
 		if sc.invariants.Accepted[u.submission.ID] && sc.invariants.ReportedEnd(u.submission.ID) == "" {
@@ -201,8 +209,8 @@
 	return true
 }
 
-// requireStopped checks that nothing of the jobs is on machines once the time for a cancellation has
-// passed.
+// requireStopped checks that no task of the jobs is on a machine once the cancellation time
+// has passed.
 func (sc *failureScenario) requireStopped(jobs ...*user) {
 	sc.t.Helper()
 	for _, u := range jobs {
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -128,11 +128,11 @@
 
 // nextSettings announce limits that are to fall far.
 func settingsWithNextLimits(name string) *config.Settings {
-	submission := simSettings(name)
+	settings := simSettings(name)
 	kb, ops, rate := 2.0, 5, 18.0
-	next := &submission.Params.State.Next
+	next := &settings.Params.State.Next
 	next.ValueKB, next.TxnOps, next.WriteRPS = &kb, &ops, &rate
-	return submission
+	return settings
 }
 
 // restartAs starts a node at once with the version in production, or the new one.
