--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -7,48 +7,49 @@
 	"woadweir/internal/standin"
 )
 
-// faults are what schedules draw by number: new ones go to the end, or the schedules of all
-// seeds change.
+// faults lists the faults that random schedules draw by index. New ones have to be appended:
+// any other position changes the schedules of all seeds.
 var faults = [...]struct {
 	name   string
 	inject func(f *faultInjection)
 }{
 	{"a controller restarts", func(f *faultInjection) { f.restart(f.node) }},
 	{"all controllers restart", (*faultInjection).restartAll},
-	{"a controller's requests to the state service vanish", func(f *faultInjection) { f.cutFromState(linkDropping) }},
+	{"a controller's requests to the state service are lost", func(f *faultInjection) { f.cutFromState(linkDropping) }},
 	{"a controller's requests to the state service are held", func(f *faultInjection) { f.cutFromState(linkHolding) }},
 	{"the state service refuses a controller", func(f *faultInjection) { f.cutFromState(linkRefusing) }},
-	{"the state service is out", (*faultInjection).stateOutage},
-	{"no worker reaches a controller", (*faultInjection).cutFromWorkers},
+	{"the state service is down", (*faultInjection).stateOutage},
+	{"no worker reaches one of the controllers", (*faultInjection).cutFromWorkers},
 	{"the cloud is down", (*faultInjection).cloudOutage},
 	{"machines hang", (*faultInjection).hangMachines},
-	{"machines are recalled, end or become faulty", (*faultInjection).loseMachines},
-	{"a controller reaches its workers alone", (*faultInjection).isolateWithWorkers},
+	{"machines are recalled, terminated or fail all tasks", (*faultInjection).loseMachines},
+	{"a controller reaches only its workers", (*faultInjection).isolateWithWorkers},
 	{"machines get no responses", (*faultInjection).loseResponses},
 	{"controllers restart in the middle of elections", (*faultInjection).restartDuringElections},
 	{"workers restart", (*faultInjection).restartWorkers},
 	{"machines reach no controller", (*faultInjection).blockHeartbeats},
-	{"writes are carried out after newer ones", func(f *faultInjection) { f.delayWrites(f.longWriteDelay) }},
-	{"writes are carried out without an answer", func(f *faultInjection) { f.delayWrites(f.shortWriteDelay) }},
-	{"jobs are cancelled and machines of them hang", (*faultInjection).cancelAndHang},
+	{"transactions are applied after newer ones", func(f *faultInjection) { f.delayWrites(f.longWriteDelay) }},
+	{"transactions are applied without a response", func(f *faultInjection) { f.delayWrites(f.shortWriteDelay) }},
+	{"jobs are cancelled and some of their machines hang", (*faultInjection).cancelAndHang},
 	{"a zone with a controller is cut off", (*faultInjection).cutOffZone},
-	{"old heartbeats are repeated as another leads", (*faultInjection).repeatHeartbeats},
+	{"old heartbeats are replayed during a leader change", (*faultInjection).repeatHeartbeats},
 	{"jobs are cancelled as they end", (*faultInjection).cancelAtEnd},
-	{"users ask everywhere and cancel what is done", (*faultInjection).queryAllNodes},
+	{"users query all controllers and cancel completed jobs", (*faultInjection).queryAllNodes},
 }
 
 // faultKinds is the number of faults that schedules draw from.
 const faultKinds = len(faults)
 
-// faultRun is one occurrence of a fault.
+// faultInjection is one occurrence of a fault.
 type faultInjection struct {
 	*simDeployment
-	node     *simNode // the controller that it concerns: often the leader
-	workers  []*standin.Worker
-	duration model.Micros // how long it lasts
+	node     *simNode          // the controller that is affected, often the leader
+	workers  []*standin.Worker // the machines that are up when the fault begins
+	duration model.Micros      // how long the fault lasts
 }
 
-// newFault draws the controller that a fault concerns.
+// newFaultInjection draws the controller that a fault affects: the leader with 70%
+// probability if there is one, otherwise any.
 func newFaultInjection(sim *simDeployment, duration model.Micros) *faultInjection {
 	node := sim.nodes[sim.Rand.IntN(len(sim.nodes))]
 	if leader := sim.leader(); leader != nil && sim.Chance(0.7) {
@@ -57,13 +58,13 @@
 	return &faultInjection{simDeployment: sim, node: node, workers: sim.cloud.Workers(), duration: duration}
 }
 
-// fault has a fault of that kind begin now.
+// injectFault begins a fault of the given kind now.
 func injectFault(sim *simDeployment, kind int, duration model.Micros) {
 	sim.startedFaults = append(sim.startedFaults, fmt.Sprintf("%.3f %s", sim.Now.Seconds(), faults[kind].name))
 	faults[kind].inject(newFaultInjection(sim, duration))
 }
 
-// restart ends a controller that is up, and starts it again within seconds.
+// restart crashes a controller that is up, and starts it again within seconds.
 func (f *faultInjection) restart(node *simNode) {
 	if !node.alive {
 		return
@@ -81,6 +82,7 @@
 	}
 }
 
+// cutFromState breaks the node's link to the state service in the given way.
 func (f *faultInjection) cutFromState(link int) {
 	f.node.setStateLink(link)
 	f.After(f.duration, func() { f.node.setStateLink(linkOpen) })
@@ -145,7 +147,8 @@
 	}
 }
 
-// restartInElections has controllers restart so soon again that elections are going on.
+// restartDuringElections restarts controllers several times in quick succession, so that
+// they restart while elections are in progress.
 func (f *faultInjection) restartDuringElections() {
 	for i := range model.Micros(4) {
 		f.After(i*300*model.Millisecond, func() {
@@ -175,6 +178,8 @@
 	}
 }
 
+// delayWrites makes 40% of the transactions get no response and be applied after the given
+// delay.
 func (f *faultInjection) delayWrites(delay func() model.Micros) {
 	f.lateWriteChance, f.lateWriteDelay = 0.4, delay
 	f.After(f.duration, func() { f.lateWriteChance = 0 })
@@ -194,7 +199,7 @@
 	}
 }
 
-// cutOffZone cuts a zone with its workers and a controller off from all else.
+// cutOffZone isolates the workers of a zone and a controller from everything else.
 func (f *faultInjection) cutOffZone() {
 	node := f.node
 	node.setStateLink(linkDropping)
@@ -207,8 +212,8 @@
 	})
 }
 
-// repeatHeartbeats has what workers report in the next seconds arrive again at all
-// controllers, as another one leads.
+// repeatHeartbeats records the heartbeats of the next three seconds, restarts the leader, and
+// then delivers them again to all controllers, eight times.
 func (f *faultInjection) repeatHeartbeats() {
 	f.recordsHeartbeats = true
 	f.After(3*model.Second, func() {
@@ -225,7 +230,7 @@
 	})
 }
 
-// cancelAtEnd has users cancel jobs at the moment of their end.
+// cancelAtEnd makes users cancel jobs as their last task completes.
 func (f *faultInjection) cancelAtEnd() {
 	f.invariants.OnJobCompleted = func(jobID string) {
 		for _, job := range f.users {
@@ -237,8 +242,8 @@
 	f.After(f.duration, func() { f.invariants.OnJobCompleted = nil })
 }
 
-// askEverywhere has users ask at all nodes, repeat submissions, also altered ones, and
-// cancel what is done.
+// queryAllNodes makes users query all nodes, repeat submissions, some of them altered, and
+// cancel completed jobs.
 func (f *faultInjection) queryAllNodes() {
 	previous := f.checksEveryNode
 	f.checksEveryNode = true
--- a/internal/controller/fault_tolerance_test.go
+++ b/internal/controller/fault_tolerance_test.go
@@ -11,10 +11,11 @@
 	"woadweir/internal/workerapi"
 )
 
-// running waits until something of a job runs, and gives a machine that has it.
+// waitForRunningTasks waits until at least so many tasks are on machines, and returns a
+// machine that has some.
 func (sim *simDeployment) waitForRunningTasks(tasks int) *standin.Worker {
 	sim.t.Helper()
-	sim.runUntil(60*model.Second, "tasks run", func() bool { return sim.invariants.TasksOnMachines() >= tasks })
+	sim.runUntil(60*model.Second, "tasks are on machines", func() bool { return sim.invariants.TasksOnMachines() >= tasks })
 	for _, worker := range sim.cloud.Workers() {
 		if worker.TaskCount() > 0 {
 			return worker
@@ -24,10 +25,10 @@
 	return nil
 }
 
-// A machine whose reports arrive while it hears nothing ends its tasks with its
-// lease. None is started twice, none is waited for without end, it gets no more
-// work, and it is returned; also when another controller takes over meanwhile,
-// whose token it never sees.
+// A machine whose heartbeats arrive but that gets no responses ends its tasks when its lease
+// expires. No task may be started twice, none may be waited for forever, and the machine
+// must get no more work and be returned. The same holds if another controller takes over
+// meanwhile, whose token the machine never sees.
 func TestMachineWithoutResponses(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		sim := newSmallDeployment(t, 21)
@@ -39,14 +40,14 @@
 		}
 		sim.Run(sim.Now + 25*model.Second)
 		if n := worker.TaskCount(); n != 0 {
-			t.Fatalf("takeover %v: %d tasks on a machine without a lease", takeover, n)
+			t.Fatalf("takeover %v: %d tasks on a machine whose lease has expired, want 0", takeover, n)
 		}
 		leader := sim.leader()
 		if leader == nil {
-			t.Fatal("nobody leads")
+			t.Fatal("no controller leads")
 		}
 		sim.submit(arrayJob(2, 30, 5), 0)
-		sim.runUntil(80*model.Second, "it is returned", func() bool {
+		sim.runUntil(80*model.Second, "the machine is returned", func() bool {
 			machine := leader.ctl.leading.shard.Machines[worker.ID]
 			for _, other := range sim.cloud.Workers() {
 				if other == worker {
@@ -55,13 +56,13 @@
 			}
 			return machine == nil
 		})
-		sim.runUntil(100*model.Second, "its work is done elsewhere", func() bool { return job.reportedEnd == "done" })
+		sim.runUntil(100*model.Second, "the job is done on other machines", func() bool { return job.reportedEnd == "done" })
 		sim.requireInvariants()
 	}
 }
 
-// When no machine hears, the fault may be the controller's: they are not all
-// returned, and go on once they hear again.
+// If no machine gets responses, the fault may be the controller's: the machines are not
+// returned, and go on once they get responses again.
 func TestFleetWithoutResponsesIsNotReturned(t *testing.T) {
 	sim := newSmallDeployment(t, 32)
 	job := sim.submit(arrayJob(1, 16, 40), 0)
@@ -78,13 +79,13 @@
 			t.Errorf("%s was returned", worker.ID)
 		}
 	}
-	sim.runUntil(150*model.Second, "it is done", func() bool { return job.reportedEnd == "done" })
+	sim.runUntil(150*model.Second, "the job is done", func() bool { return job.reportedEnd == "done" })
 	sim.requireInvariants()
 }
 
-// Copies of reports come late, from seconds to well over a lease, to any
-// controller, across a takeover and machines that are gone: they revive nothing,
-// and nothing runs twice.
+// Copies of heartbeats arrive late, by seconds up to well over a lease, at any controller,
+// also after a takeover and from machines that are gone. They must not bring a machine or
+// task back, and no task may run twice.
 func TestLateDuplicatesOfHeartbeats(t *testing.T) {
 	sim := newSmallDeployment(t, 22)
 	sim.duplicateHeartbeatChance = 0.5
@@ -101,16 +102,17 @@
 	sim.requireInvariants()
 	for _, u := range jobs {
 		if u.reportedEnd != "done" {
-			t.Errorf("%s: %q", u.submission.ID, u.reportedEnd)
+			t.Errorf("%s ended as %q, want done", u.submission.ID, u.reportedEnd)
 		}
 	}
 	if n := sim.cloud.RentedCount(); n > 3 {
-		t.Errorf("%d machines are still rented", n)
+		t.Errorf("%d machines are still rented, want at most 3", n)
 	}
 }
 
-// A new holder remembers no sequence number. All the reports that machines ever sent, told
-// to it once more, free no binding, start nothing, and show no machine up.
+// A new leader knows no sequence numbers of heartbeats. If all heartbeats that machines ever
+// sent arrive at it again, they must not free a binding, start a task, or make a machine
+// count as up.
 func TestNewLeaderIgnoresOldHeartbeats(t *testing.T) {
 	sim := newSmallDeployment(t, 23)
 	sim.recordsHeartbeats = true
@@ -122,9 +124,9 @@
 	sim.leader().crash()
 	worker.Terminate()
 	for _, other := range sim.cloud.Workers() {
-		other.SetHung(true) // only the copies speak
+		other.SetHung(true) // so that only replayed heartbeats arrive
 	}
-	sim.runUntil(15*model.Second, "another leads", func() bool { leader := sim.leader(); return leader != nil && leader.ctl.leading.ready })
+	sim.runUntil(15*model.Second, "another controller leads", func() bool { leader := sim.leader(); return leader != nil && leader.ctl.leading.ready })
 	leading := sim.leader().ctl.leading
 	countBindings := func() (n int) {
 		for _, job := range leading.shard.Jobs {
@@ -139,25 +141,25 @@
 		sim.Run(sim.Now + 3*model.Second)
 	}
 	if sim.Now > replayStart+15*model.Second {
-		t.Fatal("the leases may be over by now")
+		t.Fatal("the leases may have expired by now")
 	}
 	if n := countBindings(); n != boundBefore || boundBefore != 12 {
-		t.Errorf("%d of %d bindings are left after copies of old reports", n, boundBefore)
+		t.Errorf("%d of %d bindings are left after replayed heartbeats, want all 12", n, boundBefore)
 	}
 	if n := sim.invariants.Starts - startsBefore; n != 0 {
-		t.Errorf("%d starts", n)
+		t.Errorf("%d tasks started by replayed heartbeats", n)
 	}
 	for id, machine := range leading.shard.Machines {
 		if machine.ReceivesAnswers || machine.Up {
-			t.Errorf("%s: hears %v, is up %v", id, machine.ReceivesAnswers, machine.Up)
+			t.Errorf("%s: receives answers %v, is up %v, want neither", id, machine.ReceivesAnswers, machine.Up)
 		}
 	}
 	sim.requireInvariants()
 }
 
-// A controller loses the state service and the other controllers, but not its
-// workers. Its authority ends in time, a successor takes over without a broken
-// rule, and a cancellation that it never saw is kept.
+// The leader loses the state service and the other controllers, but not its workers. Its
+// authority must end before a successor takes over, no invariant may be violated, and a
+// cancellation that it never saw must be carried out.
 func TestLeaderIsolatedWithWorkers(t *testing.T) {
 	sim := newSmallDeployment(t, 24)
 	sim.submit(arrayJob(1, 12, 90), 0)
@@ -173,24 +175,24 @@
 		return successor != nil && successor != leader && successor.ctl.leading.ready
 	})
 	if leader.ctl.authority.IsValid(leader.ctl.clock()) {
-		t.Fatal("two hold authority")
+		t.Fatal("the isolated leader still has authority")
 	}
-	sim.runUntil(30*model.Second, "the cancellation is answered", func() bool { return job.reportedEnd == "withdrawn" })
+	sim.runUntil(30*model.Second, "the cancellation is confirmed", func() bool { return job.reportedEnd == "withdrawn" })
 	sim.Run(isolatedAt + 80*model.Second)
 	leader.setStateLink(linkOpen)
 	leader.peersCutOff = false
 	sim.Run(sim.Now + 60*model.Second)
 	sim.requireInvariants()
 	if got := sim.invariants.Starts; got > 18 {
-		t.Errorf("%d starts for 18 tasks: running work was lost", got)
+		t.Errorf("%d starts for 18 tasks: running tasks were lost", got)
 	}
 }
 
-// elections are the transactions by which controllers tried to lead.
+// electionLog records the transactions by which controllers tried to become leader.
 type electionLog struct{ txns []*state.Txn }
 
-// crashInElections has every other election carried out while the process ends before it
-// gets the answer, and starts again at once.
+// crashDuringElections lets every other election transaction be applied while the controller
+// crashes before it gets the response, and restarts within 300 ms.
 func (sim *simDeployment) crashDuringElections() *electionLog {
 	elections := new(electionLog)
 	for _, node := range sim.nodes {
@@ -202,7 +204,7 @@
 			if len(elections.txns)%2 == 0 {
 				return false
 			}
-			_, _ = sim.state.Commit(node.name, m.txn) // whatever comes of it
+			_, _ = sim.state.Commit(node.name, m.txn) // the result does not matter here
 			node.crashFor(sim.Between(10*model.Millisecond, 300*model.Millisecond))
 			return true
 		}
@@ -219,13 +221,13 @@
 		}
 	}
 	if leaders > 1 {
-		sim.t.Fatalf("%d lead", leaders)
+		sim.t.Fatalf("%d controllers lead, want at most one", leaders)
 	}
 }
 
-// Controllers that are back within a fraction of a second, in the middle of
-// elections, while requests of their former selves are carried out once more
-// long afterwards: one leads at a time, and nothing is forgotten or run twice.
+// Controllers restart within a fraction of a second during elections, while requests that
+// they sent before the restart are applied once more long afterwards. Only one may lead at a
+// time, no accepted job may be forgotten, and no task may run twice.
 func TestQuickRestartsDuringElections(t *testing.T) {
 	sim := newSmallDeployment(t, 25)
 	sim.duplicateRequestChance = 0.3
@@ -249,18 +251,18 @@
 	token := sim.leader().ctl.leading.token
 	for _, txn := range elections.txns {
 		if res, err := sim.state.Commit("", txn); err == nil && res.OK {
-			t.Fatalf("a former election is carried out: %v, %v", res, err)
+			t.Fatalf("an earlier election transaction is applied again: %v, %v", res, err)
 		}
 	}
 	if newToken := sim.leader().ctl.leading.token; newToken != token {
-		t.Fatalf("token %d after %d", newToken, token)
+		t.Fatalf("the token is %d after earlier elections were repeated, want %d", newToken, token)
 	}
-	sim.runUntil(200*model.Second, "all is done", func() bool { return allReportedDone(jobs) })
+	sim.runUntil(200*model.Second, "all jobs are done", func() bool { return allReportedDone(jobs) })
 	sim.requireInvariants()
 }
 
-// A machine that is back within a fraction of a second has lost its tasks, in a
-// new session: they run again, and none twice at once.
+// A machine that restarts within a fraction of a second has lost its tasks and begins a new
+// session. The tasks must run again, and none twice at once.
 func TestQuickWorkerRestarts(t *testing.T) {
 	sim := newSmallDeployment(t, 26)
 	job := sim.submit(arrayJob(1, 12, 20), 0)
@@ -271,21 +273,22 @@
 		}
 		sim.Run(sim.Now + 300*model.Millisecond)
 	}
-	sim.runUntil(120*model.Second, "it is done", func() bool { return job.reportedEnd == "done" })
+	sim.runUntil(120*model.Second, "the job is done", func() bool { return job.reportedEnd == "done" })
 	sim.requireInvariants()
 }
 
-// overload is a time in which far more is submitted than can be taken.
+// overload submits far more jobs than can be accepted, until the time end, and counts the
+// answers.
 type overload struct {
 	*simDeployment
 	end                model.Micros
-	lastJobNumber      int // the number of the last job
-	refusals           int // submissions that were refused
-	lateRefusals       int // those of them whose answer took long
-	requests, answered int // questions about a job that was accepted before
+	lastJobNumber      int // number of the last submitted job
+	refusals           int // refused submissions
+	lateRefusals       int // refusals that took more than two seconds
+	requests, answered int // status requests for a job that was accepted before
 }
 
-// flood submits 400 jobs a second at each controller; 25 changes a second may be made.
+// flood submits 400 jobs per second to each controller; 25 writes per second are allowed.
 func (o *overload) flood() {
 	if o.Now >= o.end {
 		return
@@ -325,14 +328,14 @@
 	}
 	o.refusals++
 	if a.RetryAfter == 0 {
-		o.t.Fatalf("refused with %d without a time to come back", a.Code)
+		o.t.Fatalf("refused with %d without a retry time", a.Code)
 	}
 	if o.Now > askedAt+2*model.Second {
 		o.lateRefusals++
 	}
 }
 
-// ask asks about a job twice a second.
+// pollStatus requests the status of a job twice per second.
 func (o *overload) pollStatus(job *user) {
 	if o.Now >= o.end {
 		return
@@ -346,13 +349,12 @@
 	o.After(500*model.Millisecond, func() { o.pollStatus(job) })
 }
 
-// While far more is submitted than can be taken, what is refused is refused at
-// once with when to come back, every question about an accepted job is answered,
-// cancellations go through, and what was accepted runs: also right after a
-// takeover.
+// Far more jobs are submitted than can be accepted. Refusals must come at once and with a
+// retry time, status requests for an accepted job must be answered, cancellations must
+// succeed, and accepted jobs must run, also right after a takeover.
 func TestStatusRequestsAnsweredUnderOverload(t *testing.T) {
 	sim := newSmallDeployment(t, 27)
-	sim.runUntil(10*model.Second, "a leader that knows the machine types", func() bool {
+	sim.runUntil(10*model.Second, "a controller leads and all nodes know the machine types", func() bool {
 		return sim.leader() != nil && len(sim.nodes[0].ctl.view.MachineTypes) > 0 && len(sim.nodes[1].ctl.view.MachineTypes) > 0 && len(sim.nodes[2].ctl.view.MachineTypes) > 0
 	})
 	first := sim.submit(arrayJob(1, 4, 60), 0)
@@ -363,22 +365,22 @@
 	sim.At(sim.Now+20*model.Second, func() { sim.leader().crashFor(4 * model.Second) })
 	load.pollStatus(first)
 	sim.Run(load.end)
-	// A few wait for a transaction whose answer got lost.
+	// A few are refused late because they wait for a transaction whose response was lost.
 	if load.refusals < 1000 || load.lateRefusals*1000 > load.refusals {
-		t.Errorf("%d refused, %d of them held back", load.refusals, load.lateRefusals)
+		t.Errorf("%d submissions refused, want at least 1000; %d of them late, want at most one in 1000", load.refusals, load.lateRefusals)
 	}
 	if load.answered < load.requests*8/10 {
-		t.Errorf("%d of %d questions answered", load.answered, load.requests)
+		t.Errorf("%d of %d status requests answered, want at least 80%%", load.answered, load.requests)
 	}
 	if cancelled.reportedEnd != "withdrawn" {
-		t.Errorf("the cancelled job is %q", cancelled.reportedEnd)
+		t.Errorf("the cancelled job ended as %q, want withdrawn", cancelled.reportedEnd)
 	}
-	sim.runUntil(120*model.Second, "what was accepted first is done", func() bool { return first.reportedEnd == "done" })
+	sim.runUntil(120*model.Second, "the job that was accepted first is done", func() bool { return first.reportedEnd == "done" })
 	sim.requireInvariants()
 }
 
-// Whatever has been accepted before all controllers end runs or stays known, job
-// by job.
+// Every job that was accepted before all controllers crash must stay known to each of them
+// and must complete.
 func TestAcceptedJobsSurviveRestartsOfAllControllers(t *testing.T) {
 	sim := newSmallDeployment(t, 28)
 	var jobs []*user
@@ -400,13 +402,13 @@
 		for _, node := range sim.nodes {
 			reply := make(chan userapi.Answer, 1)
 			node.send(msgStatusRequest{u.submission.ID, reply}, nil)
-			sim.runUntil(3*model.Second, "an answer", func() bool { return len(reply) == 1 })
+			sim.runUntil(3*model.Second, "a status request is answered", func() bool { return len(reply) == 1 })
 			if a := <-reply; a.Code == 404 {
-				t.Errorf("%s is forgotten by %s", u.submission.ID, node.name)
+				t.Errorf("%s was accepted, but %s does not know it", u.submission.ID, node.name)
 			}
 		}
 	}
-	sim.runUntil(300*model.Second, "all that was accepted is done", func() bool {
+	sim.runUntil(300*model.Second, "all accepted jobs are done", func() bool {
 		for _, u := range jobs {
 			if u.accepted && u.reportedEnd != "done" {
 				return false
@@ -417,9 +419,9 @@
 	sim.requireInvariants()
 }
 
-// In a full fleet nothing starves: the largest gang of a class begins within
-// four minutes though small ones of its rank come all the time, single tasks of
-// the lowest rank begin beside them, and the small ones go on meanwhile.
+// No job may starve in a full fleet. The largest gang of a class must start within four
+// minutes although small gangs of the same priority arrive all the time, single tasks of the
+// lowest priority must start beside them, and the small gangs must continue meanwhile.
 func TestNoStarvationInFullFleet(t *testing.T) {
 	sim := newSmallDeployment(t, 29)
 	sim.cloud.Capacity = map[string]int{"small/a/false": 3, "small/b/false": 3}
@@ -460,16 +462,16 @@
 		}
 	}
 	if startDelay[bigSubmission.ID] == 0 && bigJob.reportedEnd == "" || startDelay[lowSubmission.ID] == 0 && lowJob.reportedEnd == "" {
-		t.Errorf("begun after: %v", startDelay)
+		t.Errorf("the large gang or the tasks of the lowest priority did not start in 240 s; started after: %v", startDelay)
 	}
 	if n := sim.invariants.Starts - startsBefore; n < 60 {
-		t.Errorf("only %d tasks began meanwhile", n)
+		t.Errorf("only %d tasks started meanwhile, want at least 60", n)
 	}
 	sim.requireInvariants()
 }
 
-// A machine that nobody expected is told the token, and nothing more, until a
-// report bears it: the report may be the copy of one of a machine long gone.
+// A machine that is not expected gets only the token until a heartbeat of it carries that
+// token: the heartbeat may be a copy from a machine that is long gone.
 func TestHeartbeatWithOldTokenGetsTokenOnly(t *testing.T) {
 	sim := newSmallDeployment(t, 30)
 	sim.waitForLeader(5 * model.Second)
@@ -478,9 +480,9 @@
 	leader.send(msgHeartbeat{heartbeat: simHeartbeat("host-000999"), reply: reply}, nil)
 	a := <-reply
 	if want := string(workerapi.Answer(leader.ctl.leading.token, nil)); a.code != 200 || string(a.body) != want {
-		t.Errorf("answered %d %s", a.code, a.body)
+		t.Errorf("answered %d %s, want 200 %s", a.code, a.body, want)
 	}
 	if leader.ctl.leading.shard.Machines["host-000999"] != nil {
-		t.Error("a machine is in the books though its report may be an old copy")
+		t.Error("the machine is registered although its heartbeat may be an old copy")
 	}
 }
