--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -18,42 +18,42 @@
 // beyond these it drops, and at keys that it does not know it stops.
 type (
 	prodSubmission struct {
-		Ref       string   `json:"ref"`
-		Class     string   `json:"jobclass"`
-		Owner     string   `json:"owner"`
-		Shape     string   `json:"shape"`
-		Rank      string   `json:"rank"`
-		Pieces    int      `json:"pieces"`
-		Cores     float64  `json:"cores"`
-		GPUs      float64  `json:"gpus"`
-		MemoryGB  float64  `json:"memoryGb"`
-		Bundle    string   `json:"bundle"`
-		ImageGB   float64  `json:"imageGb"`
-		Builds    []string `json:"builds,omitempty"`
-		Yard      *string  `json:"yard,omitempty"`
-		SamePlace bool     `json:"samePlace,omitempty"`
-		Apart     bool     `json:"apart,omitempty"`
-		Loaners   bool     `json:"loaners,omitempty"`
-		GuessS    float64  `json:"guessS"`
-		KeepsakeS float64  `json:"keepsakeS"`
-		StowS     float64  `json:"stowS"`
-		DueS      *float64 `json:"dueS,omitempty"`
-		AtMs      int64    `json:"atMs,omitempty"`
+		ID           string   `json:"ref"`
+		Class        string   `json:"jobclass"`
+		Team         string   `json:"owner"`
+		Kind         string   `json:"shape"`
+		Priority     string   `json:"rank"`
+		Tasks        int      `json:"pieces"`
+		Cores        float64  `json:"cores"`
+		GPUs         float64  `json:"gpus"`
+		MemoryGB     float64  `json:"memoryGb"`
+		Image        string   `json:"bundle"`
+		ImageGB      float64  `json:"imageGb"`
+		MachineTypes []string `json:"builds,omitempty"`
+		Zone         *string  `json:"yard,omitempty"`
+		SameZone     bool     `json:"samePlace,omitempty"`
+		Spread       bool     `json:"apart,omitempty"`
+		AllowsSpot   bool     `json:"loaners,omitempty"`
+		EstimateS    float64  `json:"guessS"`
+		CheckpointS  float64  `json:"keepsakeS"`
+		SaveS        float64  `json:"stowS"`
+		DeadlineS    *float64 `json:"dueS,omitempty"`
+		AcceptedMs   int64    `json:"atMs,omitempty"`
 	}
 	prodJob struct {
-		Spec   *prodSubmission `json:"spec,omitempty"`
-		End    string          `json:"end,omitempty"`
-		Pieces int             `json:"pieces,omitempty"`
+		Spec  *prodSubmission `json:"spec,omitempty"`
+		End   string          `json:"end,omitempty"`
+		Tasks int             `json:"pieces,omitempty"`
 	}
-	prodHost struct {
-		Build  string                 `json:"build"`
-		Yard   string                 `json:"yard"`
-		Spot   bool                   `json:"spot,omitempty"`
-		Pieces map[string][][2]uint64 `json:"pieces,omitempty"`
+	prodMachine struct {
+		MachineType string                 `json:"build"`
+		Zone        string                 `json:"yard"`
+		Spot        bool                   `json:"spot,omitempty"`
+		Tasks       map[string][][2]uint64 `json:"pieces,omitempty"`
 	}
 	prodBundle struct {
-		Hosts map[string]*prodHost `json:"hosts,omitempty"`
-		Done  map[string][]byte    `json:"done,omitempty"`
+		Machines map[string]*prodMachine `json:"hosts,omitempty"`
+		Done     map[string][]byte       `json:"done,omitempty"`
 	}
 	prodLeader struct {
 		Node    string `json:"node"`
@@ -64,8 +64,8 @@
 		Session uint64                     `json:"session"`
 		Credit  map[string]model.Resources `json:"credit"`
 	}
-	prodFlavors struct {
-		Builds []model.MachineType `json:"builds"`
+	prodMachineTypes struct {
+		MachineTypes []model.MachineType `json:"builds"`
 	}
 )
 
@@ -82,7 +82,7 @@
 	case kind == "grant":
 		record = new(prodGrant)
 	case kind == "flavors":
-		record = new(prodFlavors)
+		record = new(prodMachineTypes)
 	case kind == "node":
 		return value, nil
 	default:
