--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -14,8 +14,8 @@
 	"woadweir/internal/state"
 )
 
-// The records of the version in production, as it reads and writes them: fields
-// beyond these it drops, and at keys that it does not know it stops.
+// The records of the version in production, as it reads and writes them. It drops fields that
+// are not listed here, and stops at keys that it does not know.
 type (
 	prodSubmission struct {
 		ID           string   `json:"ref"`
@@ -69,7 +69,8 @@
 	}
 )
 
-// asProduction is a record as production reads it, or writes it again.
+// reencodeAsProduction returns a record as the version in production reads it and would write
+// it back. It fails where that version would stop.
 func reencodeAsProduction(path string, value json.RawMessage) (json.RawMessage, error) {
 	var record any
 	switch kind, rest, _ := strings.Cut(path, "/"); {
@@ -86,18 +87,18 @@
 	case kind == "node":
 		return value, nil
 	default:
-		return nil, fmt.Errorf("%s: no such key", path)
+		return nil, fmt.Errorf("unknown key %s", path)
 	}
 	if err := json.Unmarshal(value, record); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("decoding %s: %w", path, err)
 	}
 	if j, ok := record.(*prodJob); ok && j.Spec == nil && j.End == "" {
-		return nil, fmt.Errorf("%s is empty", path)
+		return nil, fmt.Errorf("%s has neither a specification nor an end", path)
 	}
 	return json.Marshal(record)
 }
 
-// reads is a value as this node's version reads it.
+// valueAsRead returns a stored value as the node's version reads it.
 func (n *simNode) valueAsRead(path string, value json.RawMessage) json.RawMessage {
 	if !n.runsProductionVersion || path == "" {
 		return value
@@ -109,7 +110,7 @@
 	return v
 }
 
-// writes is a transaction as this node's version writes it.
+// txnAsWritten returns a transaction as the node's version writes it.
 func (n *simNode) txnAsWritten(txn *state.Txn) *state.Txn {
 	if !n.runsProductionVersion {
 		return txn
@@ -126,7 +127,7 @@
 	return out
 }
 
-// nextSettings announce limits that are to fall far.
+// settingsWithNextLimits returns settings that announce much lower limits of the state service.
 func settingsWithNextLimits(name string) *config.Settings {
 	settings := simSettings(name)
 	kb, ops, rate := 2.0, 5, 18.0
@@ -135,21 +136,21 @@
 	return settings
 }
 
-// restartAs starts a node at once with the version in production, or the new one.
+// restartAs restarts a node at once, with the version in production or the new one.
 func (n *simNode) restartAs(production bool) {
 	n.crash()
 	n.runsProductionVersion = production
 	n.start()
 }
 
-// production has all nodes run the version in production.
+// restartAllAsProduction restarts all nodes with the version in production.
 func (sim *simDeployment) restartAllAsProduction() {
 	for _, n := range sim.nodes {
 		n.restartAs(true)
 	}
 }
 
-// records is all that the state service holds.
+// storedEntries returns everything that the state service stores.
 func (sim *simDeployment) storedEntries() []state.Entry {
 	sim.t.Helper()
 	entries, _, err := sim.state.List("node-0")
@@ -159,8 +160,8 @@
 	return entries
 }
 
-// requireReadByProduction fails if production can't read a record, or loses some of it when
-// it writes it again. It returns the kind of the record.
+// requireReadableByProduction fails if the version in production can't read a record, or loses
+// some of it when it writes it back. It returns the kind of the record.
 func requireReadableByProduction(t *testing.T, entry state.Entry) string {
 	t.Helper()
 	raw, err := reencodeAsProduction(entry.Path, entry.Value)
@@ -169,17 +170,17 @@
 	}
 	var ours, theirs map[string]any
 	if json.Unmarshal(entry.Value, &ours) != nil || json.Unmarshal(raw, &theirs) != nil {
-		t.Fatalf("%s: %s", entry.Path, entry.Value)
+		t.Fatalf("%s is not a JSON object: %s", entry.Path, entry.Value)
 	}
 	if delete(ours, "atMs"); fmt.Sprint(ours) != fmt.Sprint(theirs) {
-		t.Fatalf("%s: %s, which production reads as %s", entry.Path, entry.Value, raw)
+		t.Fatalf("%s is stored as %s, but the version in production reads it as %s", entry.Path, entry.Value, raw)
 	}
 	kind, _, _ := strings.Cut(entry.Path, "/")
 	return kind
 }
 
-// denseRecords is the number of records that production refuses to read. They may be
-// bundles only.
+// countDenseRecords returns the number of records that the version in production refuses to
+// read. These may only be bundles.
 func (sim *simDeployment) countDenseRecords() (refused int) {
 	sim.t.Helper()
 	for _, e := range sim.storedEntries() {
@@ -193,7 +194,7 @@
 	return refused
 }
 
-// replace ends a node and has it come back with the new version.
+// restartUpgraded crashes a node and starts it with the new version up to five seconds later.
 func (n *simNode) restartUpgraded() {
 	n.crash()
 	n.sim.After(n.sim.Between(100*model.Millisecond, 5*model.Second), func() {
@@ -204,7 +205,7 @@
 	})
 }
 
-// upgrade replaces all nodes, one after the other, and then runs f.
+// rollingUpgrade upgrades all nodes one after the other, and then calls done.
 func (sim *simDeployment) rollingUpgrade(start, interval model.Micros, done func()) {
 	for i, n := range sim.nodes {
 		sim.At(start+model.Micros(i)*interval, n.restartUpgraded)
@@ -212,8 +213,9 @@
 	sim.At(start+model.Micros(len(sim.nodes))*interval+6*model.Second, done)
 }
 
-// pipeline submits jobs one after another, each when those it awaits are accepted:
-// one first, some that await it, and a last one that awaits those and is due.
+// submitPipeline submits dependent jobs, each once the jobs that it awaits are accepted: a
+// first one, an array and a gang that await it, and a last one that awaits both and has a
+// deadline. If cancelAfter is not 0, it cancels one of them after that time.
 func (sim *simDeployment) submitPipeline(first int, cancelAfter model.Micros) (jobs []*user) {
 	cancelIndex := sim.Rand.IntN(4)
 	add := func(submission *model.Submission, onAccepted func()) *user {
@@ -239,7 +241,7 @@
 	return jobs
 }
 
-// What production wrote is read, and means the same.
+// Records that the version in production wrote must be read with their meaning unchanged.
 func TestProductionRecordsAreRead(t *testing.T) {
 	view := state.NewView()
 	for revision, entry := range [][2]string{
@@ -253,14 +255,14 @@
 		{"node/node-0", `{"session":7,"serve":"10.0.0.1:8080"}`},
 	} {
 		if _, err := reencodeAsProduction(entry[0], json.RawMessage(entry[1])); err != nil {
-			t.Fatalf("not a record of production: %v", err)
+			t.Fatalf("not a record of the version in production: %v", err)
 		}
 		if ok, err := view.Set(entry[0], json.RawMessage(entry[1]), uint64(revision+5)); !ok || err != nil {
-			t.Errorf("%s: %v, %v", entry[0], ok, err)
+			t.Errorf("reading %s: %v, error %v", entry[0], ok, err)
 		}
 	}
 	if status, done, running, _ := view.Status("j-000001"); status != "running" || done != 1 || running != 2 {
-		t.Errorf("j-000001 is %s, %d done, %d running", status, done, running)
+		t.Errorf("j-000001 is %s, %d done, %d running; want running, 1, 2", status, done, running)
 	}
 	for id, want := range map[string]string{"j-000002": "done", "j-000003": "withdrawn"} {
 		if status, _, _, _ := view.Status(id); status != want {
@@ -269,18 +271,20 @@
 	}
 	j := view.Jobs["j-000001"]
 	if !j.Ready() || j.ReadyMs() != 1000 || j.Job().Deadline != 90*model.Second || j.Job().Priority != model.HighPriority {
-		t.Errorf("j-000001 is read as %+v", j.Job())
+		t.Errorf("j-000001 is read as %+v; want ready from 1000 ms, deadline 90 s, high priority", j.Job())
 	}
-	// A job that awaits what production ended counts its times from its own submission.
+	// The times of a job that awaits a job that the version in production ended count from its
+	// own submission.
 	view.Put("job/j-000004", shard.JobRecord{Spec: &model.Submission{ID: "j-000004", Tasks: 1, AcceptedMs: 9000, Awaits: []string{"j-000002"}}}, 30)
 	if j := view.Jobs["j-000004"]; !j.Ready() || j.ReadyMs() != 9000 {
-		t.Errorf("ready %v from %d ms", j.Ready(), j.ReadyMs())
+		t.Errorf("j-000004: ready %v from %d ms, want true from 9000 ms", j.Ready(), j.ReadyMs())
 	}
 }
 
-// As long as one controller may run production, it can read all that the others
-// write, and loses nothing that it knows of when it writes it again. Once none may,
-// records get denser; at these it would stop instead of misreading them.
+// While any controller may run the version in production, that version must be able to read
+// everything that the others write, and must not lose fields that it knows when it writes a
+// record back. Once no controller may run it, bundles are written in the dense layout; at
+// these it would stop instead of misreading them.
 func TestProductionReadsNewRecords(t *testing.T) {
 	sim := newDeployment(t, 51, settingsWithNextLimits, cloudCapacity(4, 2))
 	oldNode := sim.nodes[2]
@@ -297,19 +301,19 @@
 		}
 	}
 	if len(kinds) != 6 {
-		t.Errorf("only records of %v", kinds)
+		t.Errorf("records of kinds %v were written, want 6 kinds", kinds)
 	}
 	oldNode.restartAs(false)
 	sim.submit(arrayJob(50, 10, 20), 0)
-	sim.runUntil(30*model.Second, "something dense is written", func() bool { return sim.countDenseRecords() > 0 })
-	// A leader that has not seen the others goes by what is written.
+	sim.runUntil(30*model.Second, "a dense record is written", func() bool { return sim.countDenseRecords() > 0 })
+	// A leader that has not seen the other controllers decides by the stored records.
 	for _, n := range sim.nodes {
 		n.crash()
 	}
 	sim.nodes[0].start()
 	sim.waitForLeader(20 * model.Second)
 	if !sim.nodes[0].ctl.usesDenseLayout() {
-		t.Error("a leader alone writes the plain form again")
+		t.Error("a leader without the other controllers uses the plain layout again")
 	}
 	sim.nodes[1].start()
 	sim.nodes[2].start()
@@ -317,15 +321,15 @@
 	sim.requireInvariants()
 	for id := range sim.invariants.Accepted {
 		if sim.invariants.ReportedEnd(id) == "" {
-			t.Errorf("%s never ended", id)
+			t.Errorf("accepted job %s never ended", id)
 		}
 	}
 }
 
-// Old and new version serve, lead and hold side by side under failures, and then
-// the limits fall and pipelines are asked for: no rule breaks, nothing that was
-// accepted is forgotten, and all of it ends. A node that crashes before its turn
-// comes back old.
+// The old and the new version serve, lead and hold grants side by side under failures. Then
+// the limits of the state service are lowered and pipelines are submitted. No invariant may be
+// violated, and every accepted job must stay known and end. A node that crashes before it is
+// upgraded restarts with the old version.
 func TestUpgradeUnderFailures(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -352,20 +356,20 @@
 		})
 		sim.Run(520 * model.Second)
 		if !after.limitsLowered || after.pipelines != 4 {
-			rt.Fatalf("the limits fell: %v; %d pipelines", after.limitsLowered, after.pipelines)
+			rt.Fatalf("limits lowered: %v, %d pipelines submitted; want true, 4", after.limitsLowered, after.pipelines)
 		}
 		requireInvariantsAndEnds(rt, sim)
 		if sim.state.TooBigTxns > 0 {
-			rt.Fatalf("%d transactions were too large for the limits that had been announced", sim.state.TooBigTxns)
+			rt.Fatalf("%d transactions exceeded the limits that had been announced", sim.state.TooBigTxns)
 		}
 	})
 }
 
-// upgradeFaultKinds is the number of the faults, the first ones, that are drawn during an
-// upgrade.
+// upgradeFaultKinds is the number of faults that are drawn during an upgrade: the first ones
+// of the list.
 const upgradeFaultKinds = 14
 
-// submitDuringUpgrade has arrays and gangs submitted at any time, and some cancelled.
+// submitDuringUpgrade schedules arrays and gangs at random times, and cancels some.
 func (sim *simDeployment) submitDuringUpgrade() {
 	for i := range 14 {
 		sim.At(sim.Between(0, 110*model.Second), func() {
@@ -378,8 +382,8 @@
 	}
 }
 
-// afterUpgrade is what follows once all nodes run the new version: pipelines are submitted
-// and the limits fall.
+// afterUpgrade submits pipelines and lowers the limits of the state service once all nodes
+// run the new version.
 type afterUpgrade struct {
 	*simDeployment
 	pipelines     int
@@ -403,9 +407,9 @@
 	})
 }
 
-// The limits fall in the middle of a takeover, with large bundles of production
-// still stored and a machine that holds more pieces than a value now bears. What
-// it left is worked off, and nothing is lost or stuck.
+// The limits of the state service are lowered during a takeover, while large bundles of the
+// version in production are still stored, and a machine has more tasks than fit into a value
+// now. All of these must be processed, and no job may be lost or get stuck.
 func TestStateLimitsLoweredDuringTakeover(t *testing.T) {
 	sim := newDeployment(t, 52, settingsWithNextLimits, cloudCapacity(6, 2))
 	sim.restartAllAsProduction()
@@ -415,7 +419,7 @@
 		submission.Cores, submission.MemoryGB = 0.05, 0.1
 		jobs = append(jobs, sim.submit(submission, 0))
 	}
-	sim.runUntil(60*model.Second, "many run", func() bool { return sim.invariants.TasksOnMachines() > 700 })
+	sim.runUntil(60*model.Second, "more than 700 tasks are on machines", func() bool { return sim.invariants.TasksOnMachines() > 700 })
 	largest := func() (size int) {
 		for _, e := range sim.storedEntries() {
 			size = max(size, len(e.Value))
@@ -423,7 +427,7 @@
 		return size
 	}
 	if n := largest(); n < 4096 {
-		t.Fatalf("the largest value has %d bytes", n)
+		t.Fatalf("the largest value has %d bytes, want at least 4096", n)
 	}
 	for _, n := range sim.nodes {
 		n.crash()
@@ -434,32 +438,32 @@
 	for i := 10; i < 14; i++ {
 		jobs = append(jobs, sim.submit(arrayJob(i, 20, 5), 0))
 	}
-	sim.runUntil(300*model.Second, "all is done", func() bool { return allReportedDone(jobs) })
+	sim.runUntil(300*model.Second, "all jobs are done", func() bool { return allReportedDone(jobs) })
 	if sim.state.TooBigTxns > 0 {
-		t.Errorf("%d transactions were too large", sim.state.TooBigTxns)
+		t.Errorf("%d transactions exceeded the limits", sim.state.TooBigTxns)
 	}
 	sim.requireInvariants()
 }
 
-// Limits that fall below what was announced are found out: what is refused is cut
-// anew, and goes on.
+// Limits that are lowered without announcement must be detected: refused changes are split
+// again into smaller transactions, and work continues.
 func TestStateLimitsLoweredUnannounced(t *testing.T) {
 	sim := newSmallDeployment(t, 53)
 	var jobs []*user
 	for i := range 3 {
 		jobs = append(jobs, sim.submit(arrayJob(i, 30, 10), 0))
 	}
-	sim.runUntil(60*model.Second, "something runs", func() bool { return sim.invariants.TasksOnMachines() > 5 })
+	sim.runUntil(60*model.Second, "more than 5 tasks are on machines", func() bool { return sim.invariants.TasksOnMachines() > 5 })
 	sim.state.LowerLimits(2, 4, 20)
 	for i := 10; i < 40; i++ {
 		jobs = append(jobs, sim.submit(arrayJob(i, 6, 5), 0))
 	}
-	sim.runUntil(400*model.Second, "all is done", func() bool { return allReportedDone(jobs) })
+	sim.runUntil(400*model.Second, "all jobs are done", func() bool { return allReportedDone(jobs) })
 	sim.requireInvariants()
 }
 
-// What was accepted under larger limits can be cancelled under smaller ones, and a
-// leader can be elected though the limits of all teams do not fit into its grant.
+// A job that was accepted under larger limits can be cancelled under smaller ones, and a
+// leader can be elected although the limits of all teams do not fit into its grant.
 func TestCancellationAndElectionUnderLoweredLimits(t *testing.T) {
 	settings := func(name string) *config.Settings {
 		s := settingsWithNextLimits(name)
@@ -482,10 +486,10 @@
 	sim.waitForLeader(20 * model.Second)
 	sim.invariants.CancelRequested(submission.ID)
 	job.sendCancel()
-	sim.runUntil(10*model.Second, "it is cancelled", func() bool { return sim.invariants.ReportedEnd(submission.ID) == "withdrawn" })
-	sim.runUntil(38*model.Second, "nothing of it is left", func() bool { return sim.invariants.TasksOnMachines() == 0 })
+	sim.runUntil(10*model.Second, "the cancellation is confirmed", func() bool { return sim.invariants.ReportedEnd(submission.ID) == "withdrawn" })
+	sim.runUntil(38*model.Second, "no task of the job is on a machine", func() bool { return sim.invariants.TasksOnMachines() == 0 })
 	if sim.state.TooBigTxns > 0 {
-		t.Errorf("%d transactions were too large", sim.state.TooBigTxns)
+		t.Errorf("%d transactions exceeded the limits", sim.state.TooBigTxns)
 	}
 	sim.requireInvariants()
 }
