--- a/internal/controller/failure_scenario_test.go
+++ b/internal/controller/failure_scenario_test.go
@@ -52,6 +52,7 @@
 	return sc.nodes[0].ctl.authority.Times.TTL
 }
 
+// submitAndTrack submits a job and adds it to those whose end requireRecovery waits for.
 func (sc *failureScenario) submitAndTrack(submission *model.Submission) *user {
 	u := sc.submit(submission, 0)
 	sc.submitted = append(sc.submitted, u)
@@ -150,7 +151,8 @@
 	})
 }
 
-// endFaults ends all injected faults and starts the nodes that are down.
+// endFaults ends the injected faults of the controllers, the state service, the network and
+// hung machines, and starts the nodes that are down.
 func (sc *failureScenario) endFaults() {
 	sc.state.SetOutage(false)
 	for _, node := range sc.nodes {
@@ -170,7 +172,7 @@
 	sc.invariants.FaultsOverAt = sc.Now
 }
 
-// requireRecovery ends all injected faults and checks that the deployment recovers: every
+// requireRecovery ends the injected faults and checks that the deployment recovers: every
 // accepted job ends, no job waits while a machine has room for it, new jobs run, and no
 // invariant was violated.
 func (sc *failureScenario) requireRecovery() {
