--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -7,82 +7,84 @@
 	"woadweir/internal/standin"
 )
 
-// faults are what schedules draw by number: new ones go to the end, or the schedules of all
-// seeds change.
+// faults lists the faults that random schedules draw by index. New ones have to be appended:
+// any other position changes the schedules of all seeds.
 var faults = [...]struct {
 	name   string
 	inject func(f *faultInjection)
 }{
 	{"a controller restarts", func(f *faultInjection) { f.restart(f.node) }},
 	{"all controllers restart", (*faultInjection).restartAll},
-	{"a controller's requests to the state service vanish", func(f *faultInjection) { f.cutFromState(linkDropping) }},
+	{"a controller's requests to the state service are lost", func(f *faultInjection) { f.cutFromState(linkDropping) }},
 	{"a controller's requests to the state service are held", func(f *faultInjection) { f.cutFromState(linkHolding) }},
 	{"the state service refuses a controller", func(f *faultInjection) { f.cutFromState(linkRefusing) }},
-	{"the state service is out", (*faultInjection).stateOutage},
-	{"no worker reaches a controller", (*faultInjection).cutFromWorkers},
+	{"the state service is down", (*faultInjection).stateOutage},
+	{"no worker reaches one of the controllers", (*faultInjection).cutFromWorkers},
 	{"the cloud is down", (*faultInjection).cloudOutage},
 	{"machines hang", (*faultInjection).hangMachines},
-	{"machines are recalled, end or become faulty", (*faultInjection).loseMachines},
-	{"a controller reaches its workers alone", (*faultInjection).isolateWithWorkers},
+	{"machines are recalled, terminated or fail all tasks", (*faultInjection).loseMachines},
+	{"a controller reaches only its workers", (*faultInjection).isolateWithWorkers},
 	{"machines get no responses", (*faultInjection).loseResponses},
 	{"controllers restart in the middle of elections", (*faultInjection).restartDuringElections},
 	{"workers restart", (*faultInjection).restartWorkers},
 	{"machines reach no controller", (*faultInjection).blockHeartbeats},
-	{"writes are carried out after newer ones", func(f *faultInjection) { f.delayWrites(f.longWriteDelay) }},
-	{"writes are carried out without an answer", func(f *faultInjection) { f.delayWrites(f.shortWriteDelay) }},
-	{"jobs are cancelled and machines of them hang", (*faultInjection).cancelAndHang},
+	{"transactions are applied after newer ones", func(f *faultInjection) { f.delayWrites(f.longWriteDelay) }},
+	{"transactions are applied without a response", func(f *faultInjection) { f.delayWrites(f.shortWriteDelay) }},
+	{"jobs are cancelled and some of their machines hang", (*faultInjection).cancelAndHang},
 	{"a zone with a controller is cut off", (*faultInjection).cutOffZone},
-	{"old heartbeats are repeated as another leads", (*faultInjection).repeatHeartbeats},
+	{"old heartbeats are replayed during a leader change", (*faultInjection).repeatHeartbeats},
 	{"jobs are cancelled as they end", (*faultInjection).cancelAtEnd},
-	{"users ask everywhere and cancel what is done", (*faultInjection).queryAllNodes},
+	{"users query all controllers and cancel completed jobs", (*faultInjection).queryAllNodes},
 }
 
 // faultKinds is the number of faults that schedules draw from.
 const faultKinds = len(faults)
 
-// faultRun is one occurrence of a fault.
+// faultInjection is one occurrence of a fault.
 type faultInjection struct {
 	*simDeployment
-	node     *simNode // the controller that it concerns: often the leader
-	workers  []*standin.Worker
-	duration model.Micros // how long it lasts
+	node     *simNode          // the controller that is affected, often the leader
+	workers  []*standin.Worker // the machines that are up when the fault begins
+	duration model.Micros      // how long the fault lasts
 }
 
-// newFault draws the controller that a fault concerns.
-func newFaultInjection(sim *simDeployment, long model.Micros) *faultInjection {
-	n := sim.nodes[sim.Rand.IntN(len(sim.nodes))]
-	if l := sim.leader(); l != nil && sim.Chance(0.7) {
-		n = l
+// newFaultInjection draws the controller that a fault affects: the leader with 70%
+// probability if there is one, otherwise any.
+func newFaultInjection(sim *simDeployment, duration model.Micros) *faultInjection {
+	node := sim.nodes[sim.Rand.IntN(len(sim.nodes))]
+	if leader := sim.leader(); leader != nil && sim.Chance(0.7) {
+		node = leader
 	}
-	return &faultInjection{simDeployment: sim, node: n, workers: sim.cloud.Workers(), duration: long}
+	return &faultInjection{simDeployment: sim, node: node, workers: sim.cloud.Workers(), duration: duration}
 }
 
-// fault has a fault of that kind begin now.
-func injectFault(sim *simDeployment, kind int, long model.Micros) {
+// injectFault begins a fault of the given kind now.
+func injectFault(sim *simDeployment, kind int, duration model.Micros) {
 	sim.startedFaults = append(sim.startedFaults, fmt.Sprintf("%.3f %s", sim.Now.Seconds(), faults[kind].name))
-	faults[kind].inject(newFaultInjection(sim, long))
+	faults[kind].inject(newFaultInjection(sim, duration))
 }
 
-// restart ends a controller that is up, and starts it again within seconds.
-func (f *faultInjection) restart(n *simNode) {
-	if !n.alive {
+// restart crashes a controller that is up, and starts it again within seconds.
+func (f *faultInjection) restart(node *simNode) {
+	if !node.alive {
 		return
 	}
 	delay := f.Between(100*model.Millisecond, 6*model.Second)
 	if f.Chance(0.3) {
 		delay = f.Between(0, 300*model.Millisecond)
 	}
-	n.crashFor(delay)
+	node.crashFor(delay)
 }
 
 func (f *faultInjection) restartAll() {
-	for _, n := range f.nodes {
-		f.restart(n)
+	for _, node := range f.nodes {
+		f.restart(node)
 	}
 }
 
-func (f *faultInjection) cutFromState(kind int) {
-	f.node.setStateLink(kind)
+// cutFromState breaks the node's link to the state service in the given way.
+func (f *faultInjection) cutFromState(link int) {
+	f.node.setStateLink(link)
 	f.After(f.duration, func() { f.node.setStateLink(linkOpen) })
 }
 
@@ -102,27 +104,27 @@
 }
 
 func (f *faultInjection) hangMachines() {
-	for _, x := range f.workers {
+	for _, worker := range f.workers {
 		if f.Chance(0.4) {
-			f.hang(x)
+			f.hang(worker)
 		}
 	}
 }
 
-func (f *faultInjection) hang(x *standin.Worker) {
-	x.SetHung(true)
-	f.After(f.duration, func() { x.SetHung(false) })
+func (f *faultInjection) hang(worker *standin.Worker) {
+	worker.SetHung(true)
+	f.After(f.duration, func() { worker.SetHung(false) })
 }
 
 func (f *faultInjection) loseMachines() {
-	for _, x := range f.workers {
+	for _, worker := range f.workers {
 		switch {
-		case x.Spot && f.Chance(0.7):
-			x.Recall(f.Between(0, 15*model.Second))
+		case worker.Spot && f.Chance(0.7):
+			worker.Recall(f.Between(0, 15*model.Second))
 		case f.Chance(0.2):
-			x.Terminate()
+			worker.Terminate()
 		case f.Chance(0.2):
-			x.FailsTasks = true
+			worker.FailsTasks = true
 		}
 	}
 }
@@ -130,28 +132,29 @@
 // isolateWithWorkers cuts a controller off from the state service and the other
 // controllers, but not from the workers.
 func (f *faultInjection) isolateWithWorkers() {
-	n := f.node
-	n.setStateLink(linkDropping)
-	n.peersCutOff = true
-	f.After(f.duration, func() { n.setStateLink(linkOpen); n.peersCutOff = false })
+	node := f.node
+	node.setStateLink(linkDropping)
+	node.peersCutOff = true
+	f.After(f.duration, func() { node.setStateLink(linkOpen); node.peersCutOff = false })
 }
 
 func (f *faultInjection) loseResponses() {
-	for _, x := range f.workers {
+	for _, worker := range f.workers {
 		if f.Chance(0.3) {
-			f.responsesLost[x.ID] = true
-			f.After(2*f.duration, func() { delete(f.responsesLost, x.ID) })
+			f.responsesLost[worker.ID] = true
+			f.After(2*f.duration, func() { delete(f.responsesLost, worker.ID) })
 		}
 	}
 }
 
-// restartInElections has controllers restart so soon again that elections are going on.
+// restartDuringElections restarts controllers several times in quick succession, so that
+// they restart while elections are in progress.
 func (f *faultInjection) restartDuringElections() {
 	for i := range model.Micros(4) {
 		f.After(i*300*model.Millisecond, func() {
-			for _, n := range f.nodes {
-				if n.alive && f.Chance(0.6) {
-					n.crashFor(f.Between(0, 200*model.Millisecond))
+			for _, node := range f.nodes {
+				if node.alive && f.Chance(0.6) {
+					node.crashFor(f.Between(0, 200*model.Millisecond))
 				}
 			}
 		})
@@ -159,96 +162,98 @@
 }
 
 func (f *faultInjection) restartWorkers() {
-	for _, x := range f.workers {
+	for _, worker := range f.workers {
 		if f.Chance(0.4) {
-			x.Restart()
+			worker.Restart()
 		}
 	}
 }
 
 func (f *faultInjection) blockHeartbeats() {
-	for _, x := range f.workers {
+	for _, worker := range f.workers {
 		if f.Chance(0.4) {
-			f.heartbeatsBlocked[x.ID] = true
-			f.After(f.duration, func() { delete(f.heartbeatsBlocked, x.ID) })
+			f.heartbeatsBlocked[worker.ID] = true
+			f.After(f.duration, func() { delete(f.heartbeatsBlocked, worker.ID) })
 		}
 	}
 }
 
-func (f *faultInjection) delayWrites(lateBy func() model.Micros) {
-	f.lateWriteChance, f.lateWriteDelay = 0.4, lateBy
+// delayWrites makes 40% of the transactions get no response and be applied after the given
+// delay.
+func (f *faultInjection) delayWrites(delay func() model.Micros) {
+	f.lateWriteChance, f.lateWriteDelay = 0.4, delay
 	f.After(f.duration, func() { f.lateWriteChance = 0 })
 }
 
 func (f *faultInjection) cancelAndHang() {
-	for _, u := range f.users {
-		if !u.accepted || u.reportedEnd != "" || !f.Chance(0.5) {
+	for _, job := range f.users {
+		if !job.accepted || job.reportedEnd != "" || !f.Chance(0.5) {
 			continue
 		}
-		u.cancel(nil)
-		for _, x := range f.workers {
-			if x.HasTaskOf(u.submission.ID) && f.Chance(0.5) {
-				f.hang(x)
+		job.cancel(nil)
+		for _, worker := range f.workers {
+			if worker.HasTaskOf(job.submission.ID) && f.Chance(0.5) {
+				f.hang(worker)
 			}
 		}
 	}
 }
 
-// cutOffZone cuts a zone with its workers and a controller off from all else.
+// cutOffZone isolates the workers of a zone and a controller from everything else.
 func (f *faultInjection) cutOffZone() {
-	n := f.node
-	n.setStateLink(linkDropping)
-	n.peersCutOff, n.usersCutOff = true, true
-	f.canReach = func(x *standin.Worker, o *simNode) bool { return (x.Zone == "a") == (o == n) }
+	node := f.node
+	node.setStateLink(linkDropping)
+	node.peersCutOff, node.usersCutOff = true, true
+	f.canReach = func(worker *standin.Worker, other *simNode) bool { return (worker.Zone == "a") == (other == node) }
 	f.After(f.duration, func() {
-		n.setStateLink(linkOpen)
-		n.peersCutOff, n.usersCutOff = false, false
+		node.setStateLink(linkOpen)
+		node.peersCutOff, node.usersCutOff = false, false
 		f.canReach = nil
 	})
 }
 
-// repeatHeartbeats has what workers report in the next seconds arrive again at all
-// controllers, as another one leads.
+// repeatHeartbeats records the heartbeats of the next three seconds, restarts the leader, and
+// then delivers them again to all controllers, eight times.
 func (f *faultInjection) repeatHeartbeats() {
 	f.recordsHeartbeats = true
 	f.After(3*model.Second, func() {
-		old := f.recordedHeartbeats
+		heartbeats := f.recordedHeartbeats
 		f.recordsHeartbeats, f.recordedHeartbeats = false, nil
-		if l := f.leader(); l != nil {
-			f.restart(l)
+		if leader := f.leader(); leader != nil {
+			f.restart(leader)
 		}
 		for i := range model.Micros(8) {
 			f.After(i*2*model.Second, func() {
-				replayHeartbeats(old)
+				replayHeartbeats(heartbeats)
 			})
 		}
 	})
 }
 
-// cancelAtEnd has users cancel jobs at the moment of their end.
+// cancelAtEnd makes users cancel jobs as their last task completes.
 func (f *faultInjection) cancelAtEnd() {
-	f.invariants.OnJobCompleted = func(ref string) {
-		for _, u := range f.users {
-			if u.submission.ID == ref && u.accepted && f.Chance(0.7) {
-				f.After(f.Between(0, 1500*model.Millisecond), func() { u.cancel(nil) })
+	f.invariants.OnJobCompleted = func(jobID string) {
+		for _, job := range f.users {
+			if job.submission.ID == jobID && job.accepted && f.Chance(0.7) {
+				f.After(f.Between(0, 1500*model.Millisecond), func() { job.cancel(nil) })
 			}
 		}
 	}
 	f.After(f.duration, func() { f.invariants.OnJobCompleted = nil })
 }
 
-// askEverywhere has users ask at all nodes, repeat submissions, also altered ones, and
-// cancel what is done.
+// queryAllNodes makes users query all nodes, repeat submissions, some of them altered, and
+// cancel completed jobs.
 func (f *faultInjection) queryAllNodes() {
-	before := f.checksEveryNode
+	previous := f.checksEveryNode
 	f.checksEveryNode = true
-	for _, u := range f.users {
-		if u.accepted && f.Chance(0.6) {
-			u.checkEveryNode()
+	for _, job := range f.users {
+		if job.accepted && f.Chance(0.6) {
+			job.checkEveryNode()
 		}
-		if u.reportedEnd == "done" && f.Chance(0.5) {
-			u.cancel(nil)
+		if job.reportedEnd == "done" && f.Chance(0.5) {
+			job.cancel(nil)
 		}
 	}
-	f.checksEveryNode = before
+	f.checksEveryNode = previous
 }
