--- a/internal/controller/cells_failures_test.go
+++ b/internal/controller/cells_failures_test.go
@@ -29,15 +29,15 @@
 	l.home = l.cells[0]
 	l.Run(20 * model.Second)
 	for i, team := range []string{"red", "blue"} {
-		s := arrayJob(i, 4, 0) // half of the cell's cores each
-		s.Kind, s.Team, s.Cores = "service", team, 4
-		l.fillerJobs = append(l.fillerJobs, l.home.submit(s, 0))
+		filler := arrayJob(i, 4, 0) // half of the cell's cores each
+		filler.Kind, filler.Team, filler.Cores = "service", team, 4
+		l.fillerJobs = append(l.fillerJobs, l.home.submit(filler, 0))
 	}
 	l.Run(l.Now + 15*model.Second)
 	l.home.checksEveryNode = true
-	s := arrayJob(900, 4, seconds)
-	s.Cores = 4
-	l.user = l.home.submit(s, 0)
+	job := arrayJob(900, 4, seconds)
+	job.Cores = 4
+	l.user = l.home.submit(job, 0)
 	return l
 }
 
@@ -47,8 +47,8 @@
 // findGuest notes to which cell the job is lent.
 func (l *lendingScenario) findExecutionCell() {
 	var record spill.OutRecord
-	e, err := l.home.state.Get("", l.outKey())
-	if l.executionCell != nil || err != nil || json.Unmarshal(e.Value, &record) != nil {
+	entry, err := l.home.state.Get("", l.outKey())
+	if l.executionCell != nil || err != nil || json.Unmarshal(entry.Value, &record) != nil {
 		return
 	}
 	l.executionCell = l.cellNamed(record.Cell)
@@ -79,8 +79,8 @@
 	return l.isAccepted() && l.invariants.CompletedTasks(l.jobID) == l.user.submission.Tasks
 }
 func (l *lendingScenario) isEndReported() bool {
-	e, err := l.home.state.Get("", state.JobKey(l.jobID))
-	return err == nil && l.isAccepted() && hasJSONField(e.Value, "end")
+	entry, err := l.home.state.Get("", state.JobKey(l.jobID))
+	return err == nil && l.isAccepted() && hasJSONField(entry.Value, "end")
 }
 
 func hasJSONField(raw json.RawMessage, field string) bool {
@@ -89,24 +89,24 @@
 }
 
 func parseStatus(t *testing.T, body []byte) string {
-	var a struct{ Status string }
-	if err := json.Unmarshal(body, &a); err != nil {
+	var answer struct{ Status string }
+	if err := json.Unmarshal(body, &answer); err != nil {
 		t.Fatal(err)
 	}
-	return a.Status
+	return answer.Status
 }
 
 // lendingSteps are the steps of a lending at which troubles come.
 var lendingSteps = []struct {
 	name    string
-	reached func(l *lendingScenario) func() bool
+	reached func(scenario *lendingScenario) func() bool
 }{
-	{"home has written its record", func(l *lendingScenario) func() bool { return l.isRecordedAtHome }},
-	{"the guest has written its record", func(l *lendingScenario) func() bool { return l.isAccepted }},
-	{"it runs", func(l *lendingScenario) func() bool { return l.isRunning }},
-	{"half of it is done", func(l *lendingScenario) func() bool { return l.isHalfDone }},
-	{"finished, not reported", func(l *lendingScenario) func() bool { return l.isFinished }},
-	{"reported, not forgotten", func(l *lendingScenario) func() bool { return l.isEndReported }},
+	{"home has written its record", func(scenario *lendingScenario) func() bool { return scenario.isRecordedAtHome }},
+	{"the guest has written its record", func(scenario *lendingScenario) func() bool { return scenario.isAccepted }},
+	{"it runs", func(scenario *lendingScenario) func() bool { return scenario.isRunning }},
+	{"half of it is done", func(scenario *lendingScenario) func() bool { return scenario.isHalfDone }},
+	{"finished, not reported", func(scenario *lendingScenario) func() bool { return scenario.isFinished }},
+	{"reported, not forgotten", func(scenario *lendingScenario) func() bool { return scenario.isEndReported }},
 }
 
 // Times for which troubles last: less than each lease, and more than all of them together.
@@ -118,51 +118,63 @@
 // lendingTroubles are what comes at each step.
 var lendingFaults = []struct {
 	name   string
-	inject func(l *lendingScenario)
+	inject func(scenario *lendingScenario)
 }{
-	{"home drops out shortly", func(l *lendingScenario) { l.crashCell(l.home, shortFault) }},
-	{"home drops out for long", func(l *lendingScenario) { l.crashCell(l.home, longFault) }},
-	{"the guest drops out shortly", func(l *lendingScenario) { l.crashCell(l.executionCell, shortFault) }},
-	{"the guest drops out for long", func(l *lendingScenario) { l.crashCell(l.executionCell, longFault) }},
-	{"both drop out shortly", func(l *lendingScenario) { l.crashCell(l.home, shortFault); l.crashCell(l.executionCell, shortFault) }},
-	{"both drop out for long", func(l *lendingScenario) { l.crashCell(l.home, longFault); l.crashCell(l.executionCell, longFault) }},
-	{"home's holder ends", func(l *lendingScenario) { l.crashHolder(l.home) }},
-	{"the guest's holder ends", func(l *lendingScenario) { l.crashHolder(l.executionCell) }},
-	{"home's holder wakes late", func(l *lendingScenario) { l.pauseHolder(l.home) }},
-	{"the guest's holder wakes late", func(l *lendingScenario) { l.pauseHolder(l.executionCell) }},
-	{"home's state service is out", func(l *lendingScenario) { l.stateOutage(l.home, 25*model.Second) }},
-	{"the guest's state service is out", func(l *lendingScenario) { l.stateOutage(l.executionCell, 25*model.Second) }},
-	{"home's state service refuses its holder", func(l *lendingScenario) { l.refuseHolder(l.home) }},
-	{"the guest's state service refuses its holder", func(l *lendingScenario) { l.refuseHolder(l.executionCell) }},
-	{"questions do not arrive", func(l *lendingScenario) { l.dropRenewals() }},
-	{"answers do not arrive", func(l *lendingScenario) { l.breakLink(l.home, l.executionCell, linkDropping) }},
-	{"questions are held", func(l *lendingScenario) { l.breakLink(l.executionCell, l.home, linkHolding) }},
-	{"answers are held", func(l *lendingScenario) { l.breakLink(l.home, l.executionCell, linkHolding) }},
-	{"cancelled", func(l *lendingScenario) { l.user.cancel(nil) }},
+	{"home drops out shortly", func(scenario *lendingScenario) { scenario.crashCell(scenario.home, shortFault) }},
+	{"home drops out for long", func(scenario *lendingScenario) { scenario.crashCell(scenario.home, longFault) }},
+	{"the guest drops out shortly", func(scenario *lendingScenario) { scenario.crashCell(scenario.executionCell, shortFault) }},
+	{"the guest drops out for long", func(scenario *lendingScenario) { scenario.crashCell(scenario.executionCell, longFault) }},
+	{"both drop out shortly", func(scenario *lendingScenario) {
+		scenario.crashCell(scenario.home, shortFault)
+		scenario.crashCell(scenario.executionCell, shortFault)
+	}},
+	{"both drop out for long", func(scenario *lendingScenario) {
+		scenario.crashCell(scenario.home, longFault)
+		scenario.crashCell(scenario.executionCell, longFault)
+	}},
+	{"home's holder ends", func(scenario *lendingScenario) { scenario.crashLeader(scenario.home) }},
+	{"the guest's holder ends", func(scenario *lendingScenario) { scenario.crashLeader(scenario.executionCell) }},
+	{"home's holder wakes late", func(scenario *lendingScenario) { scenario.pauseLeader(scenario.home) }},
+	{"the guest's holder wakes late", func(scenario *lendingScenario) { scenario.pauseLeader(scenario.executionCell) }},
+	{"home's state service is out", func(scenario *lendingScenario) { scenario.stateOutage(scenario.home, 25*model.Second) }},
+	{"the guest's state service is out", func(scenario *lendingScenario) { scenario.stateOutage(scenario.executionCell, 25*model.Second) }},
+	{"home's state service refuses its holder", func(scenario *lendingScenario) { scenario.refuseLeader(scenario.home) }},
+	{"the guest's state service refuses its holder", func(scenario *lendingScenario) { scenario.refuseLeader(scenario.executionCell) }},
+	{"questions do not arrive", func(scenario *lendingScenario) { scenario.dropRenewals() }},
+	{"answers do not arrive", func(scenario *lendingScenario) {
+		scenario.breakLink(scenario.home, scenario.executionCell, linkDropping)
+	}},
+	{"questions are held", func(scenario *lendingScenario) {
+		scenario.breakLink(scenario.executionCell, scenario.home, linkHolding)
+	}},
+	{"answers are held", func(scenario *lendingScenario) {
+		scenario.breakLink(scenario.home, scenario.executionCell, linkHolding)
+	}},
+	{"cancelled", func(scenario *lendingScenario) { scenario.user.cancel(nil) }},
 	{"cancelled while the link is cut", (*lendingScenario).cancelWithoutRenewals},
-	{"cancelled while answers are held", func(l *lendingScenario) {
-		l.breakLink(l.home, l.executionCell, linkHolding)
-		l.user.cancel(nil)
+	{"cancelled while answers are held", func(scenario *lendingScenario) {
+		scenario.breakLink(scenario.home, scenario.executionCell, linkHolding)
+		scenario.user.cancel(nil)
 	}},
-	{"cancelled while home's state service refuses its holder", func(l *lendingScenario) {
-		l.refuseHolder(l.home)
-		l.user.cancel(nil)
+	{"cancelled while home's state service refuses its holder", func(scenario *lendingScenario) {
+		scenario.refuseLeader(scenario.home)
+		scenario.user.cancel(nil)
 	}},
-	{"cancelled during an outage of home's state service", func(l *lendingScenario) {
-		l.stateOutage(l.home, 25*model.Second)
-		l.user.cancel(nil)
+	{"cancelled during an outage of home's state service", func(scenario *lendingScenario) {
+		scenario.stateOutage(scenario.home, 25*model.Second)
+		scenario.user.cancel(nil)
 	}},
-	{"cancelled while the guest's machines hang", func(l *lendingScenario) { l.hangMachines(); l.user.cancel(nil) }},
-	{"cancelled while the guest's machines are cut off", func(l *lendingScenario) { l.blockExecutionHeartbeats(); l.user.cancel(nil) }},
-	{"cancelled as the guest's holder ends and the link is cut", func(l *lendingScenario) {
-		l.dropRenewals()
-		l.crashHolder(l.executionCell)
-		l.user.cancel(nil)
+	{"cancelled while the guest's machines hang", func(scenario *lendingScenario) { scenario.hangMachines(); scenario.user.cancel(nil) }},
+	{"cancelled while the guest's machines are cut off", func(scenario *lendingScenario) { scenario.blockExecutionHeartbeats(); scenario.user.cancel(nil) }},
+	{"cancelled as the guest's holder ends and the link is cut", func(scenario *lendingScenario) {
+		scenario.dropRenewals()
+		scenario.crashLeader(scenario.executionCell)
+		scenario.user.cancel(nil)
 	}},
 }
 
 // endHolder ends a cell's holder, which comes back after its session is over.
-func (l *lendingScenario) crashHolder(sim *simDeployment) {
+func (l *lendingScenario) crashLeader(sim *simDeployment) {
 	n := sim.leader()
 	if n == nil {
 		return
@@ -175,26 +187,26 @@
 	})
 }
 
-func (l *lendingScenario) pauseHolder(sim *simDeployment) {
+func (l *lendingScenario) pauseLeader(sim *simDeployment) {
 	if n := sim.leader(); n != nil {
 		n.pauseFor(25 * model.Second)
 	}
 }
 
-func (l *lendingScenario) stateOutage(sim *simDeployment, long model.Micros) {
+func (l *lendingScenario) stateOutage(sim *simDeployment, duration model.Micros) {
 	sim.state.SetOutage(true)
-	l.After(long, func() { sim.state.SetOutage(false) })
+	l.After(duration, func() { sim.state.SetOutage(false) })
 }
 
-func (l *lendingScenario) refuseHolder(sim *simDeployment) {
+func (l *lendingScenario) refuseLeader(sim *simDeployment) {
 	if n := sim.leader(); n != nil {
 		n.setStateLink(linkRefusing)
 		l.After(25*model.Second, func() { n.setStateLink(linkOpen) })
 	}
 }
 
-func (l *lendingScenario) breakLink(from, to *simDeployment, kind int) {
-	l.setLink(from.cell.name, to.cell.name, kind)
+func (l *lendingScenario) breakLink(from, to *simDeployment, linkState int) {
+	l.setLink(from.cell.name, to.cell.name, linkState)
 	l.After(longFault, func() { l.setLink(from.cell.name, to.cell.name, linkOpen) })
 }
 
@@ -208,9 +220,9 @@
 }
 
 func (l *lendingScenario) hangMachines() {
-	for _, x := range l.executionCell.cloud.Workers() {
-		x.SetHung(true)
-		l.After(15*model.Second, func() { x.SetHung(false) })
+	for _, worker := range l.executionCell.cloud.Workers() {
+		worker.SetHung(true)
+		l.After(15*model.Second, func() { worker.SetHung(false) })
 	}
 }
 
@@ -221,9 +233,9 @@
 
 // cutOff keeps the machines of a cell from reaching any controller.
 func (l *lendingScenario) blockHeartbeats(sim *simDeployment) {
-	for _, x := range sim.cloud.Workers() {
-		sim.heartbeatsBlocked[x.ID] = true
-		l.After(heartbeatBlockTime, func() { delete(sim.heartbeatsBlocked, x.ID) })
+	for _, worker := range sim.cloud.Workers() {
+		sim.heartbeatsBlocked[worker.ID] = true
+		l.After(heartbeatBlockTime, func() { delete(sim.heartbeatsBlocked, worker.ID) })
 	}
 }
 
@@ -231,21 +243,21 @@
 // places or after its cancellation, and in the end no record is left.
 func TestFaultAtEveryLendingStep(t *testing.T) {
 	for i, step := range lendingSteps {
-		for k, trouble := range lendingFaults {
-			t.Run(fmt.Sprintf("%s/%s", step.name, trouble.name), func(t *testing.T) {
+		for k, fault := range lendingFaults {
+			t.Run(fmt.Sprintf("%s/%s", step.name, fault.name), func(t *testing.T) {
 				t.Parallel()
-				l := newLendingScenario(t, uint64(100*i+k), defaultLeaseS, 12)
-				l.runUntil(step.name, step.reached(l))
-				trouble.inject(l)
-				l.Run(l.Now + 100*model.Second)
-				l.requireCleanEnd(t)
-				if l.invariants.ReportedEnd(l.jobID) == "" {
+				scenario := newLendingScenario(t, uint64(100*i+k), defaultLeaseS, 12)
+				scenario.runUntil(step.name, step.reached(scenario))
+				fault.inject(scenario)
+				scenario.Run(scenario.Now + 100*model.Second)
+				scenario.requireCleanEnd(t)
+				if scenario.invariants.ReportedEnd(scenario.jobID) == "" {
 					t.Error("users were told of no end")
 				}
 				// Where the leases outlive the trouble, what has finished is not lost.
 				// (A worker with two controllers, one of which does not answer, can lose its lease
 				// when the holder ends, whether its tasks are lent or not.)
-				if n := l.invariants.ExecutedAgain; n > 0 && strings.HasSuffix(trouble.name, "shortly") {
+				if n := scenario.invariants.ExecutedAgain; n > 0 && strings.HasSuffix(fault.name, "shortly") {
 					t.Errorf("%d tasks executed again", n)
 				}
 			})
@@ -266,79 +278,79 @@
 	name   string
 	inject func(l *lendingScenario)
 }{
-	{"cancelled through a sibling while home's holder gets no syncs", func(l *lendingScenario) {
-		n := l.home.leader()
-		n.syncsLost, n.peersCutOff = true, true
-		l.After(60*model.Second, func() { n.syncsLost, n.peersCutOff = false, false })
-		l.user.cancel((&failureScenario{simDeployment: l.home}).otherNode(n))
+	{"cancelled through a sibling while home's holder gets no syncs", func(scenario *lendingScenario) {
+		leader := scenario.home.leader()
+		leader.syncsLost, leader.peersCutOff = true, true
+		scenario.After(60*model.Second, func() { leader.syncsLost, leader.peersCutOff = false, false })
+		scenario.user.cancel((&failureScenario{simDeployment: scenario.home}).otherNode(leader))
 	}},
-	{"cancelled as answers are held for seconds", func(l *lendingScenario) {
-		l.setLink("north", l.executionCell.cell.name, linkHolding)
-		l.After(2*model.Second, func() { l.user.cancel(nil) })
-		l.After(16*model.Second, func() {
-			l.setLink("north", l.executionCell.cell.name, linkOpen)
-			l.dropRenewals()
+	{"cancelled as answers are held for seconds", func(scenario *lendingScenario) {
+		scenario.setLink("north", scenario.executionCell.cell.name, linkHolding)
+		scenario.After(2*model.Second, func() { scenario.user.cancel(nil) })
+		scenario.After(16*model.Second, func() {
+			scenario.setLink("north", scenario.executionCell.cell.name, linkOpen)
+			scenario.dropRenewals()
 		})
 	}},
-	{"cancelled as the guest's holder stands still with an answer on its way", func(l *lendingScenario) {
-		l.onCall = func(from, _ *simDeployment, call any) {
-			n := l.executionCell.leader()
-			if _, asks := call.(*spill.Renewal); !asks || from != l.executionCell || n == nil {
+	{"cancelled as the guest's holder stands still with an answer on its way", func(scenario *lendingScenario) {
+		scenario.onCall = func(from, _ *simDeployment, call any) {
+			leader := scenario.executionCell.leader()
+			if _, isRenewal := call.(*spill.Renewal); !isRenewal || from != scenario.executionCell || leader == nil {
 				return
 			}
-			l.onCall = nil
-			n.peersCutOff = true // or it resigns when it wakes
-			n.pauseFor(6 * model.Second)
-			l.dropRenewals()
-			l.After(20*model.Millisecond, func() { l.user.cancel(nil) })
+			scenario.onCall = nil
+			leader.peersCutOff = true // or it resigns when it wakes
+			leader.pauseFor(6 * model.Second)
+			scenario.dropRenewals()
+			scenario.After(20*model.Millisecond, func() { scenario.user.cancel(nil) })
 		}
 	}},
-	{"cancelled as no question arrives and its team asks for all that it may have", func(l *lendingScenario) {
-		l.dropRenewals()
-		l.freeHomeCell()
-		l.user.cancel(nil)
-		l.After(model.Second, func() {
-			s := arrayJob(901, 10, 60)
-			s.Cores = 4
-			l.home.submit(s, 0)
+	{"cancelled as no question arrives and its team asks for all that it may have", func(scenario *lendingScenario) {
+		scenario.dropRenewals()
+		scenario.freeHomeCell()
+		scenario.user.cancel(nil)
+		scenario.After(model.Second, func() {
+			submission := arrayJob(901, 10, 60)
+			submission.Cores = 4
+			scenario.home.submit(submission, 0)
 		})
 	}},
 	{"cancelled as no question arrives", (*lendingScenario).cancelWithoutRenewals},
-	{"cancelled as no question arrives and the guest's holder ends", func(l *lendingScenario) {
-		l.cancelWithoutRenewals()
-		l.crashHolder(l.executionCell)
+	{"cancelled as no question arrives and the guest's holder ends", func(scenario *lendingScenario) {
+		scenario.cancelWithoutRenewals()
+		scenario.crashLeader(scenario.executionCell)
 	}},
-	{"no question arrives as home has room", func(l *lendingScenario) {
-		l.dropRenewals()
-		l.freeHomeCell()
+	{"no question arrives as home has room", func(scenario *lendingScenario) {
+		scenario.dropRenewals()
+		scenario.freeHomeCell()
 	}},
-	{"no question arrives and home's holder ends", func(l *lendingScenario) {
-		l.dropRenewals()
-		l.freeHomeCell()
-		l.crashHolder(l.home)
+	{"no question arrives and home's holder ends", func(scenario *lendingScenario) {
+		scenario.dropRenewals()
+		scenario.freeHomeCell()
+		scenario.crashLeader(scenario.home)
 	}},
-	{"home's holder ends while the guest asks the next one", func(l *lendingScenario) {
-		l.freeHomeCell()
-		l.crashHolder(l.home)
+	{"home's holder ends while the guest asks the next one", func(scenario *lendingScenario) {
+		scenario.freeHomeCell()
+		scenario.crashLeader(scenario.home)
 	}},
-	{"home's record of taking back is late", func(l *lendingScenario) {
-		l.dropRenewals()
-		l.freeHomeCell()
-		l.delayTakeBack(8*model.Second, func() { l.setLink(l.executionCell.cell.name, "north", linkOpen) })
+	{"home's record of taking back is late", func(scenario *lendingScenario) {
+		scenario.dropRenewals()
+		scenario.freeHomeCell()
+		scenario.delayTakeBack(8*model.Second, func() { scenario.setLink(scenario.executionCell.cell.name, "north", linkOpen) })
 	}},
-	{"home's record of taking back is lost with its holder", func(l *lendingScenario) {
-		l.dropRenewals()
-		l.freeHomeCell()
-		l.delayTakeBack(0, func() {
-			l.setLink(l.executionCell.cell.name, "north", linkOpen)
-			l.After(8*model.Second, func() {
-				if n := l.home.leader(); n != nil {
-					n.crash()
-					l.blockHeartbeats(l.home) // what ran there would not be stopped
-					for _, n := range l.home.nodes {
+	{"home's record of taking back is lost with its holder", func(scenario *lendingScenario) {
+		scenario.dropRenewals()
+		scenario.freeHomeCell()
+		scenario.delayTakeBack(0, func() {
+			scenario.setLink(scenario.executionCell.cell.name, "north", linkOpen)
+			scenario.After(8*model.Second, func() {
+				if leader := scenario.home.leader(); leader != nil {
+					leader.crash()
+					scenario.blockHeartbeats(scenario.home) // what ran there would not be stopped
+					for _, n := range scenario.home.nodes {
 						n.intercept = nil
 					}
-					l.After(100*model.Millisecond, n.start)
+					scenario.After(100*model.Millisecond, leader.start)
 				}
 			})
 		})
@@ -347,27 +359,27 @@
 
 // holdTakingBack keeps the write that takes the job back from the state service, for so long
 // or for ever (0), and tells when it is sent first.
-func (l *lendingScenario) delayTakeBack(long model.Micros, sent func()) {
-	told := false
+func (l *lendingScenario) delayTakeBack(delay model.Micros, onSent func()) {
+	sent := false
 	for _, n := range l.home.nodes {
-		n.intercept = func(m msgCommitted) bool {
-			if m.lane != laneSpill {
+		n.intercept = func(write msgCommitted) bool {
+			if write.lane != laneSpill {
 				return false
 			}
-			if !told {
-				told = true
-				sent()
+			if !sent {
+				sent = true
+				onSent()
 			}
-			life := n.incarnation
-			if long == 0 {
-				m.err = state.ErrLost
-				l.After(commitTimeout, func() { n.deliver(life, m) })
+			incarnation := n.incarnation
+			if delay == 0 {
+				write.err = state.ErrLost
+				l.After(commitTimeout, func() { n.deliver(incarnation, write) })
 				return true
 			}
-			l.After(long, func() {
-				m.result, m.err = l.home.state.Commit(n.name, m.txn)
+			l.After(delay, func() {
+				write.result, write.err = l.home.state.Commit(n.name, write.txn)
 				n.intercept = nil
-				n.deliver(life, m)
+				n.deliver(incarnation, write)
 			})
 			return true
 		}
@@ -377,17 +389,19 @@
 // The worst cases, with the guest's machines cut off from it at any moment after: nothing
 // of the job runs in two places, nor too long after its cancellation.
 func TestWorstCaseLendingFaults(t *testing.T) {
-	for i, c := range worstCaseFaults {
+	for i, fault := range worstCaseFaults {
 		for cutAfter := model.Micros(0); cutAfter <= 42*model.Second; cutAfter += model.Second {
-			t.Run(fmt.Sprintf("%s/machines cut off after %.0f s", c.name, cutAfter.Seconds()), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/machines cut off after %.0f s", fault.name, cutAfter.Seconds()), func(t *testing.T) {
 				t.Parallel()
-				l := newLendingScenario(t, uint64(3000+100*i)+uint64(cutAfter/model.Second), longestLeaseS, 150)
-				l.runUntil("all of it runs", func() bool { return l.isAccepted() && l.invariants.JobTasksOnMachines(l.jobID) == 4 })
-				l.Run(l.Now + 3*model.Second)
-				c.inject(l)
-				l.After(cutAfter, l.blockExecutionHeartbeats)
-				l.Run(l.Now + 120*model.Second)
-				l.requireCleanEnd(t)
+				scenario := newLendingScenario(t, uint64(3000+100*i)+uint64(cutAfter/model.Second), longestLeaseS, 150)
+				scenario.runUntil("all of it runs", func() bool {
+					return scenario.isAccepted() && scenario.invariants.JobTasksOnMachines(scenario.jobID) == 4
+				})
+				scenario.Run(scenario.Now + 3*model.Second)
+				fault.inject(scenario)
+				scenario.After(cutAfter, scenario.blockExecutionHeartbeats)
+				scenario.Run(scenario.Now + 120*model.Second)
+				scenario.requireCleanEnd(t)
 			})
 		}
 	}
@@ -397,23 +411,23 @@
 // comes to have room for it, its holder ends, or it is cancelled.
 func TestLateLendingWrite(t *testing.T) {
 	t.Parallel()
-	for name, come := range map[string]func(l *lendingScenario){
+	for name, inject := range map[string]func(scenario *lendingScenario){
 		"home has room":               (*lendingScenario).freeHomeCell,
-		"home has room, holder ends":  func(l *lendingScenario) { l.freeHomeCell(); l.crashHolder(l.home) },
-		"home has room, holder waits": func(l *lendingScenario) { l.freeHomeCell(); l.pauseHolder(l.home) },
-		"home has room, then its machines are cut off": func(l *lendingScenario) {
-			l.freeHomeCell()
-			l.After(5*model.Second, func() { l.blockHeartbeats(l.home) })
+		"home has room, holder ends":  func(scenario *lendingScenario) { scenario.freeHomeCell(); scenario.crashLeader(scenario.home) },
+		"home has room, holder waits": func(scenario *lendingScenario) { scenario.freeHomeCell(); scenario.pauseLeader(scenario.home) },
+		"home has room, then its machines are cut off": func(scenario *lendingScenario) {
+			scenario.freeHomeCell()
+			scenario.After(5*model.Second, func() { scenario.blockHeartbeats(scenario.home) })
 		},
-		"cancelled": func(l *lendingScenario) { l.freeHomeCell(); l.user.cancel(nil) },
+		"cancelled": func(scenario *lendingScenario) { scenario.freeHomeCell(); scenario.user.cancel(nil) },
 	} {
 		for _, answered := range []bool{true, false} {
 			for seed := range uint64(4) {
-				l := newLendingScenario(t, 4000+seed, longestLeaseS, 40)
-				l.delayLending(answered, func() { come(l) })
-				l.Run(l.Now + 150*model.Second)
-				l.requireCleanEnd(t)
-				if l.invariants.ReportedEnd(l.jobID) == "" {
+				scenario := newLendingScenario(t, 4000+seed, longestLeaseS, 40)
+				scenario.delayLending(answered, func() { inject(scenario) })
+				scenario.Run(scenario.Now + 150*model.Second)
+				scenario.requireCleanEnd(t)
+				if scenario.invariants.ReportedEnd(scenario.jobID) == "" {
 					t.Errorf("%s, answered %v: no end", name, answered)
 				}
 			}
@@ -423,26 +437,26 @@
 
 // delayLending has the write that lends the job carried out seconds after it was sent; first
 // is called when it is sent.
-func (l *lendingScenario) delayLending(answered bool, first func()) {
-	done := false
+func (l *lendingScenario) delayLending(answered bool, onSent func()) {
+	delayed := false
 	for _, n := range l.home.nodes {
-		n.intercept = func(m msgCommitted) bool {
-			if done || m.lane != laneSpill {
+		n.intercept = func(write msgCommitted) bool {
+			if delayed || write.lane != laneSpill {
 				return false
 			}
-			done = true
-			first()
-			life := n.incarnation
+			delayed = true
+			onSent()
+			incarnation := n.incarnation
 			l.After(6*model.Second, func() {
-				res, err := l.home.state.Commit(n.name, m.txn)
+				result, err := l.home.state.Commit(n.name, write.txn)
 				if answered {
-					m.result, m.err = res, err
-					n.deliver(life, m)
+					write.result, write.err = result, err
+					n.deliver(incarnation, write)
 				}
 			})
 			if !answered {
-				m.err = state.ErrLost
-				l.After(commitTimeout, func() { n.deliver(life, m) })
+				write.err = state.ErrLost
+				l.After(commitTimeout, func() { n.deliver(incarnation, write) })
 			}
 			return true
 		}
--- a/internal/controller/chaos_test.go
+++ b/internal/controller/chaos_test.go
@@ -11,16 +11,16 @@
 // A quiet world runs everything, and gives machines back afterwards.
 func TestWorkWithoutFaults(t *testing.T) {
 	sim := newSmallDeployment(t, 1)
-	var us []*user
+	var users []*user
 	for i := range 6 {
-		us = append(us, sim.submit(arrayJob(i, 8, 10), 0))
+		users = append(users, sim.submit(arrayJob(i, 8, 10), 0))
 	}
 	for i := 10; i < 14; i++ {
-		us = append(us, sim.submit(gangJob(i, 1+i%3, 12), 0))
+		users = append(users, sim.submit(gangJob(i, 1+i%3, 12), 0))
 	}
 	sim.Run(150 * model.Second)
 	sim.requireInvariants()
-	for _, u := range us {
+	for _, u := range users {
 		if u.reportedEnd != "done" {
 			t.Errorf("%s: %q; %s", u.submission.ID, u.reportedEnd, sim.cloud.Describe())
 		}
@@ -37,17 +37,17 @@
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		sim := newDeployment(t, rapid.Uint64().Draw(rt, "seed"), withFDLimit(rapid.SampledFrom([]int{0, 14}).Draw(rt, "sockets"), simSettings), cloudCapacity(4, 2))
-		const calm = 150 * model.Second
+		const faultsEnd = 150 * model.Second
 		drawJobs(rt, sim)
 		drawServices(rt, sim)
 		drawPipelines(rt, sim)
-		drawFaults(rt, sim, calm)
-		drawSimultaneousFaults(rt, sim, calm)
+		drawFaults(rt, sim, faultsEnd)
+		drawSimultaneousFaults(rt, sim, faultsEnd)
 		sim.duplicateHeartbeatChance = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "copies")
 		sim.duplicateRequestChance = rapid.SampledFrom([]float64{0, 0.05}).Draw(rt, "repeats")
 		sim.checksEveryNode = rapid.Bool().Draw(rt, "looks")
-		sim.At(calm, (&failureScenario{simDeployment: sim}).endFaults)
-		sim.Run(calm)
+		sim.At(faultsEnd, (&failureScenario{simDeployment: sim}).endFaults)
+		sim.Run(faultsEnd)
 		for sim.Now < 500*model.Second {
 			sim.Run(sim.Now + model.Second)
 			sim.invariants.CheckWaiting(sim.cloud.Workers())
@@ -66,9 +66,9 @@
 	if len(sim.invariants.Violations) > 0 {
 		rt.Fatalf("rules broken: %v", sim.invariants.Violations)
 	}
-	for ref := range sim.invariants.Accepted {
-		if sim.invariants.ReportedEnd(ref) == "" {
-			rt.Fatalf("%s (%+v) never ended; %s", ref, sim.invariants.Submitted[ref], sim.describe())
+	for jobID := range sim.invariants.Accepted {
+		if sim.invariants.ReportedEnd(jobID) == "" {
+			rt.Fatalf("%s (%+v) never ended; %s", jobID, sim.invariants.Submitted[jobID], sim.describe())
 		}
 	}
 }
@@ -76,39 +76,39 @@
 // drawJobs has jobs of all kinds submitted, and some of them cancelled.
 func drawJobs(rt *rapid.T, sim *simDeployment) {
 	for i := range rapid.IntRange(5, 14).Draw(rt, "jobs") {
-		at := sim.Between(0, 100*model.Second)
-		cancel := model.Micros(0)
+		submitAt := sim.Between(0, 100*model.Second)
+		cancelAfter := model.Micros(0)
 		if sim.Chance(0.3) {
-			cancel = sim.Between(model.Second, 40*model.Second)
+			cancelAfter = sim.Between(model.Second, 40*model.Second)
 		}
-		sim.At(at, func() { sim.submit(sim.randomJob(i), cancel) })
+		sim.At(submitAt, func() { sim.submit(sim.randomJob(i), cancelAfter) })
 	}
 }
 
 // randomJob draws an array or a gang, some with demands on their places.
 func (sim *simDeployment) randomJob(i int) *model.Submission {
-	s := arrayJob(i, 1+sim.Rand.IntN(12), float64(2+sim.Rand.IntN(25)))
+	submission := arrayJob(i, 1+sim.Rand.IntN(12), float64(2+sim.Rand.IntN(25)))
 	switch sim.Rand.IntN(5) {
 	case 0:
-		s = gangJob(i, 1+sim.Rand.IntN(4), float64(2+sim.Rand.IntN(25)))
+		submission = gangJob(i, 1+sim.Rand.IntN(4), float64(2+sim.Rand.IntN(25)))
 	case 1:
-		s.SameZone = true
+		submission.SameZone = true
 	case 2:
-		s.Spread, s.AllowsSpot = true, false
+		submission.Spread, submission.AllowsSpot = true, false
 	case 3:
-		s.GPUs, s.Priority = 1, "idle"
+		submission.GPUs, submission.Priority = 1, "idle"
 	}
-	return s
+	return submission
 }
 
 // drawServices has services submitted, and cancelled after a while.
 func drawServices(rt *rapid.T, sim *simDeployment) {
 	for i := range rapid.IntRange(0, 3).Draw(rt, "services") {
-		at, cancel := sim.Between(0, 60*model.Second), sim.Between(30*model.Second, 200*model.Second)
-		sim.At(at, func() {
-			s := arrayJob(50+i, 1+sim.Rand.IntN(4), 0)
-			s.Kind, s.Priority, s.AllowsSpot, s.Spread = "service", "critical", false, sim.Chance(0.7)
-			sim.submit(s, cancel)
+		submitAt, cancelAfter := sim.Between(0, 60*model.Second), sim.Between(30*model.Second, 200*model.Second)
+		sim.At(submitAt, func() {
+			submission := arrayJob(50+i, 1+sim.Rand.IntN(4), 0)
+			submission.Kind, submission.Priority, submission.AllowsSpot, submission.Spread = "service", "critical", false, sim.Chance(0.7)
+			sim.submit(submission, cancelAfter)
 		})
 	}
 }
@@ -116,28 +116,28 @@
 // drawPipelines has pipelines submitted, and one job of some of them cancelled.
 func drawPipelines(rt *rapid.T, sim *simDeployment) {
 	for i := range rapid.IntRange(0, 3).Draw(rt, "pipelines") {
-		cancel := model.Micros(0)
+		cancelAfter := model.Micros(0)
 		if sim.Chance(0.4) {
-			cancel = sim.Between(model.Second, 30*model.Second)
+			cancelAfter = sim.Between(model.Second, 30*model.Second)
 		}
-		sim.At(sim.Between(0, 90*model.Second), func() { sim.submitPipeline(100+10*i, cancel) })
+		sim.At(sim.Between(0, 90*model.Second), func() { sim.submitPipeline(100+10*i, cancelAfter) })
 	}
 }
 
 // drawFaults has faults occur, each by itself.
-func drawFaults(rt *rapid.T, sim *simDeployment, calm model.Micros) {
+func drawFaults(rt *rapid.T, sim *simDeployment, faultsEnd model.Micros) {
 	for range rapid.IntRange(1, 10).Draw(rt, "faults") {
 		kind := rapid.IntRange(0, faultKinds-1).Draw(rt, "kind")
-		at := sim.Between(5*model.Second, calm-30*model.Second)
-		long := sim.Between(model.Second, 30*model.Second)
-		sim.At(at, func() { injectFault(sim, kind, long) })
+		at := sim.Between(5*model.Second, faultsEnd-30*model.Second)
+		duration := sim.Between(model.Second, 30*model.Second)
+		sim.At(at, func() { injectFault(sim, kind, duration) })
 	}
 }
 
 // drawSimultaneousFaults has two or three faults occur within seconds of each other.
-func drawSimultaneousFaults(rt *rapid.T, sim *simDeployment, calm model.Micros) {
+func drawSimultaneousFaults(rt *rapid.T, sim *simDeployment, faultsEnd model.Micros) {
 	for range rapid.IntRange(0, 3).Draw(rt, "meetings") {
-		at := sim.Between(20*model.Second, calm-40*model.Second)
+		at := sim.Between(20*model.Second, faultsEnd-40*model.Second)
 		for range rapid.IntRange(2, 3).Draw(rt, "met") {
 			kind := rapid.IntRange(0, faultKinds-1).Draw(rt, "kind")
 			sim.At(at+sim.Between(0, 3*model.Second), func() { injectFault(sim, kind, sim.Between(model.Second, 40*model.Second)) })
--- a/internal/controller/leader_failover_test.go
+++ b/internal/controller/leader_failover_test.go
@@ -15,9 +15,9 @@
 
 // silent cuts a controller off from all: the state service, the other controllers,
 // workers and users. What it sends meanwhile is carried out when the cut ends.
-func (n *simNode) setIsolated(yes bool) {
-	n.reachableByWorkers, n.peersCutOff, n.usersCutOff = !yes, yes, yes
-	if yes {
+func (n *simNode) setIsolated(isolated bool) {
+	n.reachableByWorkers, n.peersCutOff, n.usersCutOff = !isolated, isolated, isolated
+	if isolated {
 		n.setStateLink(linkHolding)
 	} else {
 		n.setStateLink(linkOpen)
@@ -38,25 +38,25 @@
 		if holders > 1 {
 			sim.t.Fatalf("%.1f s: %d controllers hold authority\n%s", sim.Now.Seconds(), holders, sim.describe())
 		}
-		l := sim.leader()
-		return l != nil && l != former && !l.paused && l.ctl.leading.ready
+		leader := sim.leader()
+		return leader != nil && leader != former && !leader.paused && leader.ctl.leading.ready
 	})
 }
 
 // longWork has arrays and gangs run that last through a failover.
-func startLongJobs(sim *simDeployment) (us []*user) {
+func startLongJobs(sim *simDeployment) (users []*user) {
 	for i := range 3 {
-		us = append(us, sim.submit(arrayJob(i, 4, 45), 0))
-		us = append(us, sim.submit(gangJob(10+i, 2, 45), 0))
+		users = append(users, sim.submit(arrayJob(i, 4, 45), 0))
+		users = append(users, sim.submit(gangJob(10+i, 2, 45), 0))
 	}
 	sim.waitForRunningTasks(3*4 + 3*2)
-	return us
+	return users
 }
 
 // allDone sees that every job came to its end.
-func (sim *simDeployment) requireAllDone(us []*user) {
+func (sim *simDeployment) requireAllDone(users []*user) {
 	sim.t.Helper()
-	for _, u := range us {
+	for _, u := range users {
 		if u.reportedEnd != "done" {
 			sim.t.Errorf("%s: %q", u.submission.ID, u.reportedEnd)
 		}
@@ -67,27 +67,27 @@
 // that run go on, as their leases are renewed by the next leader, and when the silence
 // ends, all that the former leader had on its way is carried out late and changes nothing.
 func TestIsolatedLeader(t *testing.T) {
-	for _, silence := range []model.Micros{60 * model.Second, 90 * model.Second} {
+	for _, duration := range []model.Micros{60 * model.Second, 90 * model.Second} {
 		for seed := range uint64(3) {
-			t.Run(fmt.Sprintf("%.0f s, seed %d", silence.Seconds(), seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%.0f s, seed %d", duration.Seconds(), seed), func(t *testing.T) {
 				sim := newSmallDeployment(t, 60+seed)
-				us := startLongJobs(sim)
+				users := startLongJobs(sim)
 				starts := sim.invariants.Starts
 				former := sim.leader()
 				former.setIsolated(true)
-				began := sim.Now
-				us = append(us, sim.submit(arrayJob(50, 4, 10), 0))
+				isolatedAt := sim.Now
+				users = append(users, sim.submit(arrayJob(50, 4, 10), 0))
 				sim.waitForOtherLeader(former)
 				sim.Run(sim.Now + 10*model.Second)
 				// Nothing that ran was lost: only the new job's tasks may have begun.
 				if n := sim.invariants.Starts - starts; n > 4 {
 					t.Errorf("%d tasks began during the failover, more than what was submitted", n)
 				}
-				sim.Run(began + silence)
+				sim.Run(isolatedAt + duration)
 				former.setIsolated(false)
 				sim.Run(sim.Now + 120*model.Second)
 				sim.requireInvariants()
-				sim.requireAllDone(us)
+				sim.requireAllDone(users)
 			})
 		}
 	}
@@ -102,26 +102,26 @@
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%.0f s, seed %d", pause.Seconds(), seed), func(t *testing.T) {
 				sim := newSmallDeployment(t, 70+seed)
-				us := startLongJobs(sim)
+				users := startLongJobs(sim)
 				former := sim.leader()
 				token := former.ctl.leading.token
 				former.pauseFor(pause)
-				us = append(us, sim.submit(arrayJob(50, 4, 10), 0))
+				users = append(users, sim.submit(arrayJob(50, 4, 10), 0))
 				cancelled := sim.submit(arrayJob(51, 4, 60), 3*model.Second)
 				if pause > ttl+4*model.Second {
 					sim.waitForOtherLeader(former)
-					if l := sim.leader(); l.ctl.leading.token <= token {
-						t.Errorf("the next leader's token %d is not above %d", l.ctl.leading.token, token)
+					if leader := sim.leader(); leader.ctl.leading.token <= token {
+						t.Errorf("the next leader's token %d is not above %d", leader.ctl.leading.token, token)
 					}
 					// Reports that came to it while it stood still are answered by it when it goes on.
 					sim.Run(sim.Now + pause - ttl)
-					if l := former.ctl.leading; l != nil && former.ctl.authority.IsValid(former.ctl.clock()) && l.token == token {
+					if leading := former.ctl.leading; leading != nil && former.ctl.authority.IsValid(former.ctl.clock()) && leading.token == token {
 						t.Error("the former leader goes on under its old token")
 					}
 				}
 				sim.Run(sim.Now + pause + 120*model.Second)
 				sim.requireInvariants()
-				sim.requireAllDone(us)
+				sim.requireAllDone(users)
 				if cancelled.reportedEnd != "withdrawn" {
 					t.Errorf("cancelled during the pause: %q", cancelled.reportedEnd)
 				}
--- a/internal/controller/refused_leader_test.go
+++ b/internal/controller/refused_leader_test.go
@@ -11,38 +11,38 @@
 // refusedAlone has the state service refuse the leader alone, and jobs cancelled through
 // another controller before long has passed. Now and then an answer is lost on the way:
 // then another seed has to do.
-func refuseLeaderAndCancel(t *testing.T, ts workerTimes, seed uint64, peersCutOff bool, long model.Micros) (m *failureScenario, l *simNode, us []*user, cut model.Micros) {
+func refuseLeaderAndCancel(t *testing.T, times workerTimes, seed uint64, peersCutOff bool, cancelWithin model.Micros) (scenario *failureScenario, leader *simNode, users []*user, refusedAt model.Micros) {
 	for range 5 {
-		m = newFailureScenario(t, ts, seed)
+		scenario = newFailureScenario(t, times, seed)
 		seed += 1000
-		a, b, c := m.startMixedLoad()
-		us = []*user{a, b, c}
-		l = m.requireLeader()
-		l.setStateLink(linkRefusing)
-		l.peersCutOff, cut = peersCutOff, m.Now
-		end := m.Now + min(long, 1800*model.Millisecond) - 50*model.Millisecond
-		m.Run(m.Now + 50*model.Millisecond)
-		if m.leader() != l {
+		array, gang, service := scenario.startMixedLoad()
+		users = []*user{array, gang, service}
+		leader = scenario.requireLeader()
+		leader.setStateLink(linkRefusing)
+		leader.peersCutOff, refusedAt = peersCutOff, scenario.Now
+		end := scenario.Now + min(cancelWithin, 1800*model.Millisecond) - 50*model.Millisecond
+		scenario.Run(scenario.Now + 50*model.Millisecond)
+		if scenario.leader() != leader {
 			t.Fatal("the leader does not act any more when the cancellations come")
 		}
-		for _, u := range us {
-			u.cancel(m.otherNode(l))
+		for _, u := range users {
+			u.cancel(scenario.otherNode(leader))
 		}
-		m.Run(end)
-		told := 0
-		for _, u := range us {
-			if m.invariants.ReportedEnd(u.submission.ID) == "withdrawn" && m.tasksOnMachines(u) > 0 {
-				told++
+		scenario.Run(end)
+		confirmed := 0
+		for _, u := range users {
+			if scenario.invariants.ReportedEnd(u.submission.ID) == "withdrawn" && scenario.tasksOnMachines(u) > 0 {
+				confirmed++
 			}
 		}
-		if told == len(us) {
-			return m, l, us, cut
+		if confirmed == len(users) {
+			return scenario, leader, users, refusedAt
 		}
 	}
-	for _, u := range us {
-		t.Logf("%s: %q, %d tasks", u.submission.ID, m.invariants.ReportedEnd(u.submission.ID), m.tasksOnMachines(u))
+	for _, u := range users {
+		t.Logf("%s: %q, %d tasks", u.submission.ID, scenario.invariants.ReportedEnd(u.submission.ID), scenario.tasksOnMachines(u))
 	}
-	t.Fatalf("the cancellations are not confirmed in time, or nothing of the jobs runs\n%s", m.describe())
+	t.Fatalf("the cancellations are not confirmed in time, or nothing of the jobs runs\n%s", scenario.describe())
 	return nil, nil, nil, 0
 }
 
@@ -52,15 +52,15 @@
 // touch and catch-up were sent, and the session is so short that with the workers' lease
 // after it all is over in time.
 func TestRefusedLeaderThenOutage(t *testing.T) {
-	times := append([]workerTimes{{5, 26.5, 51.5}, {5, 26.5, 46.5}}, scenarioWorkerTimes...)
-	for i, ts := range times {
-		session := leadership.ComputeLeaseTimes(30*model.Second, model.Seconds(ts.lease), model.Seconds(ts.report), model.Seconds(ts.cancel)).TTL
+	allTimes := append([]workerTimes{{5, 26.5, 51.5}, {5, 26.5, 46.5}}, scenarioWorkerTimes...)
+	for i, times := range allTimes {
+		session := leadership.ComputeLeaseTimes(30*model.Second, model.Seconds(times.lease), model.Seconds(times.report), model.Seconds(times.cancel)).TTL
 		// The outage begins at once, before, at and after the end of the old leader's session.
-		for k, until := range []model.Micros{model.Second, 2 * model.Second, session - model.Second/2, session, session + 2*model.Second} {
-			for _, v := range outageVariants {
-				t.Run(fmt.Sprintf("cancel %v outage after %.1f %s", ts.cancel, until.Seconds(), v.name), func(t *testing.T) {
+		for k, outageAfter := range []model.Micros{model.Second, 2 * model.Second, session - model.Second/2, session, session + 2*model.Second} {
+			for _, variant := range outageVariants {
+				t.Run(fmt.Sprintf("cancel %v outage after %.1f %s", times.cancel, outageAfter.Seconds(), variant.name), func(t *testing.T) {
 					t.Parallel()
-					v.run(t, ts, uint64(100+i*10+k), until)
+					variant.run(t, times, uint64(100+i*10+k), outageAfter)
 				})
 			}
 		}
@@ -86,43 +86,43 @@
 	syncsLost         bool // the leader is back first, its session renewed, without a catch-up for a while
 }
 
-func (v *outageVariant) run(t *testing.T, ts workerTimes, seed uint64, until model.Micros) {
-	m, l, cancelled, cut := refuseLeaderAndCancel(t, ts, seed, v.peersCutOff, until)
-	v.failMachines(m, cancelled[0])
-	m.Run(cut + until)
-	m.state.SetOutage(true)
-	m.Run(max(m.Now, cut+14*model.Second))
+func (v *outageVariant) run(t *testing.T, times workerTimes, seed uint64, outageAfter model.Micros) {
+	scenario, leader, cancelled, refusedAt := refuseLeaderAndCancel(t, times, seed, v.peersCutOff, outageAfter)
+	v.failMachines(scenario, cancelled[0])
+	scenario.Run(refusedAt + outageAfter)
+	scenario.state.SetOutage(true)
+	scenario.Run(max(scenario.Now, refusedAt+14*model.Second))
 	if !v.returnsFirst {
-		l.setStateLink(linkOpen)
+		leader.setStateLink(linkOpen)
 	}
-	m.requireStopped(cancelled...)
-	m.Run(m.Now + m.invariants.CancelLimit/4)
+	scenario.requireStopped(cancelled...)
+	scenario.Run(scenario.Now + scenario.invariants.CancelLimit/4)
 	if v.returnsFirst {
-		for _, n := range m.nodes {
-			if n != l {
+		for _, n := range scenario.nodes {
+			if n != leader {
 				n.setStateLink(linkRefusing)
 			}
 		}
-		l.setStateLink(linkOpen)
-		l.syncsLost = v.syncsLost
+		leader.setStateLink(linkOpen)
+		leader.syncsLost = v.syncsLost
 	}
-	m.state.SetOutage(false)
+	scenario.state.SetOutage(false)
 	if v.syncsLost {
-		m.Run(m.Now + 2*m.sessionTTL())
-		l.syncsLost = false
+		scenario.Run(scenario.Now + 2*scenario.sessionTTL())
+		leader.syncsLost = false
 	}
-	m.Run(m.Now + 3*model.Second)
-	m.requireRecovery()
+	scenario.Run(scenario.Now + 3*model.Second)
+	scenario.requireRecovery()
 }
 
-func (v *outageVariant) failMachines(m *failureScenario, cancelled *user) {
-	for i, x := range m.cloud.Workers() {
-		if v.machinesHang && x.HasTaskOf(cancelled.submission.ID) {
-			x.SetHung(true)
-			m.After(m.workerLease()/2+model.Micros(i)*model.Second, func() { x.SetHung(false) })
+func (v *outageVariant) failMachines(scenario *failureScenario, cancelled *user) {
+	for i, worker := range scenario.cloud.Workers() {
+		if v.machinesHang && worker.HasTaskOf(cancelled.submission.ID) {
+			worker.SetHung(true)
+			scenario.After(scenario.workerLease()/2+model.Micros(i)*model.Second, func() { worker.SetHung(false) })
 		}
 		if v.heartbeatsBlocked {
-			m.heartbeatsBlocked[x.ID] = i%2 == 0
+			scenario.heartbeatsBlocked[worker.ID] = i%2 == 0
 		}
 	}
 }
@@ -130,40 +130,40 @@
 // The same while starts of the cancelled job are still on their way to machines, and
 // with a job that awaits it, which is withdrawn with it and never begins.
 func TestRefusedLeaderThenOutageWithStartsInFlight(t *testing.T) {
-	for i, ts := range scenarioWorkerTimes {
-		for k, until := range []model.Micros{model.Second, 5 * model.Second, 10 * model.Second} {
-			t.Run(fmt.Sprintf("cancel %v outage after %.1f", ts.cancel, until.Seconds()), func(t *testing.T) {
+	for i, times := range scenarioWorkerTimes {
+		for k, outageAfter := range []model.Micros{model.Second, 5 * model.Second, 10 * model.Second} {
+			t.Run(fmt.Sprintf("cancel %v outage after %.1f", times.cancel, outageAfter.Seconds()), func(t *testing.T) {
 				t.Parallel()
-				m := newFailureScenario(t, ts, uint64(300+i*10+k))
-				m.startMixedLoad()
-				first := m.submitArray(6, 300)
-				m.runUntil(20*model.Second, "it is accepted", func() bool { return first.accepted })
-				s := arrayJob(600, 2, 5)
-				s.Awaits = []string{first.submission.ID}
-				next := m.submitAndTrack(s)
-				m.runUntil(20*model.Second, "that which awaits it is accepted", func() bool { return next.accepted })
-				l := m.requireLeader()
-				m.runUntil(90*model.Second, "starts are on their way", func() bool {
-					j := l.ctl.leading.shard.Jobs[first.submission.ID]
-					return j != nil && len(j.Bindings) > m.tasksOnMachines(first)
+				scenario := newFailureScenario(t, times, uint64(300+i*10+k))
+				scenario.startMixedLoad()
+				cancelled := scenario.submitArray(6, 300)
+				scenario.runUntil(20*model.Second, "it is accepted", func() bool { return cancelled.accepted })
+				submission := arrayJob(600, 2, 5)
+				submission.Awaits = []string{cancelled.submission.ID}
+				dependent := scenario.submitAndTrack(submission)
+				scenario.runUntil(20*model.Second, "that which awaits it is accepted", func() bool { return dependent.accepted })
+				leader := scenario.requireLeader()
+				scenario.runUntil(90*model.Second, "starts are on their way", func() bool {
+					job := leader.ctl.leading.shard.Jobs[cancelled.submission.ID]
+					return job != nil && len(job.Bindings) > scenario.tasksOnMachines(cancelled)
 				})
-				l.setStateLink(linkRefusing)
-				cut := m.Now
-				first.cancel(m.otherNode(l))
-				m.waitForCancelled(10*model.Second, first)
-				m.Run(max(m.Now, cut+until))
-				m.state.SetOutage(true)
-				m.Run(max(m.Now, cut+14*model.Second))
-				l.setStateLink(linkOpen)
-				m.requireStopped(first)
-				m.Run(m.Now + m.invariants.CancelLimit/4)
-				m.state.SetOutage(false)
-				m.Run(m.Now + 3*model.Second)
-				m.waitForCancelled(20*model.Second, next)
-				if m.tasksOnMachines(next) > 0 {
+				leader.setStateLink(linkRefusing)
+				refusedAt := scenario.Now
+				cancelled.cancel(scenario.otherNode(leader))
+				scenario.waitForCancelled(10*model.Second, cancelled)
+				scenario.Run(max(scenario.Now, refusedAt+outageAfter))
+				scenario.state.SetOutage(true)
+				scenario.Run(max(scenario.Now, refusedAt+14*model.Second))
+				leader.setStateLink(linkOpen)
+				scenario.requireStopped(cancelled)
+				scenario.Run(scenario.Now + scenario.invariants.CancelLimit/4)
+				scenario.state.SetOutage(false)
+				scenario.Run(scenario.Now + 3*model.Second)
+				scenario.waitForCancelled(20*model.Second, dependent)
+				if scenario.tasksOnMachines(dependent) > 0 {
 					t.Error("what awaits a withdrawn job runs")
 				}
-				m.requireRecovery()
+				scenario.requireRecovery()
 			})
 		}
 	}
--- a/internal/controller/sim_cells_test.go
+++ b/internal/controller/sim_cells_test.go
@@ -44,14 +44,14 @@
 
 // cellSettings are those of a cell with two controllers.
 func cellSettings(name string) *config.Settings {
-	s := simSettings(name)
-	s.Siblings = nil
+	settings := simSettings(name)
+	settings.Siblings = nil
 	for _, other := range []string{"node-0", "node-1"} {
 		if other != name {
-			s.Siblings = append(s.Siblings, config.Sibling{NodeName: other})
+			settings.Siblings = append(settings.Siblings, config.Sibling{NodeName: other})
 		}
 	}
-	return s
+	return settings
 }
 
 // Leases of the right: the default, and about the longest that fits into cancel_s.
@@ -73,34 +73,34 @@
 }
 
 func parseSpillPolicy(t *testing.T, file string) *spill.Policy {
-	w := cellSettings("").Params.Workers
-	p, err := spill.ParseSettings([]byte(file), model.Seconds(w.LeaseS), model.Seconds(w.CancelS))
+	workers := cellSettings("").Params.Workers
+	policy, err := spill.ParseSettings([]byte(file), model.Seconds(workers.LeaseS), model.Seconds(workers.CancelS))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return policy
 }
 
 // newCellWorld starts the cells; small is each one's capacity of small machines by zone
 // and kind.
-func newMultiCellSim(t *testing.T, seed uint64, leaseS float64, small ...int) *multiCellSim {
-	sim, set := standin.NewSim(seed), cellSettings("")
-	x := &multiCellSim{Sim: sim, t: t, invariants: standin.NewInvariantChecker(sim, set.Teams(), model.Seconds(set.Params.Workers.CancelS)),
+func newMultiCellSim(t *testing.T, seed uint64, leaseS float64, smallMachines ...int) *multiCellSim {
+	simulation, settings := standin.NewSim(seed), cellSettings("")
+	m := &multiCellSim{Sim: simulation, t: t, invariants: standin.NewInvariantChecker(simulation, settings.Teams(), model.Seconds(settings.Params.Workers.CancelS)),
 		linkStates: map[cellLink]int{}, heldCalls: map[cellLink][]func(){}}
 	for i, name := range cellNames {
-		cell := newDeploymentWithoutControllers(t, sim, x.invariants, cellSettings, cloudCapacity(small[i], 0))
-		cell.state.KeepLog = true
-		cell.cell = &simCell{name: name, policy: parseSpillPolicy(t, spillFile(name, leaseS)), multiCell: x}
-		cell.cloud.Cell = name
-		x.cells = append(x.cells, cell)
-		cell.addNode("node-0")
-		cell.addNode("node-1")
+		sim := newDeploymentWithoutControllers(t, simulation, m.invariants, cellSettings, cloudCapacity(smallMachines[i], 0))
+		sim.state.KeepLog = true
+		sim.cell = &simCell{name: name, policy: parseSpillPolicy(t, spillFile(name, leaseS)), multiCell: m}
+		sim.cloud.Cell = name
+		m.cells = append(m.cells, sim)
+		sim.addNode("node-0")
+		sim.addNode("node-1")
 	}
-	return x
+	return m
 }
 
-func (x *multiCellSim) cellNamed(name string) *simDeployment {
-	for _, sim := range x.cells {
+func (m *multiCellSim) cellNamed(name string) *simDeployment {
+	for _, sim := range m.cells {
 		if sim.cell.name == name {
 			return sim
 		}
@@ -109,27 +109,27 @@
 }
 
 // set cuts one direction between two cells; open delivers what was held.
-func (x *multiCellSim) setLink(from, to string, kind int) {
+func (m *multiCellSim) setLink(from, to string, linkState int) {
 	link := cellLink{from, to}
-	x.linkStates[link] = kind
-	if kind == linkOpen {
-		late := x.heldCalls[link]
-		delete(x.heldCalls, link)
-		for _, f := range late {
-			f()
+	m.linkStates[link] = linkState
+	if linkState == linkOpen {
+		held := m.heldCalls[link]
+		delete(m.heldCalls, link)
+		for _, deliver := range held {
+			deliver()
 		}
 	}
 }
 
 // pass carries something over one direction of a link.
-func (x *multiCellSim) sendOverLink(from, to string, f func()) {
+func (m *multiCellSim) sendOverLink(from, to string, deliver func()) {
 	link := cellLink{from, to}
-	switch x.linkStates[link] {
+	switch m.linkStates[link] {
 	case linkDropping:
 	case linkHolding:
-		x.heldCalls[link] = append(x.heldCalls[link], f)
+		m.heldCalls[link] = append(m.heldCalls[link], deliver)
 	default:
-		x.After(x.Between(model.Millisecond, 10*model.Millisecond+x.extraDelay), f)
+		m.After(m.Between(model.Millisecond, 10*model.Millisecond+m.extraDelay), deliver)
 	}
 }
 
@@ -138,75 +138,75 @@
 
 // call asks the controllers of a cell in turn until one that holds the shard answers; done
 // is called once, with no answer after the patience.
-func (s *simCellCalls) call(cell string, request any, send func(n *simNode, answer func(any, error)), done func(any, error)) {
-	x, home := s.node.sim.cell.multiCell, s.node.sim
-	guest := x.cellNamed(cell)
+func (s *simCellCalls) call(cell string, request any, send func(n *simNode, answer func(any, error)), onAnswer func(any, error)) {
+	multi, caller := s.node.sim.cell.multiCell, s.node.sim
+	callee := multi.cellNamed(cell)
 	answered := false
-	give := func(a any, err error) {
+	answerOnce := func(answer any, err error) {
 		if !answered {
 			answered = true
-			done(a, err)
+			onAnswer(answer, err)
 		}
 	}
-	x.After(model.Micros(cellCallTimeout.Microseconds()), func() { give(nil, spill.ErrUnreachable) })
+	multi.After(model.Micros(cellCallTimeout.Microseconds()), func() { answerOnce(nil, spill.ErrUnreachable) })
 	arrive := func() {
-		x.callCount++
-		if x.onCall != nil {
-			x.onCall(home, guest, request)
+		multi.callCount++
+		if multi.onCall != nil {
+			multi.onCall(caller, callee, request)
 		}
-		for _, n := range guest.nodes {
-			send(n, func(a any, err error) {
+		for _, n := range callee.nodes {
+			send(n, func(reply any, err error) {
 				if err == nil {
-					x.sendOverLink(cell, home.cell.name, func() { give(a, nil) })
+					multi.sendOverLink(cell, caller.cell.name, func() { answerOnce(reply, nil) })
 				}
 			})
 		}
 	}
-	x.sendOverLink(home.cell.name, cell, arrive)
-	if x.duplicateRequests > 0 && x.Chance(x.duplicateRequests) {
-		x.After(x.Between(model.Second, 150*model.Second), arrive)
+	multi.sendOverLink(caller.cell.name, cell, arrive)
+	if multi.duplicateRequests > 0 && multi.Chance(multi.duplicateRequests) {
+		multi.After(multi.Between(model.Second, 150*model.Second), arrive)
 	}
 }
 
 func (s *simCellCalls) offer(m msgOffered) {
-	life := s.node.incarnation
+	incarnation := s.node.incarnation
 	s.call(m.cell, m.offer, func(n *simNode, answer func(any, error)) {
 		reply := make(chan offerReply, 1)
 		offer := *m.offer
 		n.send(msgOffer{&offer, reply}, func() bool {
-			r, got := tryReceive(reply)
-			if got {
-				answer(r.answer, r.err)
+			received, ok := tryReceive(reply)
+			if ok {
+				answer(received.answer, received.err)
 			}
-			return got
+			return ok
 		})
-	}, func(a any, err error) {
-		m.answer, _ = a.(*spill.OfferAnswer)
+	}, func(answer any, err error) {
+		m.answer, _ = answer.(*spill.OfferAnswer)
 		m.err = err
-		s.node.deliver(life, m)
+		s.node.deliver(incarnation, m)
 	})
 }
 
 func (s *simCellCalls) renew(m msgRenewed) {
-	life := s.node.incarnation
+	incarnation := s.node.incarnation
 	s.call(m.home, m.renewal, func(n *simNode, answer func(any, error)) {
 		reply := make(chan renewalReply, 1)
 		n.send(msgRenewal{m.renewal, reply}, func() bool {
-			r, got := tryReceive(reply)
-			if got {
-				answer(r.answer, r.err)
+			received, ok := tryReceive(reply)
+			if ok {
+				answer(received.answer, received.err)
 			}
-			return got
+			return ok
 		})
-	}, func(a any, err error) {
-		m.answer, _ = a.(*spill.RenewalAnswer)
+	}, func(answer any, err error) {
+		m.answer, _ = answer.(*spill.RenewalAnswer)
 		m.err = err
-		s.node.deliver(life, m)
+		s.node.deliver(incarnation, m)
 	})
 }
 
 // received tells whether a reply is there.
-func tryReceive[T any](reply <-chan T) (answer T, got bool) {
+func tryReceive[T any](reply <-chan T) (answer T, ok bool) {
 	select {
 	case answer = <-reply:
 		return answer, true
@@ -216,11 +216,11 @@
 }
 
 // drop ends all controllers of a cell, for so long.
-func (x *multiCellSim) crashCell(sim *simDeployment, long model.Micros) {
+func (m *multiCellSim) crashCell(sim *simDeployment, duration model.Micros) {
 	for _, n := range sim.nodes {
 		if n.alive {
 			n.crash()
-			x.After(long+x.Between(0, model.Second), func() {
+			m.After(duration+m.Between(0, model.Second), func() {
 				if !n.alive {
 					n.start()
 				}
@@ -230,8 +230,8 @@
 }
 
 // calm ends all troubles.
-func (x *multiCellSim) endFaults() {
-	for _, sim := range x.cells {
+func (m *multiCellSim) endFaults() {
+	for _, sim := range m.cells {
 		for _, n := range sim.nodes {
 			n.intercept = nil
 			if n.paused {
@@ -242,18 +242,18 @@
 	}
 	for _, from := range cellNames {
 		for _, to := range cellNames {
-			x.setLink(from, to, linkOpen)
+			m.setLink(from, to, linkOpen)
 		}
 	}
-	x.duplicateRequests, x.extraDelay, x.onCall = 0, 0, nil
+	m.duplicateRequests, m.extraDelay, m.onCall = 0, 0, nil
 }
 
 // allEnded tells whether users were told of the end of all jobs that they submitted, but for
 // those that they gave up.
-func (x *multiCellSim) allEnded() bool {
-	for _, sim := range x.cells {
+func (m *multiCellSim) allEnded() bool {
+	for _, sim := range m.cells {
 		for _, u := range sim.users {
-			if x.invariants.ReportedEnd(u.submission.ID) == "" && (u.accepted || x.Now < u.deadline) {
+			if m.invariants.ReportedEnd(u.submission.ID) == "" && (u.accepted || m.Now < u.deadline) {
 				return false
 			}
 		}
@@ -262,29 +262,29 @@
 }
 
 // records counts the records of spilling in all cells.
-func (x *multiCellSim) spillRecordCount() (n int) {
-	for _, sim := range x.cells {
+func (m *multiCellSim) spillRecordCount() (n int) {
+	for _, sim := range m.cells {
 		n += sim.state.KeyCount("spill/")
 	}
 	return n
 }
 
 // lentJobs counts the lendings that the state services of all cells have accepted.
-func (x *multiCellSim) lendingCount() (n int) {
-	x.eachLending(func(string, *spill.OutRecord) { n++ })
+func (m *multiCellSim) lendingCount() (n int) {
+	m.eachLending(func(string, *spill.OutRecord) { n++ })
 	return n
 }
 
 // eachLending calls f for every lending that a home cell has written.
-func (x *multiCellSim) eachLending(f func(job string, record *spill.OutRecord)) {
-	for _, sim := range x.cells {
+func (m *multiCellSim) eachLending(visit func(jobID string, record *spill.OutRecord)) {
+	for _, sim := range m.cells {
 		seen := map[uint64]bool{}
 		for _, write := range sim.state.Log {
 			for _, op := range write.Txn.Then {
 				record, ok := op.Value.(spill.OutRecord)
 				if ok && len(write.Rejected) == 0 && record.State == spill.Lent && !seen[record.Token] {
 					seen[record.Token] = true
-					f(strings.TrimPrefix(op.Set, spill.OutPrefix), &record)
+					visit(strings.TrimPrefix(op.Set, spill.OutPrefix), &record)
 				}
 			}
 		}
@@ -292,51 +292,51 @@
 }
 
 // call asks any controller of a cell.
-func (x *multiCellSim) sendUserRequest(sim *simDeployment, msg func(chan<- userapi.Answer) any, f func(userapi.Answer)) {
-	sim.sendUserRequest(nil, 5*model.Second, msg, f)
+func (m *multiCellSim) sendUserRequest(sim *simDeployment, newRequest func(chan<- userapi.Answer) any, onAnswer func(userapi.Answer)) {
+	sim.sendUserRequest(nil, 5*model.Second, newRequest, onAnswer)
 }
 
 // verify sees, all troubles over, that everything accepted ends, the rules held, and no
 // record of spilling is left.
-func (x *multiCellSim) requireCleanEnd(f interface {
+func (m *multiCellSim) requireCleanEnd(tb interface {
 	Helper()
 	Fatalf(string, ...any)
 }) {
-	f.Helper()
-	x.endFaults()
-	for _, sim := range x.cells {
+	tb.Helper()
+	m.endFaults()
+	for _, sim := range m.cells {
 		for _, u := range sim.users {
 			if u.accepted && u.submission.Kind == "service" {
 				u.cancel(nil)
 			}
 		}
 	}
-	limit := x.Now + 500*model.Second
-	for x.Now < limit && !(x.allEnded() && x.spillRecordCount() == 0) {
-		x.Run(x.Now + model.Second)
+	limit := m.Now + 500*model.Second
+	for m.Now < limit && !(m.allEnded() && m.spillRecordCount() == 0) {
+		m.Run(m.Now + model.Second)
 	}
-	x.invariants.CheckCancelled()
-	if len(x.invariants.Violations) > 0 {
-		f.Fatalf("rules broken: %v", x.invariants.Violations)
+	m.invariants.CheckCancelled()
+	if len(m.invariants.Violations) > 0 {
+		tb.Fatalf("rules broken: %v", m.invariants.Violations)
 	}
-	for ref := range x.invariants.Accepted {
-		if x.invariants.ReportedEnd(ref) == "" {
-			f.Fatalf("%s (%+v) never ended; %s", ref, x.invariants.Submitted[ref], x.describe(ref))
+	for jobID := range m.invariants.Accepted {
+		if m.invariants.ReportedEnd(jobID) == "" {
+			tb.Fatalf("%s (%+v) never ended; %s", jobID, m.invariants.Submitted[jobID], m.describe(jobID))
 		}
 	}
-	if n := x.spillRecordCount(); n > 0 {
-		f.Fatalf("%d records of spilling are left: %s", n, x.describe(""))
+	if n := m.spillRecordCount(); n > 0 {
+		tb.Fatalf("%d records of spilling are left: %s", n, m.describe(""))
 	}
 }
 
 // describe is for failure messages.
-func (x *multiCellSim) describe(ref string) string {
+func (m *multiCellSim) describe(jobID string) string {
 	var b strings.Builder
-	for _, sim := range x.cells {
+	for _, sim := range m.cells {
 		entries, _, _ := sim.state.List("")
-		for _, e := range entries {
-			if strings.HasPrefix(e.Path, "spill/") || ref != "" && strings.HasSuffix(e.Path, ref) {
-				fmt.Fprintf(&b, "%s %s = %s\n", sim.cell.name, e.Path, e.Value)
+		for _, entry := range entries {
+			if strings.HasPrefix(entry.Path, "spill/") || jobID != "" && strings.HasSuffix(entry.Path, jobID) {
+				fmt.Fprintf(&b, "%s %s = %s\n", sim.cell.name, entry.Path, entry.Value)
 			}
 		}
 		b.WriteString(sim.describe())
