--- a/internal/controller/cells_chaos_test.go
+++ b/internal/controller/cells_chaos_test.go
@@ -8,28 +8,28 @@
 	"woadweir/internal/core/model"
 )
 
-// cellFaultKinds is the number of troubles between cells that cellFault knows, beside
-// those that each deployment has for itself.
+// cellFaultKinds is the number of faults of and between cells that beginCellFault knows, in
+// addition to the faults within a deployment.
 const cellFaultKinds = 8
 
-// cellFault brings one trouble of or between cells about.
+// beginCellFault begins a fault of a cell or between cells.
 func beginCellFault(multi *multiCellSim, kind int, duration model.Micros) {
 	sim := multi.cells[multi.Rand.IntN(len(multi.cells))]
 	from, to := cellNames[multi.Rand.IntN(len(cellNames))], cellNames[multi.Rand.IntN(len(cellNames))]
 	switch kind {
-	case 0, 1: // a cell drops out, for less or more than its leases
+	case 0, 1: // a cell is down, for less or more than its leases
 		multi.crashCell(sim, model.Micros(1+4*kind)*duration)
-	case 2, 3: // one direction of a link, dropping or holding
+	case 2, 3: // one direction of a link drops or holds calls
 		multi.setLink(from, to, kind-1)
 		multi.After(2*duration, func() { multi.setLink(from, to, linkOpen) })
-	case 4: // calls arrive again, minutes late
+	case 4: // calls arrive a second time, minutes late
 		multi.duplicateRequests = 0.4
 		multi.After(duration, func() { multi.duplicateRequests = 0 })
-	case 5: // the holder stands still for longer than its lease, and wakes late
+	case 5: // the leader is paused for longer than its lease
 		if leader := sim.leader(); leader != nil && !leader.paused {
 			leader.pauseFor(duration + 5*model.Second)
 		}
-	case 6: // users cancel what is lent
+	case 6: // users cancel lent jobs
 		for _, sim := range multi.cells {
 			for _, u := range sim.users {
 				if u.accepted && u.reportedEnd == "" && sim.state.HasKey("spill/out/"+u.submission.ID) && multi.Chance(0.5) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// Random failures of three cells, of the links between them and of what each of them
-// consists of break no rule, and lose or repeat no job.
+// Random faults of three cells, of the links between them and within each cell violate no
+// invariant, and no job is lost or repeated.
 func TestCellsUnderRandomFailures(t *testing.T) {
 	t.Parallel()
 	lent, executedAgain, starts := 0, 0, 0
@@ -84,6 +84,6 @@
 	})
 	t.Logf("%d starts, %d jobs lent, %d tasks executed again", starts, lent, executedAgain)
 	if lent == 0 {
-		t.Error("nothing was lent")
+		t.Error("no job was lent in any run")
 	}
 }
--- a/internal/controller/cells_failures_test.go
+++ b/internal/controller/cells_failures_test.go
@@ -11,19 +11,18 @@
 	"woadweir/internal/state"
 )
 
-// lentJob is a world in which one job of the first cell is lent.
+// lendingScenario is a simulation in which one job of the first cell is lent.
 type lendingScenario struct {
 	*multiCellSim
 	home          *simDeployment
 	executionCell *simDeployment // nil until it is lent
 	user          *user
 	jobID         string
-	// fillers keep the home cell busy.
-	fillerJobs []*user
+	fillerJobs    []*user // jobs that keep the home cell busy
 }
 
-// newLentJob fills the first cell with long work and submits one more job, which is to be
-// lent.
+// newLendingScenario fills the first cell with services and submits one more job to it, which
+// is to be lent.
 func newLendingScenario(t *testing.T, seed uint64, leaseS, seconds float64) *lendingScenario {
 	l := &lendingScenario{multiCellSim: newMultiCellSim(t, seed, leaseS, 1, 1, 1), jobID: "j-000900"}
 	l.home = l.cells[0]
@@ -44,7 +43,7 @@
 func (l *lendingScenario) outKey() string { return spill.OutKey(l.jobID) }
 func (l *lendingScenario) inKey() string  { return spill.InKey("north", l.jobID) }
 
-// findGuest notes to which cell the job is lent.
+// findExecutionCell sets the execution cell once the job is lent.
 func (l *lendingScenario) findExecutionCell() {
 	var record spill.OutRecord
 	entry, err := l.home.state.Get("", l.outKey())
@@ -54,7 +53,7 @@
 	l.executionCell = l.cellNamed(record.Cell)
 }
 
-// reach runs until a step of the lending is reached.
+// runUntil runs the simulation until a step of the lending is reached.
 func (l *lendingScenario) runUntil(step string, reached func() bool) {
 	l.t.Helper()
 	for limit := l.Now + 150*model.Second; !reached(); l.findExecutionCell() {
@@ -96,67 +95,67 @@
 	return answer.Status
 }
 
-// lendingSteps are the steps of a lending at which troubles come.
+// lendingSteps are the steps of a lending at which faults are injected.
 var lendingSteps = []struct {
 	name    string
 	reached func(scenario *lendingScenario) func() bool
 }{
-	{"home has written its record", func(scenario *lendingScenario) func() bool { return scenario.isRecordedAtHome }},
-	{"the guest has written its record", func(scenario *lendingScenario) func() bool { return scenario.isAccepted }},
-	{"it runs", func(scenario *lendingScenario) func() bool { return scenario.isRunning }},
-	{"half of it is done", func(scenario *lendingScenario) func() bool { return scenario.isHalfDone }},
-	{"finished, not reported", func(scenario *lendingScenario) func() bool { return scenario.isFinished }},
-	{"reported, not forgotten", func(scenario *lendingScenario) func() bool { return scenario.isEndReported }},
+	{"home has stored its record", func(scenario *lendingScenario) func() bool { return scenario.isRecordedAtHome }},
+	{"the execution cell has stored its record", func(scenario *lendingScenario) func() bool { return scenario.isAccepted }},
+	{"tasks run", func(scenario *lendingScenario) func() bool { return scenario.isRunning }},
+	{"half of the tasks are done", func(scenario *lendingScenario) func() bool { return scenario.isHalfDone }},
+	{"tasks finished, end not reported", func(scenario *lendingScenario) func() bool { return scenario.isFinished }},
+	{"end reported, job not forgotten", func(scenario *lendingScenario) func() bool { return scenario.isEndReported }},
 }
 
-// Times for which troubles last: less than each lease, and more than all of them together.
+// Durations of faults: less than each lease, and more than all leases together.
 const (
 	shortFault = 3 * model.Second
 	longFault  = 70 * model.Second
 )
 
-// lendingTroubles are what comes at each step.
+// lendingFaults are the faults that are injected at each step.
 var lendingFaults = []struct {
 	name   string
 	inject func(scenario *lendingScenario)
 }{
-	{"home drops out shortly", func(scenario *lendingScenario) { scenario.crashCell(scenario.home, shortFault) }},
-	{"home drops out for long", func(scenario *lendingScenario) { scenario.crashCell(scenario.home, longFault) }},
-	{"the guest drops out shortly", func(scenario *lendingScenario) { scenario.crashCell(scenario.executionCell, shortFault) }},
-	{"the guest drops out for long", func(scenario *lendingScenario) { scenario.crashCell(scenario.executionCell, longFault) }},
-	{"both drop out shortly", func(scenario *lendingScenario) {
+	{"home is down briefly", func(scenario *lendingScenario) { scenario.crashCell(scenario.home, shortFault) }},
+	{"home is down for long", func(scenario *lendingScenario) { scenario.crashCell(scenario.home, longFault) }},
+	{"the execution cell is down briefly", func(scenario *lendingScenario) { scenario.crashCell(scenario.executionCell, shortFault) }},
+	{"the execution cell is down for long", func(scenario *lendingScenario) { scenario.crashCell(scenario.executionCell, longFault) }},
+	{"both cells are down briefly", func(scenario *lendingScenario) {
 		scenario.crashCell(scenario.home, shortFault)
 		scenario.crashCell(scenario.executionCell, shortFault)
 	}},
-	{"both drop out for long", func(scenario *lendingScenario) {
+	{"both cells are down for long", func(scenario *lendingScenario) {
 		scenario.crashCell(scenario.home, longFault)
 		scenario.crashCell(scenario.executionCell, longFault)
 	}},
-	{"home's holder ends", func(scenario *lendingScenario) { scenario.crashLeader(scenario.home) }},
-	{"the guest's holder ends", func(scenario *lendingScenario) { scenario.crashLeader(scenario.executionCell) }},
-	{"home's holder wakes late", func(scenario *lendingScenario) { scenario.pauseLeader(scenario.home) }},
-	{"the guest's holder wakes late", func(scenario *lendingScenario) { scenario.pauseLeader(scenario.executionCell) }},
-	{"home's state service is out", func(scenario *lendingScenario) { scenario.stateOutage(scenario.home, 25*model.Second) }},
-	{"the guest's state service is out", func(scenario *lendingScenario) { scenario.stateOutage(scenario.executionCell, 25*model.Second) }},
-	{"home's state service refuses its holder", func(scenario *lendingScenario) { scenario.refuseLeader(scenario.home) }},
-	{"the guest's state service refuses its holder", func(scenario *lendingScenario) { scenario.refuseLeader(scenario.executionCell) }},
-	{"questions do not arrive", func(scenario *lendingScenario) { scenario.dropRenewals() }},
-	{"answers do not arrive", func(scenario *lendingScenario) {
+	{"home's leader crashes", func(scenario *lendingScenario) { scenario.crashLeader(scenario.home) }},
+	{"the execution cell's leader crashes", func(scenario *lendingScenario) { scenario.crashLeader(scenario.executionCell) }},
+	{"home's leader is paused", func(scenario *lendingScenario) { scenario.pauseLeader(scenario.home) }},
+	{"the execution cell's leader is paused", func(scenario *lendingScenario) { scenario.pauseLeader(scenario.executionCell) }},
+	{"home's state service is down", func(scenario *lendingScenario) { scenario.stateOutage(scenario.home, 25*model.Second) }},
+	{"the execution cell's state service is down", func(scenario *lendingScenario) { scenario.stateOutage(scenario.executionCell, 25*model.Second) }},
+	{"home's state service refuses the leader", func(scenario *lendingScenario) { scenario.refuseLeader(scenario.home) }},
+	{"the execution cell's state service refuses the leader", func(scenario *lendingScenario) { scenario.refuseLeader(scenario.executionCell) }},
+	{"renewals are lost", func(scenario *lendingScenario) { scenario.dropRenewals() }},
+	{"answers to renewals are lost", func(scenario *lendingScenario) {
 		scenario.breakLink(scenario.home, scenario.executionCell, linkDropping)
 	}},
-	{"questions are held", func(scenario *lendingScenario) {
+	{"renewals are held", func(scenario *lendingScenario) {
 		scenario.breakLink(scenario.executionCell, scenario.home, linkHolding)
 	}},
-	{"answers are held", func(scenario *lendingScenario) {
+	{"answers to renewals are held", func(scenario *lendingScenario) {
 		scenario.breakLink(scenario.home, scenario.executionCell, linkHolding)
 	}},
 	{"cancelled", func(scenario *lendingScenario) { scenario.user.cancel(nil) }},
-	{"cancelled while the link is cut", (*lendingScenario).cancelWithoutRenewals},
-	{"cancelled while answers are held", func(scenario *lendingScenario) {
+	{"cancelled while renewals are lost", (*lendingScenario).cancelWithoutRenewals},
+	{"cancelled while answers to renewals are held", func(scenario *lendingScenario) {
 		scenario.breakLink(scenario.home, scenario.executionCell, linkHolding)
 		scenario.user.cancel(nil)
 	}},
-	{"cancelled while home's state service refuses its holder", func(scenario *lendingScenario) {
+	{"cancelled while home's state service refuses the leader", func(scenario *lendingScenario) {
 		scenario.refuseLeader(scenario.home)
 		scenario.user.cancel(nil)
 	}},
@@ -164,16 +163,22 @@
 		scenario.stateOutage(scenario.home, 25*model.Second)
 		scenario.user.cancel(nil)
 	}},
-	{"cancelled while the guest's machines hang", func(scenario *lendingScenario) { scenario.hangMachines(); scenario.user.cancel(nil) }},
-	{"cancelled while the guest's machines are cut off", func(scenario *lendingScenario) { scenario.blockExecutionHeartbeats(); scenario.user.cancel(nil) }},
-	{"cancelled as the guest's holder ends and the link is cut", func(scenario *lendingScenario) {
+	{"cancelled while the execution cell's machines hang", func(scenario *lendingScenario) {
+		scenario.hangMachines()
+		scenario.user.cancel(nil)
+	}},
+	{"cancelled while the execution cell's machines are cut off", func(scenario *lendingScenario) {
+		scenario.blockExecutionHeartbeats()
+		scenario.user.cancel(nil)
+	}},
+	{"cancelled as the execution cell's leader crashes and renewals are lost", func(scenario *lendingScenario) {
 		scenario.dropRenewals()
 		scenario.crashLeader(scenario.executionCell)
 		scenario.user.cancel(nil)
 	}},
 }
 
-// endHolder ends a cell's holder, which comes back after its session is over.
+// crashLeader crashes a cell's leader, which restarts after its session is over.
 func (l *lendingScenario) crashLeader(sim *simDeployment) {
 	n := sim.leader()
 	if n == nil {
@@ -187,6 +192,7 @@
 	})
 }
 
+// pauseLeader pauses a cell's leader for longer than its session.
 func (l *lendingScenario) pauseLeader(sim *simDeployment) {
 	if n := sim.leader(); n != nil {
 		n.pauseFor(25 * model.Second)
@@ -198,6 +204,7 @@
 	l.After(duration, func() { sim.state.SetOutage(false) })
 }
 
+// refuseLeader makes a cell's state service refuse the requests of the leader alone.
 func (l *lendingScenario) refuseLeader(sim *simDeployment) {
 	if n := sim.leader(); n != nil {
 		n.setStateLink(linkRefusing)
@@ -205,20 +212,22 @@
 	}
 }
 
+// breakLink makes one direction of a link drop or hold what is sent, for longFault.
 func (l *lendingScenario) breakLink(from, to *simDeployment, linkState int) {
 	l.setLink(from.cell.name, to.cell.name, linkState)
 	l.After(longFault, func() { l.setLink(from.cell.name, to.cell.name, linkOpen) })
 }
 
-// dropQuestions loses what the guest asks home.
+// dropRenewals drops the execution cell's renewals, and its answers to offers.
 func (l *lendingScenario) dropRenewals() { l.breakLink(l.executionCell, l.home, linkDropping) }
 
-// cancelWithoutQuestions cancels the job while home does not hear the guest.
+// cancelWithoutRenewals cancels the job while home receives nothing from the execution cell.
 func (l *lendingScenario) cancelWithoutRenewals() {
 	l.dropRenewals()
 	l.user.cancel(nil)
 }
 
+// hangMachines makes the execution cell's machines hang for a while.
 func (l *lendingScenario) hangMachines() {
 	for _, worker := range l.executionCell.cloud.Workers() {
 		worker.SetHung(true)
@@ -226,12 +235,13 @@
 	}
 }
 
-// cutOffTime is longer than a worker's lease.
+// heartbeatBlockTime is longer than a worker lease.
 const heartbeatBlockTime = 25 * model.Second
 
 func (l *lendingScenario) blockExecutionHeartbeats() { l.blockHeartbeats(l.executionCell) }
 
-// cutOff keeps the machines of a cell from reaching any controller.
+// blockHeartbeats keeps the machines of a cell from reaching any controller for
+// heartbeatBlockTime.
 func (l *lendingScenario) blockHeartbeats(sim *simDeployment) {
 	for _, worker := range sim.cloud.Workers() {
 		sim.heartbeatsBlocked[worker.ID] = true
@@ -239,8 +249,8 @@
 	}
 }
 
-// At every step of a lending, every trouble: the job ends once, nothing of it runs in two
-// places or after its cancellation, and in the end no record is left.
+// Injects every fault at every step of a lending. The job must end once, none of its tasks may
+// run in two cells or after its cancellation, and in the end no spill record is left.
 func TestFaultAtEveryLendingStep(t *testing.T) {
 	for i, step := range lendingSteps {
 		for k, fault := range lendingFaults {
@@ -252,39 +262,40 @@
 				scenario.Run(scenario.Now + 100*model.Second)
 				scenario.requireCleanEnd(t)
 				if scenario.invariants.ReportedEnd(scenario.jobID) == "" {
-					t.Error("users were told of no end")
+					t.Error("users were not told of the job's end")
 				}
-				// Where the leases outlive the trouble, what has finished is not lost.
-				// (A worker with two controllers, one of which does not answer, can lose its lease
-				// when the holder ends, whether its tasks are lent or not.)
-				if n := scenario.invariants.ExecutedAgain; n > 0 && strings.HasSuffix(fault.name, "shortly") {
-					t.Errorf("%d tasks executed again", n)
+				// While the leases outlast the fault, finished tasks are not executed again. This is checked
+				// for the brief faults only: a worker with two controllers, one of which does not answer,
+				// can lose its lease when the leader crashes, whether its tasks are lent or not.
+				if n := scenario.invariants.ExecutedAgain; n > 0 && strings.HasSuffix(fault.name, "briefly") {
+					t.Errorf("%d tasks executed again, want none", n)
 				}
 			})
 		}
 	}
 }
 
-// freeHome ends what keeps the home cell busy: what is taken back begins there at once.
+// freeHomeCell cancels the jobs that keep the home cell busy, so that a job that is taken back
+// starts there at once.
 func (l *lendingScenario) freeHomeCell() {
 	for _, u := range l.fillerJobs {
 		u.cancel(nil)
 	}
 }
 
-// worstCases are troubles that come when a lent job has long to run, with the longest lease
-// of the right. Each is what a guard of docs/spill.md is for.
+// worstCaseFaults are injected while a lent job has long to run, under the longest execution
+// lease. For each of them docs/spill.md has a safeguard.
 var worstCaseFaults = []struct {
 	name   string
-	inject func(l *lendingScenario)
+	inject func(scenario *lendingScenario)
 }{
-	{"cancelled through a sibling while home's holder gets no syncs", func(scenario *lendingScenario) {
+	{"cancelled through a sibling while home's leader gets no answers to view syncs", func(scenario *lendingScenario) {
 		leader := scenario.home.leader()
 		leader.syncsLost, leader.peersCutOff = true, true
 		scenario.After(60*model.Second, func() { leader.syncsLost, leader.peersCutOff = false, false })
 		scenario.user.cancel((&failureScenario{simDeployment: scenario.home}).otherNode(leader))
 	}},
-	{"cancelled as answers are held for seconds", func(scenario *lendingScenario) {
+	{"cancelled while answers to renewals are held for seconds", func(scenario *lendingScenario) {
 		scenario.setLink("north", scenario.executionCell.cell.name, linkHolding)
 		scenario.After(2*model.Second, func() { scenario.user.cancel(nil) })
 		scenario.After(16*model.Second, func() {
@@ -292,20 +303,20 @@
 			scenario.dropRenewals()
 		})
 	}},
-	{"cancelled as the guest's holder stands still with an answer on its way", func(scenario *lendingScenario) {
+	{"cancelled while the execution cell's leader is paused with an answer in flight", func(scenario *lendingScenario) {
 		scenario.onCall = func(from, _ *simDeployment, call any) {
 			leader := scenario.executionCell.leader()
 			if _, isRenewal := call.(*spill.Renewal); !isRenewal || from != scenario.executionCell || leader == nil {
 				return
 			}
 			scenario.onCall = nil
-			leader.peersCutOff = true // or it resigns when it wakes
+			leader.peersCutOff = true // otherwise it would resign after the pause
 			leader.pauseFor(6 * model.Second)
 			scenario.dropRenewals()
 			scenario.After(20*model.Millisecond, func() { scenario.user.cancel(nil) })
 		}
 	}},
-	{"cancelled as no question arrives and its team asks for all that it may have", func(scenario *lendingScenario) {
+	{"cancelled while renewals are lost and its team submits up to its limit", func(scenario *lendingScenario) {
 		scenario.dropRenewals()
 		scenario.freeHomeCell()
 		scenario.user.cancel(nil)
@@ -315,30 +326,30 @@
 			scenario.home.submit(submission, 0)
 		})
 	}},
-	{"cancelled as no question arrives", (*lendingScenario).cancelWithoutRenewals},
-	{"cancelled as no question arrives and the guest's holder ends", func(scenario *lendingScenario) {
+	{"cancelled while renewals are lost", (*lendingScenario).cancelWithoutRenewals},
+	{"cancelled while renewals are lost and the execution cell's leader crashes", func(scenario *lendingScenario) {
 		scenario.cancelWithoutRenewals()
 		scenario.crashLeader(scenario.executionCell)
 	}},
-	{"no question arrives as home has room", func(scenario *lendingScenario) {
+	{"renewals are lost while home has room", func(scenario *lendingScenario) {
 		scenario.dropRenewals()
 		scenario.freeHomeCell()
 	}},
-	{"no question arrives and home's holder ends", func(scenario *lendingScenario) {
+	{"renewals are lost while home has room and its leader crashes", func(scenario *lendingScenario) {
 		scenario.dropRenewals()
 		scenario.freeHomeCell()
 		scenario.crashLeader(scenario.home)
 	}},
-	{"home's holder ends while the guest asks the next one", func(scenario *lendingScenario) {
+	{"home has room and its leader crashes while renewals reach the next one", func(scenario *lendingScenario) {
 		scenario.freeHomeCell()
 		scenario.crashLeader(scenario.home)
 	}},
-	{"home's record of taking back is late", func(scenario *lendingScenario) {
+	{"home's take-back write is late", func(scenario *lendingScenario) {
 		scenario.dropRenewals()
 		scenario.freeHomeCell()
 		scenario.delayTakeBack(8*model.Second, func() { scenario.setLink(scenario.executionCell.cell.name, "north", linkOpen) })
 	}},
-	{"home's record of taking back is lost with its holder", func(scenario *lendingScenario) {
+	{"home's take-back write is lost and its leader crashes", func(scenario *lendingScenario) {
 		scenario.dropRenewals()
 		scenario.freeHomeCell()
 		scenario.delayTakeBack(0, func() {
@@ -346,7 +357,7 @@
 			scenario.After(8*model.Second, func() {
 				if leader := scenario.home.leader(); leader != nil {
 					leader.crash()
-					scenario.blockHeartbeats(scenario.home) // what ran there would not be stopped
+					scenario.blockHeartbeats(scenario.home) // so that tasks that run there are not told to stop
 					for _, n := range scenario.home.nodes {
 						n.intercept = nil
 					}
@@ -357,8 +368,8 @@
 	}},
 }
 
-// holdTakingBack keeps the write that takes the job back from the state service, for so long
-// or for ever (0), and tells when it is sent first.
+// delayTakeBack delays home's write that takes the job back, or loses it and every repetition of
+// it if delay is 0. onSent is called when the write is first sent.
 func (l *lendingScenario) delayTakeBack(delay model.Micros, onSent func()) {
 	sent := false
 	for _, n := range l.home.nodes {
@@ -386,15 +397,16 @@
 	}
 }
 
-// The worst cases, with the guest's machines cut off from it at any moment after: nothing
-// of the job runs in two places, nor too long after its cancellation.
+// Injects each worst case, and cuts the execution cell's machines off from their controllers at
+// any moment after it. No task of the job may run in two cells, or for too long after the job's
+// cancellation.
 func TestWorstCaseLendingFaults(t *testing.T) {
 	for i, fault := range worstCaseFaults {
 		for cutAfter := model.Micros(0); cutAfter <= 42*model.Second; cutAfter += model.Second {
 			t.Run(fmt.Sprintf("%s/machines cut off after %.0f s", fault.name, cutAfter.Seconds()), func(t *testing.T) {
 				t.Parallel()
 				scenario := newLendingScenario(t, uint64(3000+100*i)+uint64(cutAfter/model.Second), longestLeaseS, 150)
-				scenario.runUntil("all of it runs", func() bool {
+				scenario.runUntil("all tasks run", func() bool {
 					return scenario.isAccepted() && scenario.invariants.JobTasksOnMachines(scenario.jobID) == 4
 				})
 				scenario.Run(scenario.Now + 3*model.Second)
@@ -407,14 +419,15 @@
 	}
 }
 
-// The write that lends a job is late, or gets no answer and is carried out late, while home
-// comes to have room for it, its holder ends, or it is cancelled.
+// The write that lends a job is executed late, with or without an answer to the leader, while
+// home gets room for the job, home's leader crashes or pauses, or the job is cancelled. The job
+// must end and no invariant may be violated.
 func TestLateLendingWrite(t *testing.T) {
 	t.Parallel()
 	for name, inject := range map[string]func(scenario *lendingScenario){
-		"home has room":               (*lendingScenario).freeHomeCell,
-		"home has room, holder ends":  func(scenario *lendingScenario) { scenario.freeHomeCell(); scenario.crashLeader(scenario.home) },
-		"home has room, holder waits": func(scenario *lendingScenario) { scenario.freeHomeCell(); scenario.pauseLeader(scenario.home) },
+		"home has room":                 (*lendingScenario).freeHomeCell,
+		"home has room, leader crashes": func(scenario *lendingScenario) { scenario.freeHomeCell(); scenario.crashLeader(scenario.home) },
+		"home has room, leader paused":  func(scenario *lendingScenario) { scenario.freeHomeCell(); scenario.pauseLeader(scenario.home) },
 		"home has room, then its machines are cut off": func(scenario *lendingScenario) {
 			scenario.freeHomeCell()
 			scenario.After(5*model.Second, func() { scenario.blockHeartbeats(scenario.home) })
@@ -428,15 +441,15 @@
 				scenario.Run(scenario.Now + 150*model.Second)
 				scenario.requireCleanEnd(t)
 				if scenario.invariants.ReportedEnd(scenario.jobID) == "" {
-					t.Errorf("%s, answered %v: no end", name, answered)
+					t.Errorf("%s, answered %v: users were not told of the job's end", name, answered)
 				}
 			}
 		}
 	}
 }
 
-// delayLending has the write that lends the job carried out seconds after it was sent; first
-// is called when it is sent.
+// delayLending has the write that lends the job executed six seconds after it was sent. Without
+// answered the leader gets the answer that the write is lost. onSent is called when it is sent.
 func (l *lendingScenario) delayLending(answered bool, onSent func()) {
 	delayed := false
 	for _, n := range l.home.nodes {
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -10,7 +10,7 @@
 	"woadweir/internal/userapi"
 )
 
-// burst submits arrays and gangs to a cell, more than it has machines for.
+// submitBurst submits arrays and gangs to a cell, more than it has machines for.
 func (m *multiCellSim) submitBurst(sim *simDeployment, firstNumber, jobs int, seconds float64) (users []*user) {
 	for i := range jobs {
 		submission := arrayJob(firstNumber+i, 1+i%4, seconds)
@@ -22,8 +22,8 @@
 	return users
 }
 
-// A crowded cell lends what waits to its idle neighbours, and everything is done sooner
-// than without them.
+// A cell without room lends waiting jobs to its idle neighbours, and all jobs are done sooner
+// than without spilling.
 func TestBurstSpillsToIdleNeighbours(t *testing.T) {
 	t.Parallel()
 	took := map[bool]model.Micros{}
@@ -52,8 +52,8 @@
 	}
 }
 
-// Cells that are all full keep their work, and when all come free at once nothing goes back
-// and forth.
+// Cells that are all full keep their jobs, and when all have room again at the same time no job
+// is lent back and forth.
 func TestFullCellsLendEachJobAtMostOnce(t *testing.T) {
 	t.Parallel()
 	multi := newMultiCellSim(t, 6, defaultLeaseS, 1, 1, 1)
@@ -66,17 +66,17 @@
 	multi.eachLending(func(jobID string, _ *spill.OutRecord) { lendings[jobID]++ })
 	for jobID, n := range lendings {
 		if n > 1 {
-			t.Errorf("%s was lent %d times", jobID, n)
+			t.Errorf("%s was lent %d times, want once at most", jobID, n)
 		}
 	}
 }
 
-// A job of a cell's own user begins when one of that name that another cell has lent is
-// gone.
+// A user submits a job to a cell that has borrowed a job of the same ID. The cell's own job must
+// not run beside the borrowed one; it starts when the borrowed one is gone.
 func TestSameJobIDInTwoCells(t *testing.T) {
 	t.Parallel()
 	scenario := newLendingScenario(t, 7, defaultLeaseS, 12)
-	scenario.runUntil("runs", scenario.isRunning)
+	scenario.runUntil("tasks run", scenario.isRunning)
 	answers := map[int]bool{}
 	scenario.sendUserRequest(scenario.executionCell, func(r chan<- userapi.Answer) any {
 		submission := *scenario.user.submission
@@ -84,7 +84,7 @@
 	}, func(a userapi.Answer) { answers[a.Code] = true })
 	scenario.Run(scenario.Now + 3*model.Second)
 	if !answers[201] {
-		t.Fatalf("the submission at the guest is answered %v", answers)
+		t.Fatalf("submission to the execution cell: got status codes %v, want 201", answers)
 	}
 	status := ""
 	for scenario.Now < 500*model.Second && status != "done" {
@@ -93,18 +93,18 @@
 				status = parseStatus(t, a.Body)
 			}
 			if status == "running" && scenario.invariants.ReportedEnd(scenario.jobID) == "" && scenario.executionCell.state.HasKey(scenario.inKey()) && scenario.invariants.JobTasksOnMachines(scenario.jobID) > scenario.user.submission.Tasks {
-				t.Errorf("it runs beside the one that was lent")
+				t.Errorf("%s of the execution cell runs beside the borrowed job of the same ID", scenario.jobID)
 			}
 		})
 		scenario.Run(scenario.Now + model.Second)
 	}
 	if status != "done" {
-		t.Errorf("the job at the guest is %q; %s", status, scenario.describe(scenario.jobID))
+		t.Errorf("the execution cell's own job: got status %q, want done; %s", status, scenario.describe(scenario.jobID))
 	}
 	scenario.requireCleanEnd(t)
 }
 
-// A guest that knows a job by that name as its own refuses it.
+// A cell refuses an offer of a job whose ID is that of a job of its own.
 func TestExecutionCellRefusesItsOwnJobID(t *testing.T) {
 	t.Parallel()
 	multi := newMultiCellSim(t, 8, defaultLeaseS, 1, 2, 2)
@@ -117,19 +117,20 @@
 	multi.requireCleanEnd(t)
 	multi.eachLending(func(jobID string, record *spill.OutRecord) {
 		if jobID == own.ID && record.Cell == "south" {
-			t.Error("it was lent to a cell that has one of that name")
+			t.Errorf("%s was lent to a cell that has a job of its own with that ID", jobID)
 		}
 	})
 	if multi.lendingCount() == 0 {
-		t.Error("nothing was lent")
+		t.Error("no job was lent")
 	}
 }
 
-// A cell that is taken out of the file while it has work of this one drains.
+// When a neighbour is removed from the spill file while it runs a job of this cell, the lent job
+// comes to its end and nothing more is lent.
 func TestRemovedNeighbourDrains(t *testing.T) {
 	t.Parallel()
 	scenario := newLendingScenario(t, 9, defaultLeaseS, 12)
-	scenario.runUntil("runs", scenario.isRunning)
+	scenario.runUntil("tasks run", scenario.isRunning)
 	scenario.home.cell.policy = parseSpillPolicy(t, `<spill cell="north"/>`)
 	for _, n := range scenario.home.nodes {
 		n.crash()
@@ -138,20 +139,21 @@
 	lent := scenario.lendingCount()
 	scenario.requireCleanEnd(t)
 	if n := scenario.lendingCount(); n != lent {
-		t.Errorf("%d jobs were lent after that", n-lent)
+		t.Errorf("%d jobs were lent after the neighbours were removed, want none", n-lent)
 	}
 }
 
-// Without a spill file at every controller nothing is lent, and no record differs.
+// Without a spill file at every controller nothing is lent, no spill record is written, and cells
+// without the file write node records of the same layout as before spilling.
 func TestNothingIsLentWithoutSpillFile(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(multi *multiCellSim){
-		"no cell has one": func(multi *multiCellSim) {
+		"no cell has a spill file": func(multi *multiCellSim) {
 			for _, sim := range multi.cells {
 				sim.cell.policy = nil
 			}
 		},
-		"the neighbours have none": func(multi *multiCellSim) { multi.cells[1].cell.policy, multi.cells[2].cell.policy = nil, nil },
+		"the neighbours have no spill file": func(multi *multiCellSim) { multi.cells[1].cell.policy, multi.cells[2].cell.policy = nil, nil },
 	} {
 		multi := newMultiCellSim(t, 10, defaultLeaseS, 1, 2, 2)
 		change(multi)
@@ -168,21 +170,22 @@
 			for _, write := range sim.state.Log {
 				for _, op := range write.Txn.Then {
 					if strings.HasPrefix(op.Set+op.Drop, "spill/") {
-						t.Errorf("%s: %s writes %s", name, sim.cell.name, op.Set+op.Drop)
+						t.Errorf("%s: %s wrote %s, want no spill record", name, sim.cell.name, op.Set+op.Drop)
 					}
 					if record, ok := op.Value.(state.NodeRecord); ok && sim.cell.policy == nil && record.Layout > state.LayoutDuties && write.At > 20*model.Second {
-						t.Errorf("%s: layout %d", name, record.Layout)
+						t.Errorf("%s: got a node record of layout %d, want %d at most", name, record.Layout, state.LayoutDuties)
 					}
 				}
 			}
 		}
 		if multi.cells[0].cell.policy == nil && multi.callCount > 0 {
-			t.Errorf("%s: %d calls between cells", name, multi.callCount)
+			t.Errorf("%s: %d calls between cells, want none", name, multi.callCount)
 		}
 	}
 }
 
-// A record that can't be read stops spilling and loses no job.
+// A spill record that can't be read stops spilling. All other jobs are done, and the job that the
+// record may have lent does not run until the record is deleted.
 func TestUnreadableRecordStopsSpilling(t *testing.T) {
 	t.Parallel()
 	multi := newMultiCellSim(t, 11, defaultLeaseS, 1, 2, 2)
@@ -197,15 +200,15 @@
 	others := multi.submitBurst(home, 1, 24, 5)
 	multi.Run(multi.Now + 200*model.Second)
 	if n := multi.lendingCount(); n > 0 {
-		t.Errorf("%d jobs were lent", n)
+		t.Errorf("%d jobs were lent beside unreadable records, want none", n)
 	}
 	for _, other := range others {
 		if other.reportedEnd != "done" {
-			t.Errorf("%s is %q", other.submission.ID, other.reportedEnd)
+			t.Errorf("%s: got end %q, want done", other.submission.ID, other.reportedEnd)
 		}
 	}
 	if unreadable.reportedEnd != "" || multi.invariants.JobTasksOnMachines(unreadable.submission.ID) > 0 {
-		t.Errorf("the job that may be lent is %q", unreadable.reportedEnd)
+		t.Errorf("the job that may be lent runs or has ended (%q)", unreadable.reportedEnd)
 	}
 	for _, key := range []string{"spill/out/j-000000", "spill/in/south/j-000099"} {
 		if _, err := home.state.Commit("", &state.Txn{Then: []state.Op{{Drop: key}}}); err != nil {
@@ -215,7 +218,8 @@
 	multi.requireCleanEnd(t)
 }
 
-// What a guest's workers do not know goes home and is not offered there again.
+// A borrowed job that the execution cell's workers do not know is returned, and is not offered to
+// that cell again.
 func TestBorrowedJobUnknownToWorkersReturns(t *testing.T) {
 	t.Parallel()
 	multi := newMultiCellSim(t, 12, defaultLeaseS, 1, 2, 2)
@@ -233,39 +237,39 @@
 	})
 	for jobID, n := range toSouth {
 		if n > 1 {
-			t.Errorf("%s was lent to south %d times", jobID, n)
+			t.Errorf("%s was lent to south %d times, want once at most", jobID, n)
 		}
 	}
 	if len(toSouth) == 0 || toOthers == 0 {
-		t.Errorf("%d jobs lent to south, %d lendings to others", len(toSouth), toOthers)
+		t.Errorf("%d jobs lent to south, %d lendings to other cells, want some of both", len(toSouth), toOthers)
 	}
 }
 
-// A guest's own work comes first, whatever the rank of a lent job.
+// An execution cell's own jobs go before borrowed ones, whatever priority these have at home.
 func TestBorrowedJobHasLowPriority(t *testing.T) {
 	t.Parallel()
 	scenario := newLendingScenario(t, 13, defaultLeaseS, 30)
 	scenario.user.submission.Priority = "critical"
-	scenario.runUntil("runs", scenario.isRunning)
+	scenario.runUntil("tasks run", scenario.isRunning)
 	if job := scenario.executionCell.leader().ctl.leading.shard.Jobs[scenario.jobID]; job == nil || job.Priority != model.LowPriority {
-		t.Errorf("the lent job is %+v", job)
+		t.Errorf("borrowed job: got %+v, want low priority", job)
 	}
 	submission := arrayJob(950, 8, 10)
 	submission.Team, submission.Cores, submission.Priority = "blue", 3.5, "standard"
 	own := scenario.executionCell.submit(submission, 0)
 	scenario.Run(scenario.Now + 60*model.Second)
 	if own.reportedEnd != "done" {
-		t.Errorf("the guest's own work is %q; %s", own.reportedEnd, scenario.describe(scenario.jobID))
+		t.Errorf("the execution cell's own job: got end %q, want done; %s", own.reportedEnd, scenario.describe(scenario.jobID))
 	}
 	scenario.requireCleanEnd(t)
 }
 
-// A guest whose file names the home cell no more stops what it runs for it and forgets it;
-// the job is run again at home.
+// An execution cell whose spill file no longer names the home cell (here it has no file at all)
+// stops the jobs that it runs for that cell and forgets them. They run again at home.
 func TestExecutionCellWithoutSpillFileDropsBorrowedJob(t *testing.T) {
 	t.Parallel()
 	scenario := newLendingScenario(t, 14, defaultLeaseS, 40)
-	scenario.runUntil("runs", scenario.isRunning)
+	scenario.runUntil("tasks run", scenario.isRunning)
 	scenario.executionCell.cell.policy = nil
 	for _, n := range scenario.executionCell.nodes {
 		n.crash()
@@ -273,12 +277,13 @@
 	}
 	scenario.Run(scenario.Now + 60*model.Second)
 	if n := scenario.executionCell.state.KeyCount(spill.InPrefix); n > 0 {
-		t.Errorf("the guest has %d records; %s", n, scenario.describe(""))
+		t.Errorf("the execution cell has %d records of borrowed jobs, want none; %s", n, scenario.describe(""))
 	}
 	scenario.requireCleanEnd(t)
 }
 
-// A lending is one trace in both cells.
+// A lending is one trace across both cells: the execution cell's span is a child of the home
+// cell's.
 func TestTraceAcrossCells(t *testing.T) {
 	parents := countSpansByParent(func() {
 		multi := newMultiCellSim(t, 5, defaultLeaseS, 1, 2, 2)
@@ -287,6 +292,6 @@
 		multi.requireCleanEnd(t)
 	})
 	if n := parents["take in of lend"]; n == 0 || parents["lend of "] < n {
-		t.Errorf("spans: %v", parents)
+		t.Errorf("spans by parent: got %v, want \"take in\" below \"lend\"", parents)
 	}
 }
--- a/internal/controller/chaos_test.go
+++ b/internal/controller/chaos_test.go
@@ -8,7 +8,7 @@
 	"woadweir/internal/core/model"
 )
 
-// A quiet world runs everything, and gives machines back afterwards.
+// Without faults all jobs are done, and machines are returned afterwards.
 func TestWorkWithoutFaults(t *testing.T) {
 	sim := newSmallDeployment(t, 1)
 	var users []*user
@@ -22,30 +22,30 @@
 	sim.requireInvariants()
 	for _, u := range users {
 		if u.reportedEnd != "done" {
-			t.Errorf("%s: %q; %s", u.submission.ID, u.reportedEnd, sim.cloud.Describe())
+			t.Errorf("%s: got end %q, want done; %s", u.submission.ID, u.reportedEnd, sim.cloud.Describe())
 		}
 	}
 	sim.Run(300 * model.Second)
 	if n := sim.cloud.RentedCount(); n > 3 {
-		t.Errorf("%d machines are still rented", n)
+		t.Errorf("%d machines are still rented, want 3 at most", n)
 	}
 }
 
-// Random failures, singly and together, break no rule; and once they are over,
+// Random faults, one at a time and several at once, violate no invariant. Once they are over,
 // every accepted job comes to its end.
 func TestRandomFailures(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
-		sim := newDeployment(t, rapid.Uint64().Draw(rt, "seed"), withFDLimit(rapid.SampledFrom([]int{0, 14}).Draw(rt, "sockets"), simSettings), cloudCapacity(4, 2))
+		sim := newDeployment(t, rapid.Uint64().Draw(rt, "seed"), withFDLimit(rapid.SampledFrom([]int{0, 14}).Draw(rt, "FD limit"), simSettings), cloudCapacity(4, 2))
 		const faultsEnd = 150 * model.Second
 		drawJobs(rt, sim)
 		drawServices(rt, sim)
 		drawPipelines(rt, sim)
 		drawFaults(rt, sim, faultsEnd)
 		drawSimultaneousFaults(rt, sim, faultsEnd)
-		sim.duplicateHeartbeatChance = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "copies")
-		sim.duplicateRequestChance = rapid.SampledFrom([]float64{0, 0.05}).Draw(rt, "repeats")
-		sim.checksEveryNode = rapid.Bool().Draw(rt, "looks")
+		sim.duplicateHeartbeatChance = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "duplicate heartbeat chance")
+		sim.duplicateRequestChance = rapid.SampledFrom([]float64{0, 0.05}).Draw(rt, "duplicate request chance")
+		sim.checksEveryNode = rapid.Bool().Draw(rt, "checks every node")
 		sim.At(faultsEnd, (&failureScenario{simDeployment: sim}).endFaults)
 		sim.Run(faultsEnd)
 		for sim.Now < 500*model.Second {
@@ -55,16 +55,16 @@
 		sim.invariants.CheckCancelled()
 		requireInvariantsAndEnds(rt, sim)
 		if sim.invariants.Starts == 0 {
-			rt.Fatal("nothing ran")
+			rt.Fatal("no task was started")
 		}
 	})
 }
 
-// requireRulesAndEnds fails if a rule was broken, or an accepted job has not ended.
+// requireInvariantsAndEnds fails if an invariant was violated or an accepted job has not ended.
 func requireInvariantsAndEnds(rt *rapid.T, sim *simDeployment) {
 	rt.Helper()
 	if len(sim.invariants.Violations) > 0 {
-		rt.Fatalf("rules broken: %v", sim.invariants.Violations)
+		rt.Fatalf("invariants violated: %v", sim.invariants.Violations)
 	}
 	for jobID := range sim.invariants.Accepted {
 		if sim.invariants.ReportedEnd(jobID) == "" {
@@ -73,7 +73,7 @@
 	}
 }
 
-// drawJobs has jobs of all kinds submitted, and some of them cancelled.
+// drawJobs schedules submissions of arrays and gangs, and cancellations of some of them.
 func drawJobs(rt *rapid.T, sim *simDeployment) {
 	for i := range rapid.IntRange(5, 14).Draw(rt, "jobs") {
 		submitAt := sim.Between(0, 100*model.Second)
@@ -85,7 +85,7 @@
 	}
 }
 
-// randomJob draws an array or a gang, some with demands on their places.
+// randomJob returns an array or a gang, some with constraints on their machines.
 func (sim *simDeployment) randomJob(i int) *model.Submission {
 	submission := arrayJob(i, 1+sim.Rand.IntN(12), float64(2+sim.Rand.IntN(25)))
 	switch sim.Rand.IntN(5) {
@@ -101,7 +101,7 @@
 	return submission
 }
 
-// drawServices has services submitted, and cancelled after a while.
+// drawServices schedules submissions of services, and their cancellations after a while.
 func drawServices(rt *rapid.T, sim *simDeployment) {
 	for i := range rapid.IntRange(0, 3).Draw(rt, "services") {
 		submitAt, cancelAfter := sim.Between(0, 60*model.Second), sim.Between(30*model.Second, 200*model.Second)
@@ -113,7 +113,7 @@
 	}
 }
 
-// drawPipelines has pipelines submitted, and one job of some of them cancelled.
+// drawPipelines schedules submissions of pipelines, and cancellations of one job in some of them.
 func drawPipelines(rt *rapid.T, sim *simDeployment) {
 	for i := range rapid.IntRange(0, 3).Draw(rt, "pipelines") {
 		cancelAfter := model.Micros(0)
@@ -124,7 +124,7 @@
 	}
 }
 
-// drawFaults has faults occur, each by itself.
+// drawFaults schedules faults, each independent of the others.
 func drawFaults(rt *rapid.T, sim *simDeployment, faultsEnd model.Micros) {
 	for range rapid.IntRange(1, 10).Draw(rt, "faults") {
 		kind := rapid.IntRange(0, faultKinds-1).Draw(rt, "kind")
@@ -134,11 +134,11 @@
 	}
 }
 
-// drawSimultaneousFaults has two or three faults occur within seconds of each other.
+// drawSimultaneousFaults schedules groups of two or three faults within seconds of each other.
 func drawSimultaneousFaults(rt *rapid.T, sim *simDeployment, faultsEnd model.Micros) {
-	for range rapid.IntRange(0, 3).Draw(rt, "meetings") {
+	for range rapid.IntRange(0, 3).Draw(rt, "fault groups") {
 		at := sim.Between(20*model.Second, faultsEnd-40*model.Second)
-		for range rapid.IntRange(2, 3).Draw(rt, "met") {
+		for range rapid.IntRange(2, 3).Draw(rt, "faults in group") {
 			kind := rapid.IntRange(0, faultKinds-1).Draw(rt, "kind")
 			sim.At(at+sim.Between(0, 3*model.Second), func() { injectFault(sim, kind, sim.Between(model.Second, 40*model.Second)) })
 		}
--- a/internal/controller/leader_failover_test.go
+++ b/internal/controller/leader_failover_test.go
@@ -7,14 +7,16 @@
 	"woadweir/internal/core/model"
 )
 
-// failoverBound is how long it may take until another controller leads and has taken over:
-// the session of the one before, its end, which may come late, and the election.
+// maxFailoverTime returns the longest time until another controller leads and has taken over:
+// the TTL of the former leader's session, the end of that session, which may come late, and the
+// election.
 func (sim *simDeployment) maxFailoverTime() model.Micros {
 	return sim.nodes[0].ctl.authority.Times.TTL + 4*model.Second
 }
 
-// silent cuts a controller off from all: the state service, the other controllers,
-// workers and users. What it sends meanwhile is carried out when the cut ends.
+// setIsolated cuts a controller off from the state service, the other controllers, workers and
+// users, or connects it again. What it sends to the state service meanwhile is executed when the
+// isolation ends.
 func (n *simNode) setIsolated(isolated bool) {
 	n.reachableByWorkers, n.peersCutOff, n.usersCutOff = !isolated, isolated, isolated
 	if isolated {
@@ -24,8 +26,8 @@
 	}
 }
 
-// otherLeads waits until a controller other than the former leader has taken over, and
-// sees that no two hold the authority to act meanwhile.
+// waitForOtherLeader waits until a controller other than the former leader has taken over, and
+// checks that no two controllers hold authority meanwhile.
 func (sim *simDeployment) waitForOtherLeader(former *simNode) {
 	sim.t.Helper()
 	sim.runUntil(sim.maxFailoverTime(), "another controller leads", func() bool {
@@ -36,14 +38,14 @@
 			}
 		}
 		if holders > 1 {
-			sim.t.Fatalf("%.1f s: %d controllers hold authority\n%s", sim.Now.Seconds(), holders, sim.describe())
+			sim.t.Fatalf("%.1f s: %d controllers hold authority, want one at most\n%s", sim.Now.Seconds(), holders, sim.describe())
 		}
 		leader := sim.leader()
 		return leader != nil && leader != former && !leader.paused && leader.ctl.leading.ready
 	})
 }
 
-// longWork has arrays and gangs run that last through a failover.
+// startLongJobs submits arrays and gangs that last through a failover, and waits until they run.
 func startLongJobs(sim *simDeployment) (users []*user) {
 	for i := range 3 {
 		users = append(users, sim.submit(arrayJob(i, 4, 45), 0))
@@ -53,19 +55,19 @@
 	return users
 }
 
-// allDone sees that every job came to its end.
+// requireAllDone checks that users were told of every job that it is done.
 func (sim *simDeployment) requireAllDone(users []*user) {
 	sim.t.Helper()
 	for _, u := range users {
 		if u.reportedEnd != "done" {
-			sim.t.Errorf("%s: %q", u.submission.ID, u.reportedEnd)
+			sim.t.Errorf("%s: got end %q, want done", u.submission.ID, u.reportedEnd)
 		}
 	}
 }
 
-// A leader that is silent for a minute or more is replaced within the bound. The tasks
-// that run go on, as their leases are renewed by the next leader, and when the silence
-// ends, all that the former leader had on its way is carried out late and changes nothing.
+// A leader that is isolated for a minute or more is replaced within maxFailoverTime. Running tasks
+// go on, since the next leader renews their leases. When the isolation ends, the former leader's
+// held requests to the state service are executed late and change nothing.
 func TestIsolatedLeader(t *testing.T) {
 	for _, duration := range []model.Micros{60 * model.Second, 90 * model.Second} {
 		for seed := range uint64(3) {
@@ -79,9 +81,9 @@
 				users = append(users, sim.submit(arrayJob(50, 4, 10), 0))
 				sim.waitForOtherLeader(former)
 				sim.Run(sim.Now + 10*model.Second)
-				// Nothing that ran was lost: only the new job's tasks may have begun.
+				// No running task was lost: only the new job's tasks may have started.
 				if n := sim.invariants.Starts - starts; n > 4 {
-					t.Errorf("%d tasks began during the failover, more than what was submitted", n)
+					t.Errorf("%d tasks started during the failover, want at most the 4 that were submitted", n)
 				}
 				sim.Run(isolatedAt + duration)
 				former.setIsolated(false)
@@ -93,9 +95,9 @@
 	}
 }
 
-// A leader that stands still while its clock goes on is replaced if that takes longer
-// than its session. When it goes on, it believes to lead until its clock is read: it must
-// act on nothing that it no longer holds. A short pause costs it nothing.
+// A leader whose process is paused while its clock goes on is replaced if the pause is longer than
+// its session. When it resumes, it takes itself for the leader until it reads its clock: it must
+// not act on authority that it no longer holds. A short pause must do no harm.
 func TestPausedLeader(t *testing.T) {
 	ttl := newSmallDeployment(t, 1).nodes[0].ctl.authority.Times.TTL
 	for _, pause := range []model.Micros{2 * model.Second, ttl - model.Second, ttl + model.Second, 30 * model.Second, 70 * model.Second} {
@@ -113,17 +115,17 @@
 					if leader := sim.leader(); leader.ctl.leading.token <= token {
 						t.Errorf("the next leader's token %d is not above %d", leader.ctl.leading.token, token)
 					}
-					// Reports that came to it while it stood still are answered by it when it goes on.
+					// The former leader answers the heartbeats that arrived during the pause when it resumes.
 					sim.Run(sim.Now + pause - ttl)
 					if leading := former.ctl.leading; leading != nil && former.ctl.authority.IsValid(former.ctl.clock()) && leading.token == token {
-						t.Error("the former leader goes on under its old token")
+						t.Error("the former leader still leads under its old token")
 					}
 				}
 				sim.Run(sim.Now + pause + 120*model.Second)
 				sim.requireInvariants()
 				sim.requireAllDone(users)
 				if cancelled.reportedEnd != "withdrawn" {
-					t.Errorf("cancelled during the pause: %q", cancelled.reportedEnd)
+					t.Errorf("%s, cancelled during the pause: got end %q, want withdrawn", cancelled.submission.ID, cancelled.reportedEnd)
 				}
 			})
 		}
--- a/internal/controller/refused_leader_test.go
+++ b/internal/controller/refused_leader_test.go
@@ -8,9 +8,10 @@
 	"woadweir/internal/core/model"
 )
 
-// refusedAlone has the state service refuse the leader alone, and jobs cancelled through
-// another controller before long has passed. Now and then an answer is lost on the way:
-// then another seed has to do.
+// refuseLeaderAndCancel makes the state service refuse the leader's requests alone, and cancels
+// jobs through another controller. All cancellations have to be confirmed before cancelWithin has
+// passed, while tasks of the jobs still run. Sometimes an answer is lost on the way: then it tries
+// again with another seed.
 func refuseLeaderAndCancel(t *testing.T, times workerTimes, seed uint64, peersCutOff bool, cancelWithin model.Micros) (scenario *failureScenario, leader *simNode, users []*user, refusedAt model.Micros) {
 	for range 5 {
 		scenario = newFailureScenario(t, times, seed)
@@ -23,7 +24,7 @@
 		end := scenario.Now + min(cancelWithin, 1800*model.Millisecond) - 50*model.Millisecond
 		scenario.Run(scenario.Now + 50*model.Millisecond)
 		if scenario.leader() != leader {
-			t.Fatal("the leader does not act any more when the cancellations come")
+			t.Fatal("the leader lost its authority before the jobs were cancelled")
 		}
 		for _, u := range users {
 			u.cancel(scenario.otherNode(leader))
@@ -40,22 +41,23 @@
 		}
 	}
 	for _, u := range users {
-		t.Logf("%s: %q, %d tasks", u.submission.ID, scenario.invariants.ReportedEnd(u.submission.ID), scenario.tasksOnMachines(u))
+		t.Logf("%s: end %q, %d tasks on machines", u.submission.ID, scenario.invariants.ReportedEnd(u.submission.ID), scenario.tasksOnMachines(u))
 	}
-	t.Fatalf("the cancellations are not confirmed in time, or nothing of the jobs runs\n%s", scenario.describe())
+	t.Fatalf("the cancellations were not confirmed in time, or no task of the jobs was running\n%s", scenario.describe())
 	return nil, nil, nil, 0
 }
 
-// The state service refuses the leader alone; another controller confirms cancellations;
-// then it is down for all for longer than a cancellation may take, while the workers go on
-// reporting to the old leader. What this guards: authority rests on when the last good
-// touch and catch-up were sent, and the session is so short that with the workers' lease
-// after it all is over in time.
+// The state service refuses the leader alone, and another controller confirms cancellations. Then
+// the state service is down for all controllers for longer than a cancellation may take, while
+// the workers go on reporting to the old leader. The cancelled tasks must be gone in time all the
+// same: the leader's authority counts from when the last successful session renewal and view
+// sync were sent, and the session is short enough for the worker lease to expire after it within
+// the time for a cancellation.
 func TestRefusedLeaderThenOutage(t *testing.T) {
 	allTimes := append([]workerTimes{{5, 26.5, 51.5}, {5, 26.5, 46.5}}, scenarioWorkerTimes...)
 	for i, times := range allTimes {
 		session := leadership.ComputeLeaseTimes(30*model.Second, model.Seconds(times.lease), model.Seconds(times.report), model.Seconds(times.cancel)).TTL
-		// The outage begins at once, before, at and after the end of the old leader's session.
+		// The outage begins at once, and before, at and after the end of the old leader's session.
 		for k, outageAfter := range []model.Micros{model.Second, 2 * model.Second, session - model.Second/2, session, session + 2*model.Second} {
 			for _, variant := range outageVariants {
 				t.Run(fmt.Sprintf("cancel %v outage after %.1f %s", times.cancel, outageAfter.Seconds(), variant.name), func(t *testing.T) {
@@ -67,12 +69,12 @@
 	}
 }
 
-// outageVariants are what comes on top of the refused leader and the outage.
+// outageVariants are further faults beside the refused leader and the outage.
 var outageVariants = []outageVariant{
 	{name: "plain"},
 	{name: "peers cut off", peersCutOff: true},
-	{name: "back first", returnsFirst: true},
-	{name: "hang", machinesHang: true, peersCutOff: true},
+	{name: "leader returns first", returnsFirst: true},
+	{name: "machines hang", machinesHang: true, peersCutOff: true},
 	{name: "heartbeats blocked", heartbeatsBlocked: true, returnsFirst: true},
 	{name: "syncs lost", syncsLost: true, returnsFirst: true},
 }
@@ -80,10 +82,10 @@
 type outageVariant struct {
 	name              string
 	peersCutOff       bool // the leader is cut off from its siblings
-	returnsFirst      bool // it is the first to come back
+	returnsFirst      bool // the leader is the first controller that reaches the state service again
 	machinesHang      bool // the machines of a cancelled job hang
 	heartbeatsBlocked bool // every other machine reaches no controller
-	syncsLost         bool // the leader is back first, its session renewed, without a catch-up for a while
+	syncsLost         bool // the leader returns first and renews its session, but its view syncs get no answers for a while
 }
 
 func (v *outageVariant) run(t *testing.T, times workerTimes, seed uint64, outageAfter model.Micros) {
@@ -127,8 +129,8 @@
 	}
 }
 
-// The same while starts of the cancelled job are still on their way to machines, and
-// with a job that awaits it, which is withdrawn with it and never begins.
+// As TestRefusedLeaderThenOutage, while starts of the cancelled job are still on their way to
+// machines, and with a job that awaits it. That job is withdrawn too and must never start.
 func TestRefusedLeaderThenOutageWithStartsInFlight(t *testing.T) {
 	for i, times := range scenarioWorkerTimes {
 		for k, outageAfter := range []model.Micros{model.Second, 5 * model.Second, 10 * model.Second} {
@@ -137,13 +139,13 @@
 				scenario := newFailureScenario(t, times, uint64(300+i*10+k))
 				scenario.startMixedLoad()
 				cancelled := scenario.submitArray(6, 300)
-				scenario.runUntil(20*model.Second, "it is accepted", func() bool { return cancelled.accepted })
+				scenario.runUntil(20*model.Second, "the job is accepted", func() bool { return cancelled.accepted })
 				submission := arrayJob(600, 2, 5)
 				submission.Awaits = []string{cancelled.submission.ID}
 				dependent := scenario.submitAndTrack(submission)
-				scenario.runUntil(20*model.Second, "that which awaits it is accepted", func() bool { return dependent.accepted })
+				scenario.runUntil(20*model.Second, "the job that awaits it is accepted", func() bool { return dependent.accepted })
 				leader := scenario.requireLeader()
-				scenario.runUntil(90*model.Second, "starts are on their way", func() bool {
+				scenario.runUntil(90*model.Second, "starts are on their way to machines", func() bool {
 					job := leader.ctl.leading.shard.Jobs[cancelled.submission.ID]
 					return job != nil && len(job.Bindings) > scenario.tasksOnMachines(cancelled)
 				})
@@ -161,7 +163,7 @@
 				scenario.Run(scenario.Now + 3*model.Second)
 				scenario.waitForCancelled(20*model.Second, dependent)
 				if scenario.tasksOnMachines(dependent) > 0 {
-					t.Error("what awaits a withdrawn job runs")
+					t.Error("a job that awaits a withdrawn job runs")
 				}
 				scenario.requireRecovery()
 			})
--- a/internal/controller/sim_cells_test.go
+++ b/internal/controller/sim_cells_test.go
@@ -12,37 +12,37 @@
 	"woadweir/internal/userapi"
 )
 
-// simCell is a deployment's part among other cells.
+// simCell is what a simulated deployment needs to be one of several cells.
 type simCell struct {
 	name      string
-	policy    *spill.Policy // the spill file, nil: none
+	policy    *spill.Policy // the contents of the spill file, nil: there is none
 	multiCell *multiCellSim
 }
 
-// cellWorld is three cells of two controllers each. They share time and the watch over the
-// rules, so that a task that runs in two cells, or a team that is over its limit with what
-// it has in all of them, is seen.
+// multiCellSim simulates three cells with two controllers each. The cells share the simulated
+// time and the invariant checker, so that the checker sees a task that runs in two cells, and a
+// team that exceeds its limit with what it uses in all cells together.
 type multiCellSim struct {
 	*standin.Sim
 	t          *testing.T
 	invariants *standin.InvariantChecker
 	cells      []*simDeployment
 
-	linkStates        map[cellLink]int // how the way from one cell to another is cut
-	heldCalls         map[cellLink][]func()
-	duplicateRequests float64 // chance that a call arrives once more, up to minutes later
-	extraDelay        model.Micros
-	// watch, if set, is told of every call that arrives.
+	linkStates        map[cellLink]int      // linkOpen if absent
+	heldCalls         map[cellLink][]func() // calls and answers to be delivered once the link is open
+	duplicateRequests float64               // chance that a call arrives a second time, up to minutes later
+	extraDelay        model.Micros          // calls and answers take up to so much longer
+	// onCall, if set, is called for every call that arrives.
 	onCall    func(from, to *simDeployment, call any)
-	callCount int
+	callCount int // calls that have arrived
 }
 
-// cellLink is one direction between two cells.
+// cellLink is one direction of the link between two cells.
 type cellLink struct{ from, to string }
 
 var cellNames = []string{"north", "south", "west"}
 
-// cellSettings are those of a cell with two controllers.
+// cellSettings returns the settings of a controller in a cell with two controllers.
 func cellSettings(name string) *config.Settings {
 	settings := simSettings(name)
 	settings.Siblings = nil
@@ -54,13 +54,13 @@
 	return settings
 }
 
-// Leases of the right: the default, and about the longest that fits into cancel_s.
+// Execution leases in seconds: the default, and about the longest that fits into cancel_s.
 const (
 	defaultLeaseS = 10
 	longestLeaseS = 17.5
 )
 
-// spillFile is the spill file of a cell.
+// spillFile returns the text of a cell's spill file, with all other cells as neighbours.
 func spillFile(name string, leaseS float64) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `<spill cell="%s"><wait-s>8</wait-s><stay-s>20</stay-s><start-s>25</start-s><lease-s>%v</lease-s>`, name, leaseS)
@@ -81,8 +81,8 @@
 	return policy
 }
 
-// newCellWorld starts the cells; small is each one's capacity of small machines by zone
-// and kind.
+// newMultiCellSim starts the cells. smallMachines are the numbers of small machines that each
+// cell's cloud has per zone and kind (spot or not).
 func newMultiCellSim(t *testing.T, seed uint64, leaseS float64, smallMachines ...int) *multiCellSim {
 	simulation, settings := standin.NewSim(seed), cellSettings("")
 	m := &multiCellSim{Sim: simulation, t: t, invariants: standin.NewInvariantChecker(simulation, settings.Teams(), model.Seconds(settings.Params.Workers.CancelS)),
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// set cuts one direction between two cells; open delivers what was held.
+// setLink sets the state of a link. linkOpen delivers what was held.
 func (m *multiCellSim) setLink(from, to string, linkState int) {
 	link := cellLink{from, to}
 	m.linkStates[link] = linkState
@@ -121,7 +121,7 @@
 	}
 }
 
-// pass carries something over one direction of a link.
+// sendOverLink calls deliver as the link lets a call or an answer pass.
 func (m *multiCellSim) sendOverLink(from, to string, deliver func()) {
 	link := cellLink{from, to}
 	switch m.linkStates[link] {
@@ -133,11 +133,12 @@
 	}
 }
 
-// simCells carries a controller's calls to other cells.
+// simCellCalls sends a controller's calls to other cells.
 type simCellCalls struct{ node *simNode }
 
-// call asks the controllers of a cell in turn until one that holds the shard answers; done
-// is called once, with no answer after the patience.
+// call sends a request to the controllers of a cell, of which only the holder of the shard
+// answers without an error. onAnswer is called once, with spill.ErrUnreachable if there is no
+// answer within cellCallTimeout.
 func (s *simCellCalls) call(cell string, request any, send func(n *simNode, answer func(any, error)), onAnswer func(any, error)) {
 	multi, caller := s.node.sim.cell.multiCell, s.node.sim
 	callee := multi.cellNamed(cell)
@@ -205,7 +206,7 @@
 	})
 }
 
-// received tells whether a reply is there.
+// tryReceive returns the reply, if there is one yet.
 func tryReceive[T any](reply <-chan T) (answer T, ok bool) {
 	select {
 	case answer = <-reply:
@@ -215,7 +216,7 @@
 	}
 }
 
-// drop ends all controllers of a cell, for so long.
+// crashCell crashes all controllers of a cell, which restart after that time.
 func (m *multiCellSim) crashCell(sim *simDeployment, duration model.Micros) {
 	for _, n := range sim.nodes {
 		if n.alive {
@@ -229,7 +230,7 @@
 	}
 }
 
-// calm ends all troubles.
+// endFaults ends all faults.
 func (m *multiCellSim) endFaults() {
 	for _, sim := range m.cells {
 		for _, n := range sim.nodes {
@@ -248,8 +249,8 @@
 	m.duplicateRequests, m.extraDelay, m.onCall = 0, 0, nil
 }
 
-// allEnded tells whether users were told of the end of all jobs that they submitted, but for
-// those that they gave up.
+// allEnded reports whether users were told of the end of all jobs that they submitted, except
+// for submissions that were not accepted in time.
 func (m *multiCellSim) allEnded() bool {
 	for _, sim := range m.cells {
 		for _, u := range sim.users {
@@ -261,7 +262,7 @@
 	return true
 }
 
-// records counts the records of spilling in all cells.
+// spillRecordCount returns the number of spill records in all cells.
 func (m *multiCellSim) spillRecordCount() (n int) {
 	for _, sim := range m.cells {
 		n += sim.state.KeyCount("spill/")
@@ -269,13 +270,14 @@
 	return n
 }
 
-// lentJobs counts the lendings that the state services of all cells have accepted.
+// lendingCount returns the number of lendings that the state services of all cells have
+// accepted.
 func (m *multiCellSim) lendingCount() (n int) {
 	m.eachLending(func(string, *spill.OutRecord) { n++ })
 	return n
 }
 
-// eachLending calls f for every lending that a home cell has written.
+// eachLending calls visit for every lending whose record a home cell has stored.
 func (m *multiCellSim) eachLending(visit func(jobID string, record *spill.OutRecord)) {
 	for _, sim := range m.cells {
 		seen := map[uint64]bool{}
@@ -291,13 +293,13 @@
 	}
 }
 
-// call asks any controller of a cell.
+// sendUserRequest sends a user's request to any controller of a cell.
 func (m *multiCellSim) sendUserRequest(sim *simDeployment, newRequest func(chan<- userapi.Answer) any, onAnswer func(userapi.Answer)) {
 	sim.sendUserRequest(nil, 5*model.Second, newRequest, onAnswer)
 }
 
-// verify sees, all troubles over, that everything accepted ends, the rules held, and no
-// record of spilling is left.
+// requireCleanEnd ends all faults and checks that every accepted job ends, that no invariant
+// was violated, and that no spill record is left.
 func (m *multiCellSim) requireCleanEnd(tb interface {
 	Helper()
 	Fatalf(string, ...any)
@@ -317,7 +319,7 @@
 	}
 	m.invariants.CheckCancelled()
 	if len(m.invariants.Violations) > 0 {
-		tb.Fatalf("rules broken: %v", m.invariants.Violations)
+		tb.Fatalf("invariants violated: %v", m.invariants.Violations)
 	}
 	for jobID := range m.invariants.Accepted {
 		if m.invariants.ReportedEnd(jobID) == "" {
@@ -325,11 +327,12 @@
 		}
 	}
 	if n := m.spillRecordCount(); n > 0 {
-		tb.Fatalf("%d records of spilling are left: %s", n, m.describe(""))
+		tb.Fatalf("%d spill records are left, want none: %s", n, m.describe(""))
 	}
 }
 
-// describe is for failure messages.
+// describe returns the state of the cells for failure messages: their spill records, and with a
+// job ID also all other records of that job.
 func (m *multiCellSim) describe(jobID string) string {
 	var b strings.Builder
 	for _, sim := range m.cells {
