--- a/internal/controller/borrowing.go
+++ b/internal/controller/borrowing.go
@@ -33,7 +33,7 @@
 	if l.shard.Jobs[jobID] == nil {
 		spec := record.Spec.Job(l.controller.view.Revisions[key])
 		spec.Priority = model.LowPriority // this cell's own jobs come first
-		l.shard.AddGuest(spec, record.Home, model.TaskSetFromBytes(record.Done), l.controller.now)
+		l.shard.AddBorrowedJob(spec, record.Home, model.TaskSetFromBytes(record.Done), l.controller.now)
 	}
 }
 
--- a/internal/controller/borrowing_offers.go
+++ b/internal/controller/borrowing_offers.go
@@ -141,7 +141,7 @@
 	if notStarted >= maxNotStarted {
 		return false
 	}
-	if s.leader.shard.HasRoomFor(spec, s.minTasksToFit(job), float64(c.operator.ExtraCapacityRate)) {
+	if s.leader.shard.HasCapacityFor(spec, s.minTasksToFit(job), float64(c.operator.ExtraCapacityRate)) {
 		return true
 	}
 	return s.leader.cloudHealth.isHealthy() && s.mayRentFor(spec)
--- a/internal/controller/fault_tolerance_test.go
+++ b/internal/controller/fault_tolerance_test.go
@@ -150,8 +150,8 @@
 		t.Errorf("%d tasks started by replayed heartbeats", n)
 	}
 	for id, machine := range leading.shard.Machines {
-		if machine.ReceivesAnswers || machine.Up {
-			t.Errorf("%s: receives answers %v, is up %v, want neither", id, machine.ReceivesAnswers, machine.Up)
+		if machine.ReceivesResponses || machine.Up {
+			t.Errorf("%s: receives responses %v, is up %v, want neither", id, machine.ReceivesResponses, machine.Up)
 		}
 	}
 	sim.requireInvariants()
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -156,7 +156,7 @@
 	if s.policy == nil || !s.policy.HasNeighbour(lent.Record.Cell) {
 		return true
 	}
-	return s.leader.shard.HasRoomSoonFor(job.Job, s.minTasksToFit(job), s.leader.controller.now) && !s.leader.shard.OwnWorkWaits(ownJobMaxWait, s.leader.controller.now)
+	return s.leader.shard.HasCapacitySoonFor(job.Job, s.minTasksToFit(job), s.leader.controller.now) && !s.leader.shard.OwnWorkWaits(ownJobMaxWait, s.leader.controller.now)
 }
 
 // takeBack queues the write that makes a lent job this cell's own again. None of its tasks
--- a/internal/controller/lending_search.go
+++ b/internal/controller/lending_search.go
@@ -44,7 +44,7 @@
 	}
 	slices.SortFunc(jobs, func(a, b *model.JobState) int { return cmp.Compare(a.AcceptedRevision, b.AcceptedRevision) })
 	for _, job := range jobs[:min(len(jobs), maxJobsSearched)] {
-		if !s.leader.shard.HasRoomSoonFor(job.Job, s.minTasksToFit(job), s.leader.controller.now) {
+		if !s.leader.shard.HasCapacitySoonFor(job.Job, s.minTasksToFit(job), s.leader.controller.now) {
 			return job.ID
 		}
 	}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -52,7 +52,7 @@
 
 // provisioningInput collects the input of a round of the autoscaler.
 func (l *leader) provisioningInput() *autoscaler.Input {
-	round := l.shard.PlacementInput(l.controller.now)
+	round := l.shard.NewRound(l.controller.now)
 	round.Sort()
 	in := &autoscaler.Input{
 		Now:              l.controller.now,
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -30,7 +30,7 @@
 // answered within the last ten seconds.
 func (sim *simDeployment) servedMachines() (n int) {
 	for _, m := range sim.leader().ctl.leading.shard.Machines {
-		if m.Up && m.ReceivesAnswers && sim.Now-m.LastHeartbeat < 10*model.Second {
+		if m.Up && m.ReceivesResponses && sim.Now-m.LastHeartbeat < 10*model.Second {
 			n++
 		}
 	}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -67,7 +67,7 @@
 func (l *leader) fewUnreachable() bool {
 	unreachable := 0
 	for _, machine := range l.shard.Machines {
-		if machine.UnansweredSince != 0 {
+		if machine.NoResponseSince != 0 {
 			unreachable++
 		}
 	}
--- a/internal/core/autoscaler/zones.go
+++ b/internal/core/autoscaler/zones.go
@@ -26,14 +26,14 @@
 // applies reports whether the job has zone rules.
 func (z *zoneLimits) applies() bool { return z.job.SameZone || z.job.Spread }
 
-// roomIn returns how many more tasks may be placed in a zone.
-func (z *zoneLimits) roomIn(zone string) int {
+// allowedIn returns how many more tasks may be placed in a zone.
+func (z *zoneLimits) allowedIn(zone string) int {
 	if z.chosenZone != "" && zone != z.chosenZone {
 		return 0
 	}
 	n, ok := z.leftByZone[zone]
 	if !ok {
-		n = placement.ZoneRoom(z.job, zone)
+		n = placement.AllowedInZone(z.job, zone)
 		z.leftByZone[zone] = n
 	}
 	return n
@@ -51,7 +51,7 @@
 	}
 	fits := z.job.Request.FitCount(room, n)
 	if fits > 0 && z.applies() {
-		fits = min(fits, z.roomIn(offer.Zone))
+		fits = min(fits, z.allowedIn(offer.Zone))
 	}
 	return fits
 }
@@ -70,7 +70,7 @@
 
 // allows reports whether a machine of that kind may be rented for the job.
 func (z *zoneLimits) allows(machineType, zone string, spot bool) bool {
-	return z.job.Allows(machineType, zone, spot) && (!z.applies() || z.roomIn(zone) > 0)
+	return z.job.Allows(machineType, zone, spot) && (!z.applies() || z.allowedIn(zone) > 0)
 }
 
 // chooseZone chooses the zone with the most room for tasks that have to be in the same
--- a/internal/core/model/job_state.go
+++ b/internal/core/model/job_state.go
@@ -49,7 +49,7 @@
 	Starved          bool // the job has waited too long to start
 	LateIfTaskLost   bool // the job misses an objective if one of its tasks has to start over
 	HasPreempted     bool // tasks of other jobs have been preempted for the job
-	DueAt            Micros
+	OrderKey         Micros // jobs with a smaller key go first if all else is equal
 }
 
 // BindingCount returns the number of bound tasks, earlier attempts included.
--- a/internal/core/model/machine.go
+++ b/internal/core/model/machine.go
@@ -28,15 +28,15 @@
 	Sequence       uint64 // of the newest heartbeat of that incarnation
 	Token          uint64 // highest fencing token that the worker has reported
 	LastHeartbeat  Micros // when the newest heartbeat was applied
-	LastAnswer     Micros // latest time at which a leader may have renewed the worker's lease
+	LastResponse   Micros // latest time at which a leader may have renewed the worker's lease
 	HasNewCapacity bool   // the newest heartbeat freed resources or showed that the machine is up
-	// ReceivesAnswers is set if the newest heartbeat showed that the response to the one
+	// ReceivesResponses is set if the newest heartbeat showed that the response to the one
 	// before it had arrived.
-	ReceivesAnswers bool
-	UnansweredSince Micros // since when the worker has sent heartbeats without receiving responses, 0 if it receives them
-	Lost            bool   // the worker's lease has certainly expired, and no heartbeat has arrived since
-	SpotNotice      bool   // the cloud has announced that it will reclaim the machine
-	ReclaimedAt     Micros // when the cloud will reclaim the machine
+	ReceivesResponses bool
+	NoResponseSince   Micros // since when the worker has sent heartbeats without receiving responses, 0 if it receives them
+	Lost              bool   // the worker's lease has certainly expired, and no heartbeat has arrived since
+	SpotNotice        bool   // the cloud has announced that it will reclaim the machine
+	ReclaimedAt       Micros // when the cloud will reclaim the machine
 
 	// State derived from the cloud's answers.
 	Listed bool // the machine has been in a machine list
--- a/internal/core/placement/machines.go
+++ b/internal/core/placement/machines.go
@@ -67,14 +67,14 @@
 // not receive responses accepts none: the tasks would never be started there, and its
 // heartbeats may be old copies that don't show its current state.
 func (r *Round) AcceptsTasks(machine *model.Machine) bool {
-	reachable := machine.Up && machine.ReceivesAnswers && !machine.Lost && r.Now-machine.LastHeartbeat < r.HeartbeatTimeout
+	reachable := machine.Up && machine.ReceivesResponses && !machine.Lost && r.Now-machine.LastHeartbeat < r.HeartbeatTimeout
 	leaving := machine.Draining || machine.Deleting || machine.SpotNotice
 	return reachable && !leaving && !machine.Quarantined && !machine.Failed
 }
 
-// ZoneRoom returns how many more tasks of the job its SameZone and Spread rules allow in
+// AllowedInZone returns how many more tasks of the job its SameZone and Spread rules allow in
 // the zone, given all of its tasks that are still bound anywhere.
-func ZoneRoom(job *model.JobState, zone string) int {
+func AllowedInZone(job *model.JobState, zone string) int {
 	if !job.SameZone && !job.Spread {
 		return job.Tasks
 	}
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -7,11 +7,11 @@
 	"woadweir/internal/core/model"
 )
 
-// LateDueAt is the smallest DueAt of jobs that can't meet an objective any more.
-const LateDueAt = model.Micros(1) << 60
+// LateOrderKey is the smallest OrderKey of jobs that can't meet an objective any more.
+const LateOrderKey = model.Micros(1) << 60
 
 // canBeInTime reports whether a job can still meet an objective.
-func canBeInTime(job *model.JobState) bool { return job.DueAt < LateDueAt }
+func canBeInTime(job *model.JobState) bool { return job.OrderKey < LateOrderKey }
 
 // Sort sorts the jobs into the order in which they are served (see compareJobs), after
 // computing the fields that the order depends on.
@@ -20,7 +20,7 @@
 	r.markGuaranteed()
 	r.markStarved()
 	for _, job := range r.Jobs {
-		job.DueAt = r.Estimates.DueAt(job)
+		job.OrderKey = r.Estimates.OrderKey(job)
 		job.HasPreempted = slices.ContainsFunc(r.Reservations[job], func(reservation Reservation) bool { return reservation.Preempted })
 	}
 	slices.SortStableFunc(r.Jobs, compareJobs)
@@ -28,7 +28,7 @@
 
 // compareJobs orders jobs by these criteria, each applied if the ones before it are equal:
 // starved jobs first; priority; jobs for which others have been preempted; jobs that can
-// still meet an objective; jobs within their team's guarantee; DueAt.
+// still meet an objective; jobs within their team's guarantee; OrderKey.
 //
 // If jobs that preempted others did not come first among jobs of their priority, another
 // job would take what they freed, and even more tasks would be preempted. Starved jobs of
@@ -47,7 +47,7 @@
 		trueFirst(canBeInTime(a), canBeInTime(b)),
 		trueFirst(a.CanMeetGuarantee, b.CanMeetGuarantee),
 		trueFirst(a.WithinGuarantee, b.WithinGuarantee),
-		cmp.Compare(a.DueAt, b.DueAt))
+		cmp.Compare(a.OrderKey, b.OrderKey))
 }
 
 // trueFirst compares two booleans, with true before false.
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -16,9 +16,10 @@
 
 // Estimator provides the estimates on which the decisions of a round are based.
 type Estimator interface {
-	// DueAt returns the time by which a job has to be done to meet its objectives. For a
-	// job that can't meet them any more, or has none, it is LateDueAt or greater.
-	DueAt(job *model.JobState) model.Micros
+	// OrderKey returns the key by which jobs are ordered if all else is equal, smallest
+	// first. A key of LateOrderKey or greater means that the job can't meet an objective any
+	// more, or has none.
+	OrderKey(job *model.JobState) model.Micros
 	// MaxWait returns how long a job may wait before work of lower priority is preempted
 	// for it.
 	MaxWait(job *model.JobState) model.Micros
@@ -254,7 +255,7 @@
 	for _, candidate := range r.candidates(job, 1, cachedOnly) {
 		machine := candidate.target.machine
 		fitting := job.Request.FitCount(candidate.target.usable(constraints), left)
-		tasks := min(left, fitting, ZoneRoom(job, machine.Zone), r.Executor.TaskSlots(job.Job, machine))
+		tasks := min(left, fitting, AllowedInZone(job, machine.Zone), r.Executor.TaskSlots(job.Job, machine))
 		for range tasks {
 			r.Executor.Bind(job, job.Waiting[0], machine, r.Executor.NextAttempt())
 			left--
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -8,13 +8,13 @@
 
 // testEstimator returns such a long MaxWait that no job preempts others.
 type testEstimator struct {
-	dueAt map[string]model.Micros // by job; 0 for jobs without an entry
+	orderKeys map[string]model.Micros // by job; 0 for jobs without an entry
 }
 
-func (e testEstimator) DueAt(job *model.JobState) model.Micros { return e.dueAt[job.ID] }
-func (e testEstimator) MaxWait(*model.JobState) model.Micros   { return 1000 * 3600 * model.Second }
-func (e testEstimator) StartRate(string) float64               { return 1 }
-func (e testEstimator) Remaining(*model.Binding) model.Micros  { return 0 }
+func (e testEstimator) OrderKey(job *model.JobState) model.Micros { return e.orderKeys[job.ID] }
+func (e testEstimator) MaxWait(*model.JobState) model.Micros      { return 1000 * 3600 * model.Second }
+func (e testEstimator) StartRate(string) float64                  { return 1 }
+func (e testEstimator) Remaining(*model.Binding) model.Micros     { return 0 }
 
 // testExecutor records the machine to which a task was last bound. It supports jobs with a
 // single task.
@@ -44,7 +44,7 @@
 	round := &Round{
 		Now:          model.Second,
 		Jobs:         []*model.JobState{preempting, older, higher},
-		Estimates:    testEstimator{dueAt: map[string]model.Micros{preempting.ID: LateDueAt}},
+		Estimates:    testEstimator{orderKeys: map[string]model.Micros{preempting.ID: LateOrderKey}},
 		Reservations: map[*model.JobState][]Reservation{preempting: {{Preempted: true}}, older: {{}}},
 	}
 	for _, want := range []string{"j-3 j-2 j-1", "j-3 j-1 j-2"} {
@@ -97,7 +97,7 @@
 
 // testMachine returns a machine that accepts tasks.
 func testMachine(id string, spot bool) *model.Machine {
-	return &model.Machine{ID: id, MachineType: "box", Zone: "a", Spot: spot, Size: model.Resources{Cores: 8000}, Up: true, ReceivesAnswers: true}
+	return &model.Machine{ID: id, MachineType: "box", Zone: "a", Spot: spot, Size: model.Resources{Cores: 8000}, Up: true, ReceivesResponses: true}
 }
 
 // flexibleJob returns a new job with one task that may use spot machines.
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -137,8 +137,8 @@
 	return inZone
 }
 
-// choosePerZone chooses the first slots, in each zone at most as many as there is ZoneRoom
-// for the job.
+// choosePerZone chooses the first slots, in each zone at most as many as
+// AllowedInZone returns.
 func choosePerZone(job *model.JobState, slots []preemptionSlot, wanted int) (chosen selection) {
 	inZone := map[string]int{}
 	for _, slot := range slots {
@@ -146,7 +146,7 @@
 			break
 		}
 		zone := slot.target.machine.Zone
-		if inZone[zone] >= ZoneRoom(job, zone) {
+		if inZone[zone] >= AllowedInZone(job, zone) {
 			continue
 		}
 		inZone[zone]++
--- a/internal/core/shard/bindings.go
+++ b/internal/core/shard/bindings.go
@@ -8,7 +8,7 @@
 
 // Restore adds a binding that an earlier owner of the shard made durable.
 func (s *State) Restore(job *model.JobState, index int, attempt uint64, m *model.Machine) {
-	b := s.addBinding(job, index, m, attempt, m.LastAnswer)
+	b := s.addBinding(job, index, m, attempt, m.LastResponse)
 	b.Version = m.DurableVersion
 	m.Stored = true
 	if job.Kind == model.Gang && attempt > job.Attempt {
@@ -187,7 +187,7 @@
 // gang attempts that have not started in time.
 func (s *State) Tick(now model.Micros) {
 	for _, machine := range s.Machines {
-		if now-machine.LastAnswer <= s.LeaseExpiry() {
+		if now-machine.LastResponse <= s.LeaseExpiry() {
 			continue
 		}
 		for _, b := range machine.Bindings {
@@ -219,9 +219,9 @@
 			for _, b := range bindings {
 				switch {
 				case job.FinalStatus != "":
-					s.stop(b, 0, "job "+job.FinalStatus, b.Machine.LastAnswer)
+					s.stop(b, 0, "job "+job.FinalStatus, b.Machine.LastResponse)
 				case b.Attempt < newest:
-					s.stop(b, 0, "a newer attempt is bound", b.Machine.LastAnswer)
+					s.stop(b, 0, "a newer attempt is bound", b.Machine.LastResponse)
 				}
 			}
 		}
--- a/internal/core/shard/capacity.go
+++ b/internal/core/shard/capacity.go
@@ -14,21 +14,21 @@
 	return !m.Up && !m.Failed && machineType != nil && now-m.RentedAt < bootTimeFactor*model.Seconds(machineType.BootS)
 }
 
-// HasRoomFor reports whether the given number of further tasks of a job fits now on the
+// HasCapacityFor reports whether the given number of further tasks of a job fits now on the
 // machines that are up, leaving the fraction headroom of their cores free.
-func (s *State) HasRoomFor(job *model.Job, tasks int, headroom float64) bool {
-	return s.hasRoom(job, tasks, headroom, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers })
+func (s *State) HasCapacityFor(job *model.Job, tasks int, headroom float64) bool {
+	return s.hasCapacity(job, tasks, headroom, func(m *model.Machine) bool { return m.Up && m.ReceivesResponses })
 }
 
-// HasRoomSoonFor reports whether the given number of further tasks of a job fits on the
+// HasCapacitySoonFor reports whether the given number of further tasks of a job fits on the
 // machines that are up or booting, without headroom.
-func (s *State) HasRoomSoonFor(job *model.Job, tasks int, now model.Micros) bool {
-	return s.hasRoom(job, tasks, 0, func(m *model.Machine) bool { return m.Up && m.ReceivesAnswers || s.isBooting(m, now) })
+func (s *State) HasCapacitySoonFor(job *model.Job, tasks int, now model.Micros) bool {
+	return s.hasCapacity(job, tasks, 0, func(m *model.Machine) bool { return m.Up && m.ReceivesResponses || s.isBooting(m, now) })
 }
 
-// hasRoom reports whether the given number of further tasks of a job fits on the usable
+// hasCapacity reports whether the given number of further tasks of a job fits on the usable
 // machines, leaving the fraction headroom of their cores free.
-func (s *State) hasRoom(job *model.Job, tasks int, headroom float64, usable func(m *model.Machine) bool) bool {
+func (s *State) hasCapacity(job *model.Job, tasks int, headroom float64, usable func(m *model.Machine) bool) bool {
 	var total, free model.Resources
 	byZone := map[string]int{}
 	for _, m := range s.Machines {
--- a/internal/core/shard/heartbeats.go
+++ b/internal/core/shard/heartbeats.go
@@ -93,9 +93,9 @@
 
 // updateMachine applies the fields of a heartbeat that describe the machine itself.
 func (s *State) updateMachine(machine *model.Machine, heartbeat *Heartbeat, now model.Micros) {
-	s.checkReceivesAnswers(machine, heartbeat, now)
+	s.checkReceivesResponses(machine, heartbeat, now)
 	// The response must not wait for a placement round if it may not reach the worker.
-	machine.HasNewCapacity = machine.HasNewCapacity && machine.ReceivesAnswers
+	machine.HasNewCapacity = machine.HasNewCapacity && machine.ReceivesResponses
 	if !machine.Up && heartbeat.Token == s.Token {
 		machine.Up, machine.HasNewCapacity, s.NeedsPlacement = true, true, true
 		s.Log(Event{Kind: EventUp, Machine: machine.ID})
@@ -103,7 +103,7 @@
 	machine.Lost = false
 	machine.Addr, machine.Token = heartbeat.Addr, heartbeat.Token
 	machine.Incarnation, machine.Sequence = heartbeat.Incarnation, heartbeat.Sequence
-	machine.LastHeartbeat, machine.LastAnswer = now, now
+	machine.LastHeartbeat, machine.LastResponse = now, now
 	if heartbeat.SpotNotice && !machine.SpotNotice {
 		machine.SpotNotice, machine.ReclaimedAt = true, now+heartbeat.ReclaimedIn
 		s.stopBeforeReclaim(machine, now)
--- a/internal/core/shard/heartbeats_test.go
+++ b/internal/core/shard/heartbeats_test.go
@@ -288,7 +288,7 @@
 // each of two controllers, and one more second before the next. A fixed limit that suits
 // one heartbeat interval would, at another one, exclude half of the machines from a
 // placement round, or detect no lost response.
-func TestReceivesAnswersAtBothHeartbeatIntervals(t *testing.T) {
+func TestReceivesResponsesAtBothHeartbeatIntervals(t *testing.T) {
 	for _, interval := range []model.Micros{5 * sec / 2, 5 * sec} {
 		s := newTestState(5)
 		s.Params.HeartbeatInterval = interval
@@ -300,11 +300,11 @@
 			at += gap
 			heartbeat.Sequence, heartbeat.Token = uint64(i+1), 5
 			s.ApplyHeartbeat(&heartbeat, at)
-			if want := i == 1 || i == 2; machine.ReceivesAnswers != want {
-				t.Errorf("heartbeat interval %v, heartbeat after %v: got ReceivesAnswers %v", interval, gap, machine.ReceivesAnswers)
+			if want := i == 1 || i == 2; machine.ReceivesResponses != want {
+				t.Errorf("heartbeat interval %v, heartbeat after %v: got ReceivesResponses %v", interval, gap, machine.ReceivesResponses)
 			}
 		}
-		if stopTime := s.PlacementInput(at).StopTime; stopTime < interval || stopTime > 2*interval {
+		if stopTime := s.NewRound(at).StopTime; stopTime < interval || stopTime > 2*interval {
 			t.Errorf("heartbeat interval %v: got a stop time of %v, want one to two intervals", interval, stopTime)
 		}
 	}
--- a/internal/core/shard/job_order.go
+++ b/internal/core/shard/job_order.go
@@ -45,7 +45,7 @@
 
 // missedObjectiveOffset is the smallest order key of jobs that have missed an objective,
 // but can still meet another.
-const missedObjectiveOffset = placement.LateDueAt / 2
+const missedObjectiveOffset = placement.LateOrderKey / 2
 
 // maxOvertakenTime is the longest time for which jobs with less remaining work may go
 // before a job. It is well within the four minutes in which all jobs are to start,
@@ -63,19 +63,19 @@
 	if job.Kind == model.Gang && job.HasRun {
 		// The gang lost its machines after it had started. It does not wait in the queue
 		// again.
-		return job.ReadySince - placement.LateDueAt
+		return job.ReadySince - placement.LateOrderKey
 	}
 	runTime := s.ExpectedRunTime(job.Job)
 	age := now - job.ReadySince
 	expectedEnd := age + runTime*9/10
 	if s.isAboutToMissLastObjective(job, age, expectedEnd) {
-		return job.ReadySince - placement.LateDueAt
+		return job.ReadySince - placement.LateOrderKey
 	}
 	met, missed := s.countObjectives(job, age, expectedEnd)
 	remainingWork := runTime * model.Micros(len(job.Waiting))
 	switch {
 	case met == 0:
-		return placement.LateDueAt + job.ReadySince
+		return placement.LateOrderKey + job.ReadySince
 	case missed == 0 || len(s.Params.StartObjectives[job.Class]) == 0 && job.Deadline == 0:
 		return remainingWork
 	}
--- a/internal/core/shard/placement.go
+++ b/internal/core/shard/placement.go
@@ -36,8 +36,8 @@
 	deadlineMaxWaitDivisor = 4
 )
 
-// PlacementInput returns a placement round that works on the current state.
-func (s *State) PlacementInput(now model.Micros) *placement.Round {
+// NewRound returns a placement round that works on the current state.
+func (s *State) NewRound(now model.Micros) *placement.Round {
 	adapter := placementAdapter{state: s, now: now}
 	round := &placement.Round{
 		Now:                now,
@@ -148,7 +148,7 @@
 // which takes longer.
 func (s *State) Place(now model.Micros, preempting bool) {
 	s.NeedsPlacement = false
-	round := s.PlacementInput(now)
+	round := s.NewRound(now)
 	round.Reservations, round.Preempting = s.reservations, preempting
 	round.Run()
 }
@@ -165,8 +165,8 @@
 	_ placement.Executor  = placementAdapter{}
 )
 
-// DueAt implements placement.Estimator.
-func (a placementAdapter) DueAt(job *model.JobState) model.Micros {
+// OrderKey implements placement.Estimator.
+func (a placementAdapter) OrderKey(job *model.JobState) model.Micros {
 	return a.state.orderKey(job, a.now)
 }
 
--- a/internal/core/shard/placement_test.go
+++ b/internal/core/shard/placement_test.go
@@ -162,7 +162,7 @@
 	}
 	want := []*model.JobState{add("j-small", 2, 5*sec), add("j-large", 12, 20*sec), add("j-missed", 2, 40*sec), add("j-hopeless", 2, 160*sec)}
 	order := func() []*model.JobState {
-		round := s.PlacementInput(now)
+		round := s.NewRound(now)
 		round.Sort()
 		return slices.DeleteFunc(round.Jobs, func(job *model.JobState) bool { return len(job.Waiting) == 0 })
 	}
@@ -205,7 +205,7 @@
 	startedJob := s.AddJob(newJob("j-begun", 3, model.Array), done, "", now, 190*sec)
 	startedJob.IdleSince = 150 * sec
 	starved := func() (n int) {
-		s.PlacementInput(now).Sort()
+		s.NewRound(now).Sort()
 		for _, job := range waiting {
 			if job.Starved {
 				n++
@@ -239,7 +239,7 @@
 	now := 300 * sec
 	s.AddJob(newJob("j-young", 2, model.Gang), model.TaskSet{}, "", now, 90*sec)
 	oldest := s.AddJob(newJob("j-old", 12, model.Gang), model.TaskSet{}, "", now, 200*sec)
-	round := s.PlacementInput(now)
+	round := s.NewRound(now)
 	round.Sort()
 	if !round.Jobs[1].Starved || round.Jobs[0] != oldest {
 		t.Errorf("got %s first, want j-old; starved: %v, %v, want both", round.Jobs[0].ID, round.Jobs[0].Starved, round.Jobs[1].Starved)
--- a/internal/core/shard/reachability.go
+++ b/internal/core/shard/reachability.go
@@ -6,22 +6,22 @@
 	"woadweir/internal/core/model"
 )
 
-// checkReceivesAnswers determines from a heartbeat whether the response to the previous
+// checkReceivesResponses determines from a heartbeat whether the response to the previous
 // one reached the worker. In that case the heartbeat has the owner's token, arrives
 // without the delay of a retry, is of the same incarnation, and contains the tasks that
 // the response started. A worker whose response was lost tries another controller first,
 // after a pause. A machine whose heartbeats arrive while no response reaches it kills its
 // tasks whenever its lease expires.
-func (s *State) checkReceivesAnswers(machine *model.Machine, heartbeat *Heartbeat, now model.Micros) {
-	receivedBefore := machine.ReceivesAnswers
-	machine.ReceivesAnswers = s.receivedLastResponse(machine, heartbeat, now)
+func (s *State) checkReceivesResponses(machine *model.Machine, heartbeat *Heartbeat, now model.Micros) {
+	receivedBefore := machine.ReceivesResponses
+	machine.ReceivesResponses = s.receivedLastResponse(machine, heartbeat, now)
 	switch {
-	case machine.ReceivesAnswers:
-		machine.UnansweredSince = 0
-	case machine.UnansweredSince == 0:
-		machine.UnansweredSince = now
+	case machine.ReceivesResponses:
+		machine.NoResponseSince = 0
+	case machine.NoResponseSince == 0:
+		machine.NoResponseSince = now
 	}
-	if machine.ReceivesAnswers && !receivedBefore {
+	if machine.ReceivesResponses && !receivedBefore {
 		machine.HasNewCapacity, s.NeedsPlacement = true, true
 	}
 }
@@ -54,8 +54,8 @@
 // Unreachable reports whether a machine still sends heartbeats, but has not received
 // responses for longer than its tasks can run without them.
 func (s *State) Unreachable(m *model.Machine, now model.Micros) bool {
-	if m.UnansweredSince == 0 || now-m.LastHeartbeat >= s.LeaseExpiry() {
+	if m.NoResponseSince == 0 || now-m.LastHeartbeat >= s.LeaseExpiry() {
 		return false
 	}
-	return now-m.UnansweredSince > s.LeaseExpiry()+2*s.Params.HeartbeatInterval
+	return now-m.NoResponseSince > s.LeaseExpiry()+2*s.Params.HeartbeatInterval
 }
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -130,14 +130,14 @@
 		return m
 	}
 	m := &model.Machine{
-		ID:          machineID,
-		MachineType: machineType,
-		Zone:        zone,
-		Spot:        spot,
-		Bindings:    map[model.TaskID]*model.Binding{},
-		LastAnswer:  now,
-		RentedAt:    now,
-		EmptySince:  now,
+		ID:           machineID,
+		MachineType:  machineType,
+		Zone:         zone,
+		Spot:         spot,
+		Bindings:     map[model.TaskID]*model.Binding{},
+		LastResponse: now,
+		RentedAt:     now,
+		EmptySince:   now,
 	}
 	if known := s.MachineTypes[machineType]; known != nil {
 		m.Size = known.Size()
--- a/internal/core/shard/suspend.go
+++ b/internal/core/shard/suspend.go
@@ -40,9 +40,9 @@
 	s.NeedsPlacement = true
 }
 
-// AddGuest adds a job that is borrowed from another cell. It is suspended initially. Its
+// AddBorrowedJob adds a job that is borrowed from another cell. It is suspended initially. Its
 // home cell stores its finished tasks and its end.
-func (s *State) AddGuest(spec *model.Job, homeCell string, done model.TaskSet, now model.Micros) *model.JobState {
+func (s *State) AddBorrowedJob(spec *model.Job, homeCell string, done model.TaskSet, now model.Micros) *model.JobState {
 	job := &model.JobState{Job: spec, Done: done, Bindings: map[int][]*model.Binding{}, DoneVersions: make([]model.Versions, 1),
 		ReadySince: now, IdleSince: now, HomeCell: homeCell, Suspended: true}
 	job.Confirmed = model.TaskSetFromBytes(done.Bytes())
