--- a/internal/core/autoscaler/autoscaler_test.go
+++ b/internal/core/autoscaler/autoscaler_test.go
@@ -381,7 +381,7 @@
 // Room in a zone that a job's zone rules exclude does not count for its tasks: machines are
 // rented in zones that they may use. Otherwise the second replica of a service that has to
 // be spread over zones waits for ever while there is room in the first one's zone.
-func TestRoomInExcludedZoneDoesNotCount(t *testing.T) {
+func TestCapacityInExcludedZoneDoesNotCount(t *testing.T) {
 	need := model.Resources{Cores: 4000}
 	rent := func(provisioner *Provisioner, d Demand) []Rental {
 		in := input(0, machine("h1", "box", model.Resources{}), machine("h2", "box", model.Resources{}))
--- a/internal/core/autoscaler/candidates.go
+++ b/internal/core/autoscaler/candidates.go
@@ -42,7 +42,7 @@
 		candidate := &candidateMachine{machine: machine, offer: Offer{machine.MachineType, machine.Zone, machine.Spot}, size: machine.Size, free: machine.Free()}
 		candidate.freeForOnDemand = candidate.free
 		if !machine.Spot && len(in.OnDemandSizes) > 0 {
-			candidate.addPreemptibleRoom(in)
+			candidate.addPreemptible(in)
 		}
 		candidates = append(candidates, candidate)
 	}
@@ -50,13 +50,13 @@
 	return candidates
 }
 
-// addPreemptibleRoom adds the resources of preemptible tasks on an on-demand machine to
+// addPreemptible adds the resources of preemptible tasks on an on-demand machine to
 // those that tasks which need on-demand machines, and their placeholders, may use. A task
 // is preemptible if it may use spot machines, has a lower priority, and would be preempted
 // sooner than a new machine could boot. Otherwise each such task that is placed there
 // while the room is idle would cause another on-demand machine to be rented, at several
 // times the price of the spot machine that it could have used.
-func (c *candidateMachine) addPreemptibleRoom(in *Input) {
+func (c *candidateMachine) addPreemptible(in *Input) {
 	fasterThanBoot := in.OnDemandMaxWait < model.Seconds(in.MachineTypes[c.offer.MachineType].BootS)
 	for _, binding := range c.machine.Bindings {
 		job := binding.Job
--- a/internal/core/autoscaler/drain.go
+++ b/internal/core/autoscaler/drain.go
@@ -72,17 +72,16 @@
 		return other == drained || other.surplus || other.offer.Spot || !other.machine.Up || len(other.machine.Bindings) <= len(drained.machine.Bindings)
 	})
 	spare := saveSpare(others)
-	if !takeRoomForReplicas(drained, others) || len(p.placePlaceholders(drained.placeholders, others)) > 0 {
+	if !assignReplicas(drained, others) || len(p.placePlaceholders(drained.placeholders, others)) > 0 {
 		restoreSpare(others, spare)
 		return false
 	}
 	return true
 }
 
-// takeRoomForReplicas takes room for each replica of a machine on another machine of its
-// zone that has the replica's image. It stops and returns false at the first replica that
-// fits nowhere.
-func takeRoomForReplicas(drained *candidateMachine, others []*candidateMachine) bool {
+// assignReplicas assigns each replica of a machine to another machine of its zone that has
+// the replica's image. It stops and returns false at the first replica that fits nowhere.
+func assignReplicas(drained *candidateMachine, others []*candidateMachine) bool {
 	for _, binding := range drained.machine.Bindings {
 		job := binding.Job
 		i := slices.IndexFunc(others, func(other *candidateMachine) bool {
--- a/internal/core/autoscaler/zones.go
+++ b/internal/core/autoscaler/zones.go
@@ -45,11 +45,11 @@
 	if !z.job.Allows(offer.MachineType, offer.Zone, offer.Spot) || candidate.machine != nil && !suitsJob(z.job, candidate) {
 		return 0
 	}
-	room := candidate.freeForOnDemand
+	free := candidate.freeForOnDemand
 	if z.spotTolerant {
-		room = candidate.free
+		free = candidate.free
 	}
-	fits := z.job.Request.FitCount(room, n)
+	fits := z.job.Request.FitCount(free, n)
 	if fits > 0 && z.applies() {
 		fits = min(fits, z.allowedIn(offer.Zone))
 	}
@@ -79,12 +79,12 @@
 	if len(z.job.Bindings) > 0 {
 		return // the zone of the job's bound tasks is given
 	}
-	room := map[string]int{}
+	fitting := map[string]int{}
 	for _, candidate := range candidates {
-		room[candidate.offer.Zone] += z.fittingTasks(candidate, demand.Count)
+		fitting[candidate.offer.Zone] += z.fittingTasks(candidate, demand.Count)
 	}
 	best := 0
-	for zone, tasks := range room {
+	for zone, tasks := range fitting {
 		if tasks > best || tasks == best && tasks > 0 && zone < z.chosenZone {
 			z.chosenZone, best = zone, tasks
 		}
--- a/internal/core/leadership/authority.go
+++ b/internal/core/leadership/authority.go
@@ -33,13 +33,13 @@
 // the session should survive an outage of the state service. blockLease, set by the
 // operators, is the upper bound of the TTL.
 //
-// Two more report periods are kept free before cancelWithin if that leaves a stable
-// session. No rule requires them; with long report periods and a short cancelWithin, they
-// would leave a session so short that a single lost request ends it.
-func ComputeLeaseTimes(blockLease, workerLease, reportPeriod, cancelWithin model.Micros) LeaseTimes {
+// Two more heartbeat intervals are kept free before cancelWithin if that leaves a stable
+// session. No rule requires them; with long heartbeat intervals and a short cancelWithin,
+// they would leave a session so short that a single lost request ends it.
+func ComputeLeaseTimes(blockLease, workerLease, heartbeatInterval, cancelWithin model.Micros) LeaseTimes {
 	safe := maxSafeTTL(workerLease, cancelWithin)
-	preferred := max(safe-2*reportPeriod, min(safe, stableSessionTTL))
-	ttl := min(blockLease, workerLease-3*reportPeriod, preferred)
+	preferred := max(safe-2*heartbeatInterval, min(safe, stableSessionTTL))
+	ttl := min(blockLease, workerLease-3*heartbeatInterval, preferred)
 	return LeaseTimes{TTL: max(ttl, minSessionTTL), Margin: safetyMargin}
 }
 
--- a/internal/core/model/model.go
+++ b/internal/core/model/model.go
@@ -54,19 +54,19 @@
 	return Resources{r.Cores * Milli(count), r.GPUs * Milli(count), r.Mem * Milli(count)}
 }
 
-// Fits reports whether r fits into room.
-func (r Resources) Fits(room Resources) bool {
-	return r.Cores <= room.Cores && r.GPUs <= room.GPUs && r.Mem <= room.Mem
+// Fits reports whether r fits into the available resources.
+func (r Resources) Fits(available Resources) bool {
+	return r.Cores <= available.Cores && r.GPUs <= available.GPUs && r.Mem <= available.Mem
 }
 
 // IsZero reports whether all amounts are zero.
 func (r Resources) IsZero() bool { return r == Resources{} }
 
-// FitCount returns how many times r fits into room, at most limit. Only what r requests is
-// considered.
-func (r Resources) FitCount(room Resources, limit int) int {
+// FitCount returns how many times r fits into the available resources, at most limit. Only
+// what r requests is considered.
+func (r Resources) FitCount(available Resources, limit int) int {
 	count := Milli(limit)
-	for _, pair := range [...][2]Milli{{r.Cores, room.Cores}, {r.GPUs, room.GPUs}, {r.Mem, room.Mem}} {
+	for _, pair := range [...][2]Milli{{r.Cores, available.Cores}, {r.GPUs, available.GPUs}, {r.Mem, available.Mem}} {
 		if pair[0] > 0 {
 			count = min(count, max(0, pair[1])/pair[0])
 		}
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -76,8 +76,8 @@
 		{name: "the same, and the spot machine is full", late: true, surplus: true, full: true, want: ""},
 		{name: "the same, and the job has waited long", late: true, surplus: true, full: true, waited: surplusAllowedAfter, want: "ordinary"},
 	} {
-		ordinary, spot := testMachine("ordinary", false), testMachine("spot", true)
-		ordinary.Cache, ordinary.Surplus = []string{"i"}, c.surplus
+		onDemand, spot := testMachine("ordinary", false), testMachine("spot", true)
+		onDemand.Cache, onDemand.Surplus = []string{"i"}, c.surplus
 		if c.full {
 			spot.Used = spot.Size
 		}
@@ -85,14 +85,14 @@
 		job.LateIfTaskLost = c.late
 		job.ReadySince -= c.waited
 		executor := &testExecutor{}
-		testRound(job, executor, ordinary, spot).Run()
+		testRound(job, executor, onDemand, spot).Run()
 		if executor.boundTo != c.want {
 			t.Errorf("%s: bound to %q, want %q", c.name, executor.boundTo, c.want)
 		}
 	}
 }
 
-// testNow is the time of the rounds of testWorld.
+// testNow is the time of the rounds of testRound.
 const testNow = model.Micros(1000)
 
 // testMachine returns a machine that accepts tasks.
--- a/internal/core/shard/bench_test.go
+++ b/internal/core/shard/bench_test.go
@@ -129,9 +129,9 @@
 	}
 }
 
-func BenchmarkReport(b *testing.B) { forFleets(b, benchReport) }
+func BenchmarkHeartbeat(b *testing.B) { forFleets(b, benchHeartbeat) }
 
-func benchReport(b *testing.B, machines int) {
+func benchHeartbeat(b *testing.B, machines int) {
 	_, workers := newLargeFleet(machines)
 	b.ResetTimer()
 	for i := range b.N {
