--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -1,6 +1,6 @@
 // Package autoscaler decides which machines to rent and which to release. It follows the
 // "Resource Slack" design: placeholders, which exist only in the leader's memory, reserve
-// room for future tasks; real tasks displace them; and machines are rented for tasks and
+// capacity for future tasks; real tasks displace them; and machines are rented for tasks and
 // placeholders that fit nowhere.
 package autoscaler
 
--- a/internal/core/autoscaler/autoscaler_test.go
+++ b/internal/core/autoscaler/autoscaler_test.go
@@ -234,7 +234,7 @@
 }
 
 // Preemptible tasks do not displace the placeholders of work that needs on-demand machines,
-// and no machines are rented for that work beside them, but only if the tasks are preempted
+// and no additional machines are rented for that work, but only if the tasks are preempted
 // for it sooner than a machine boots.
 func TestPreemptibleWork(t *testing.T) {
 	need := model.Resources{Cores: 5000}
@@ -272,11 +272,11 @@
 		t.Fatalf("surplus is %v, want h2", out.Surplus)
 	}
 	if len(out.Rent) != 0 {
-		t.Errorf("rents %v though there is room on h1", out.Rent)
+		t.Errorf("rents %v though the task fits on h1", out.Rent)
 	}
 	in.Waiting = []Demand{demand(2, need, true)}
 	if out = provisioner.Round(in); len(out.Rent) != 1 || !out.Rent[0].Spot {
-		t.Errorf("rents %v, want a spot box though h2 has room: it is surplus", out.Rent)
+		t.Errorf("rents %v, want a spot box though the task fits on h2: that is surplus", out.Rent)
 	}
 	for _, machineType := range []string{"box", "gpu"} {
 		for _, zone := range []string{"a", "b"} {
@@ -286,15 +286,15 @@
 	if out = provisioner.Round(in); len(out.Surplus) != 0 || out.Unplaced != 0 {
 		t.Errorf("surplus %v, %d unplaced tasks, want none: no spot machine is available, so h2 is used", out.Surplus, out.Unplaced)
 	}
-	// The same holds while nothing waits, so that the next task finds room at once.
+	// The same holds while nothing waits, so that the next task can be placed immediately.
 	in.SpotTolerantSizes, in.Waiting = []model.Resources{need}, nil
 	if out = provisioner.Round(in); len(out.Surplus) != 0 {
 		t.Errorf("surplus %v while spot machines are scarce, want none", out.Surplus)
 	}
 }
 
-// If jobs have to be spread over zones, placeholders are spread as well: with room in one
-// zone only, half of the new replicas would find none.
+// If jobs have to be spread over zones, placeholders are spread as well: with capacity
+// reserved in one zone only, half of the new replicas would fit nowhere.
 func TestPlaceholdersAreSpreadOverZones(t *testing.T) {
 	in := mixedInput(machine("h1", "box", model.Resources{}), machine("h2", "box", model.Resources{}), machine("h3", "box", model.Resources{}))
 	in.Spread = true
@@ -307,7 +307,7 @@
 		}
 	}
 	if len(zones) != 2 || zones["a"]-zones["b"] > 1 || zones["b"]-zones["a"] > 1 {
-		t.Errorf("placeholders by zone: %v, want the same number in each, give or take one", zones)
+		t.Errorf("placeholders by zone: %v, want numbers that differ by at most one", zones)
 	}
 	rented := 0
 	for _, r := range out.Rent {
@@ -321,7 +321,7 @@
 }
 
 // A placeholder for work that needs on-demand machines keeps its machine, because the same
-// machine would be rented for it again at once.
+// machine would be rented for it again immediately.
 func TestOnDemandPlaceholdersKeepTheirMachine(t *testing.T) {
 	h1 := machine("h1", "box", model.Resources{})
 	in := mixedInput(h1)
@@ -337,8 +337,8 @@
 	}
 }
 
-// A machine that is mostly unused is drained if its replicas fit, beside the placeholders,
-// on fuller machines of its zone that have their images.
+// A machine that is mostly unused is drained if its replicas fit on fuller machines of its
+// zone that have their images, in addition to the placeholders there.
 func TestDrain(t *testing.T) {
 	need := model.Resources{Cores: 2000}
 	replicas := func(machineID string, n int) *model.Machine {
@@ -363,14 +363,14 @@
 		t.Errorf("drains %v, want h1", got)
 	}
 	for why, change := range map[string]func(in *Input, little, fuller *model.Machine){
-		"the image is missing":      func(_ *Input, _, fuller *model.Machine) { fuller.Cache = nil },
-		"there is no room":          func(_ *Input, _, fuller *model.Machine) { fuller.Used = fuller.Size },
-		"the room is in zone b":     func(_ *Input, _, fuller *model.Machine) { fuller.Zone = "b" },
-		"its replica is too young":  func(in *Input, _, _ *model.Machine) { in.Now = 61*sec - 1 },
-		"an array task runs on it":  func(_ *Input, little, _ *model.Machine) { addSpotTolerant(little, need) },
-		"placeholders use the room": func(in *Input, _, _ *model.Machine) { in.OnDemandSizes = []model.Resources{{Cores: 4000}} },
-		"the cloud is down":         func(in *Input, _, _ *model.Machine) { in.CloudOK = false },
-		"tasks wait for a machine":  func(in *Input, _, _ *model.Machine) { in.Waiting = []Demand{onDemandDemand(9, need)} },
+		"the image is missing":       func(_ *Input, _, fuller *model.Machine) { fuller.Cache = nil },
+		"the other machine is full":  func(_ *Input, _, fuller *model.Machine) { fuller.Used = fuller.Size },
+		"the other is in zone b":     func(_ *Input, _, fuller *model.Machine) { fuller.Zone = "b" },
+		"its replica is too young":   func(in *Input, _, _ *model.Machine) { in.Now = 61*sec - 1 },
+		"an array task runs on it":   func(_ *Input, little, _ *model.Machine) { addSpotTolerant(little, need) },
+		"placeholders need the rest": func(in *Input, _, _ *model.Machine) { in.OnDemandSizes = []model.Resources{{Cores: 4000}} },
+		"the cloud is down":          func(in *Input, _, _ *model.Machine) { in.CloudOK = false },
+		"tasks wait for a machine":   func(in *Input, _, _ *model.Machine) { in.Waiting = []Demand{onDemandDemand(9, need)} },
 	} {
 		if got := round(change); len(got) != 0 {
 			t.Errorf("drains %v though %s", got[0].ID, why)
@@ -378,9 +378,10 @@
 	}
 }
 
-// Room in a zone that a job's zone rules exclude does not count for its tasks: machines are
-// rented in zones that they may use. Otherwise the second replica of a service that has to
-// be spread over zones waits for ever while there is room in the first one's zone.
+// Capacity in a zone that a job's zone rules exclude does not count for its tasks:
+// machines are rented in zones that they may use. Otherwise the second replica of a
+// service that has to be spread over zones waits indefinitely while there is capacity in
+// the first one's zone.
 func TestCapacityInExcludedZoneDoesNotCount(t *testing.T) {
 	need := model.Resources{Cores: 4000}
 	rent := func(provisioner *Provisioner, d Demand) []Rental {
@@ -391,7 +392,7 @@
 	spread := demand(2, need, false)
 	spread.Job.Spread = true
 	if rs := rent(New(Defaults()), spread); len(rs) != 1 || rs[0].Zone != "b" || rs[0].Count != 1 {
-		t.Errorf("rented %v, want one in zone b: only one of two tasks may be in zone a, where there is room", rs)
+		t.Errorf("rented %v, want one in zone b: only one of two tasks may be in zone a, where there is capacity", rs)
 	}
 	spread.Job.Bindings = map[int][]*model.Binding{0: {{Machine: &model.Machine{Zone: "a"}}}}
 	spread.Count = 1
@@ -401,7 +402,7 @@
 	together := demand(5, need, false)
 	together.Job.SameZone = true
 	if rs := rent(New(Defaults()), together); len(rs) != 1 || rs[0].Zone != "a" || rs[0].Count != 1 {
-		t.Errorf("rented %v, want one in zone a: it has room for four of five tasks that have to be in the same zone", rs)
+		t.Errorf("rented %v, want one in zone a: four of five tasks that have to be in the same zone fit there", rs)
 	}
 	provisioner := New(Defaults())
 	for _, machineType := range []string{"box", "gpu"} {
--- a/internal/core/autoscaler/candidates.go
+++ b/internal/core/autoscaler/candidates.go
@@ -50,12 +50,12 @@
 	return candidates
 }
 
-// addPreemptible adds the resources of preemptible tasks on an on-demand machine to
-// those that tasks which need on-demand machines, and their placeholders, may use. A task
-// is preemptible if it may use spot machines, has a lower priority, and would be preempted
+// addPreemptible adds the resources of preemptible tasks on an on-demand machine to those
+// that tasks which need on-demand machines, and their placeholders, may use. A task is
+// preemptible if it may use spot machines, has a lower priority, and would be preempted
 // sooner than a new machine could boot. Otherwise each such task that is placed there
-// while the room is idle would cause another on-demand machine to be rented, at several
-// times the price of the spot machine that it could have used.
+// while these resources are idle would cause another on-demand machine to be rented, at
+// several times the price of the spot machine that it could have used.
 func (c *candidateMachine) addPreemptible(in *Input) {
 	fasterThanBoot := in.OnDemandMaxWait < model.Seconds(in.MachineTypes[c.offer.MachineType].BootS)
 	for _, binding := range c.machine.Bindings {
@@ -68,7 +68,7 @@
 }
 
 // countOnDemandByZone counts the on-demand machines of each zone if jobs have to be spread
-// over zones. Such a job can't use room in one zone beyond its share there, so
+// over zones. Such a job can't use capacity in one zone beyond its share there, so
 // placeholders and rentals are distributed evenly over the zones.
 func (p *Provisioner) countOnDemandByZone(in *Input, candidates []*candidateMachine) {
 	p.onDemandByZone = nil
--- a/internal/core/autoscaler/drain.go
+++ b/internal/core/autoscaler/drain.go
@@ -17,8 +17,8 @@
 	drainUsageDivisor = 2                 // at most 1/drainUsageDivisor of a drained machine is used
 )
 
-// drain chooses a machine that is mostly unused and whose replicas all fit, beside the
-// placeholders, on other machines that have their images.
+// drain chooses a machine that is mostly unused and whose replicas all fit on other
+// machines that have their images, in addition to the placeholders there.
 func (p *Provisioner) drain(in *Input, candidates []*candidateMachine) []*model.Machine {
 	if in.Now-p.lastDrain < drainInterval {
 		return nil
@@ -65,8 +65,8 @@
 }
 
 // fitsElsewhere reports whether all replicas of a machine fit on other machines of its
-// zone that have the images, and its placeholders on any machines. If so, it takes that
-// room.
+// zone that have the images, and its placeholders on any machines. If so, it assigns
+// them there.
 func (p *Provisioner) fitsElsewhere(drained *candidateMachine, candidates []*candidateMachine) bool {
 	others := slices.DeleteFunc(slices.Clone(candidates), func(other *candidateMachine) bool {
 		return other == drained || other.surplus || other.offer.Spot || !other.machine.Up || len(other.machine.Bindings) <= len(drained.machine.Bindings)
--- a/internal/core/autoscaler/offers.go
+++ b/internal/core/autoscaler/offers.go
@@ -20,8 +20,9 @@
 	Count             int
 }
 
-// Offer identifies a kind of machine that can be rented: a type, in a zone, as a spot or
-// an on-demand machine.
+// Offer identifies a kind of machine that can be rented from the cloud: a type, in a zone,
+// as a spot or an on-demand machine. A spill.Offer, in contrast, is a job that one cell
+// offers to another.
 type Offer struct {
 	MachineType, Zone string
 	Spot              bool
--- a/internal/core/autoscaler/placeholder_sizes.go
+++ b/internal/core/autoscaler/placeholder_sizes.go
@@ -9,7 +9,7 @@
 
 // spotExtraFactor multiplies the extra capacity rate for spot machines. An idle spot
 // machine costs a fraction of an on-demand one, and when the cloud reclaims spot machines
-// without notice, the tasks that ran on them need room at once.
+// without notice, the tasks that ran on them need capacity immediately.
 const spotExtraFactor = 2
 
 // placeholderGroup identifies the placeholders for one class of work, on machines with or
--- a/internal/core/autoscaler/placeholders.go
+++ b/internal/core/autoscaler/placeholders.go
@@ -12,7 +12,7 @@
 // be released unused.
 const minHoldDivisor = 3
 
-// workClass is the class of work that a placeholder reserves room for.
+// workClass is the class of work that a placeholder reserves capacity for.
 type workClass uint8
 
 const (
@@ -21,19 +21,19 @@
 	spotTolerantWork                  // work that may use spot machines
 )
 
-// placeholder is a virtual task that reserves room for future tasks.
+// placeholder is a virtual task that reserves capacity for future tasks.
 type placeholder struct {
 	size    model.Resources
 	machine string // its machine's ID, "": unplaced
-	gpu     bool   // reserves room on machines with GPUs, else on those without
+	gpu     bool   // reserves capacity on machines with GPUs, else on those without
 	largest bool   // the largest placeholder of its group
 	work    workClass
 	zone    string // the only zone that it may be placed in, "": any
 }
 
-// isAllowedOn reports whether a placeholder may reserve room on a machine. Room on a spot
-// machine is of no use to work that needs on-demand machines, and room on an on-demand
-// machine costs several times as much as spot-tolerant work has to pay.
+// isAllowedOn reports whether a placeholder may reserve capacity on a machine. Capacity on a
+// spot machine is of no use to work that needs on-demand machines, and on an on-demand
+// machine it costs several times as much as spot-tolerant work has to pay.
 func (p *placeholder) isAllowedOn(candidate *candidateMachine) bool {
 	return (candidate.size.GPUs > 0) == p.gpu && p.allows(candidate.offer.Zone, candidate.offer.Spot)
 }
@@ -188,7 +188,7 @@
 }
 
 // moveToOtherZones places placeholders in other zones if their zone has no machine
-// available at present: room in another zone is better than none. It returns those that
+// available at present: capacity in another zone is better than none. It returns those that
 // are still unplaced.
 func (p *Provisioner) moveToOtherZones(in *Input, candidates []*candidateMachine, unplaced []*placeholder) []*placeholder {
 	var moved []*placeholder
--- a/internal/core/autoscaler/scale_in.go
+++ b/internal/core/autoscaler/scale_in.go
@@ -80,7 +80,7 @@
 
 // isKeptByPlaceholders reports whether placeholders that fit nowhere else keep an empty
 // machine. If some work needs on-demand machines, they keep a machine that would be rented
-// for them again at once; other machines are kept for a while.
+// for them again immediately; other machines are kept for a while.
 func (p *Provisioner) isKeptByPlaceholders(in *Input, candidate *candidateMachine) bool {
 	hold := p.idleHold(in, in.MachineTypes[candidate.offer.MachineType], candidate.offer.Spot)
 	if len(in.OnDemandSizes) > 0 && hold >= p.Params.IdleHold/minHoldDivisor {
--- a/internal/core/autoscaler/waiting.go
+++ b/internal/core/autoscaler/waiting.go
@@ -21,13 +21,13 @@
 	return count
 }
 
-// unplaceable records tasks that found no room. Room only shrinks within a round, so tasks
-// that may use the same machines and need at least as much find none either, unless there
-// are more of them. They are not tried.
+// unplaceable records tasks that fit nowhere. Free resources only shrink within a round, so
+// tasks that may use the same machines and need at least as much each are not tried, unless
+// there are more of them.
 type unplaceable []unplacedTasks
 
-// covers reports whether this number of a job's tasks can't find room, because at least as
-// many that need no more each and may use the same machines have found none.
+// covers reports whether this number of a job's tasks is known not to fit, because at least
+// as many tasks that need no more each and may use the same machines did not fit.
 func (u unplaceable) covers(job *model.JobState, count int) bool {
 	for i := range u {
 		failed := u[i].demand.Job
@@ -62,7 +62,7 @@
 	return first, spotTolerant
 }
 
-// placeWaiting assigns waiting tasks to machines and returns those that found no room.
+// placeWaiting assigns waiting tasks to machines and returns those that fit nowhere.
 func placeWaiting(candidates []*candidateMachine, waiting []Demand, spotTolerant bool) (unplaced []unplacedTasks) {
 	var failed unplaceable
 	for _, demand := range waiting {
@@ -89,7 +89,7 @@
 	return unplaced
 }
 
-// placeTasks assigns up to count tasks to machines and returns how many found no room.
+// placeTasks assigns up to count tasks to machines and returns how many did not fit.
 func placeTasks(candidates []*candidateMachine, zones *zoneLimits, count int) (left int) {
 	left = count
 	for _, candidate := range candidates {
--- a/internal/core/autoscaler/zones.go
+++ b/internal/core/autoscaler/zones.go
@@ -6,8 +6,8 @@
 )
 
 // zoneLimits tracks how many of a job's waiting tasks its zone rules still allow in each
-// zone. Room in a zone that the tasks may not use must not count as room for them:
-// nothing would be rented in the zones that they may use, and they would wait for ever.
+// zone. Capacity in a zone that the tasks may not use must not count for them:
+// nothing would be rented in the zones that they may use, and they would wait indefinitely.
 type zoneLimits struct {
 	job        *model.JobState
 	leftByZone map[string]int // further tasks allowed, for the zones looked at so far
@@ -73,7 +73,7 @@
 	return z.job.Allows(machineType, zone, spot) && (!z.applies() || z.allowedIn(zone) > 0)
 }
 
-// chooseZone chooses the zone with the most room for tasks that have to be in the same
+// chooseZone chooses the zone with the most capacity for tasks that have to be in the same
 // zone.
 func (z *zoneLimits) chooseZone(candidates []*candidateMachine, demand Demand) {
 	if len(z.job.Bindings) > 0 {
@@ -91,7 +91,7 @@
 	}
 }
 
-// excludeChosenZone gives up the chosen zone, so that all tasks are placed in another one.
+// excludeChosenZone excludes the chosen zone, so that all tasks are placed in another one.
 func (z *zoneLimits) excludeChosenZone() { z.leftByZone[z.chosenZone], z.chosenZone = 0, "" }
 
 // isZoneExhausted reports whether nothing can be rented at present in the zone chosen for
--- a/internal/core/leadership/authority.go
+++ b/internal/core/leadership/authority.go
@@ -1,5 +1,5 @@
 // Package leadership determines for how long a controller may act as the leader. It
-// computes lease times that are safe whatever the clocks do, tracks the authority that is
+// computes lease times that are safe despite clock drift, tracks the authority that is
 // based on a session lease, and implements the protocol that maintains this lease in the
 // state service.
 package leadership
--- a/internal/core/model/failures.go
+++ b/internal/core/model/failures.go
@@ -24,14 +24,13 @@
 type Failures struct {
 	FailedMachines map[string]bool // machines on which tasks of the job failed
 	failedRetries  int             // retries that failed while no task of the job was known to run
-	// FaultSuspected is set if the job failed before any of its tasks had run, either on a
-	// machine where other work runs, or on another machine after one had been quarantined
-	// because of it.
+	// FaultSuspected is set if, before any of its tasks had run, the job failed on a machine
+	// on which other work runs, then or later, or a machine was quarantined because of it.
 	FaultSuspected bool
 }
 
 // NoteFailure records that a task of the job failed on a machine, and reports whether a new
-// backoff of the job begins. The first retry is made at once, on another machine. Before
+// backoff of the job begins. The first retry is made immediately, on another machine. Before
 // each further retry, a job that is not known to run waits exponentially longer, and so
 // does one that fails on several machines without any task done. Tasks that fail during
 // the wait were started before it and do not count as retries.
--- a/internal/core/model/job.go
+++ b/internal/core/model/job.go
@@ -76,7 +76,7 @@
 	return job
 }
 
-// Allows reports whether the job may use spot or ordinary machines of this type in this
+// Allows reports whether the job may use spot or on-demand machines of this type in this
 // zone.
 func (j *Job) Allows(machineType, zone string, spot bool) bool {
 	if spot && !j.AllowsSpot || j.Zone != "" && j.Zone != zone {
--- a/internal/core/model/job_state.go
+++ b/internal/core/model/job_state.go
@@ -44,11 +44,11 @@
 	Confirmed TaskSet
 
 	// Results of the last placement round.
-	WithinGuarantee  bool // the job is within its team's guarantee
-	CanMeetGuarantee bool // and it can still start within the guarantee objective
-	Starved          bool // the job has waited too long to start
-	LateIfTaskLost   bool // the job misses an objective if one of its tasks has to start over
-	HasPreempted     bool // tasks of other jobs have been preempted for the job
+	WithinGuarantee  bool   // the job is within its team's guarantee
+	CanMeetGuarantee bool   // and it can still start within the guarantee objective
+	Starved          bool   // the job has waited too long to start
+	LateIfTaskLost   bool   // the job misses an objective if one of its tasks has to start over
+	HasPreempted     bool   // tasks of other jobs have been preempted for the job
 	OrderKey         Micros // jobs with a smaller key go first if all else is equal
 }
 
--- a/internal/core/model/machine.go
+++ b/internal/core/model/machine.go
@@ -23,13 +23,16 @@
 	Stored         bool   // the state service has a record of the machine
 
 	// State derived from the worker's heartbeats.
-	Up             bool   // a heartbeat has shown that the worker knows the leader's fencing token
-	Incarnation    uint64 // of the worker; counts the expiries of its lease
-	Sequence       uint64 // of the newest heartbeat of that incarnation
-	Token          uint64 // highest fencing token that the worker has reported
-	LastHeartbeat  Micros // when the newest heartbeat was applied
-	LastResponse   Micros // latest time at which a leader may have renewed the worker's lease
-	HasNewCapacity bool   // the newest heartbeat freed resources or showed that the machine is up
+	Up            bool   // a heartbeat has shown that the worker knows the leader's fencing token
+	Incarnation   uint64 // of the worker; counts the expiries of its lease
+	Sequence      uint64 // of the newest heartbeat of that incarnation
+	Token         uint64 // highest fencing token that the worker has reported
+	LastHeartbeat Micros // when the newest heartbeat was applied
+	LastResponse  Micros // latest time at which a leader may have renewed the worker's lease
+	// HasNewCapacity is set when a binding is removed from the machine, and when a heartbeat
+	// shows that the machine is up or that responses reach it again. It is cleared by a
+	// heartbeat that does not show that the last response was received.
+	HasNewCapacity bool
 	// ReceivesResponses is set if the newest heartbeat showed that the response to the one
 	// before it had arrived.
 	ReceivesResponses bool
@@ -43,7 +46,7 @@
 	Failed bool // the cloud reports that the machine stopped by itself
 
 	// Decisions of the leader.
-	// Surplus is set if no work that requires an ordinary machine needs this one. It is to
+	// Surplus is set if no work that requires an on-demand machine needs this one. It is to
 	// become empty, so work that may use spot machines is not placed there.
 	Surplus     bool
 	Draining    bool   // no new work; released once empty
--- a/internal/core/model/model.go
+++ b/internal/core/model/model.go
@@ -103,7 +103,7 @@
 	return false
 }
 
-// HourlyPrice returns the current price per hour of a spot or an ordinary machine.
+// HourlyPrice returns the current price per hour of a spot or an on-demand machine.
 func (t *MachineType) HourlyPrice(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
--- a/internal/core/placement/cost.go
+++ b/internal/core/placement/cost.go
@@ -12,7 +12,7 @@
 	costSlow         = 20 * model.Second // the machine seemed slow recently
 	costSuspect      = 10 * model.Second // tasks failed on the machine, and none has completed since
 
-	// minSpotPremium is the minimum cost of an ordinary machine for a job that may use spot
+	// minSpotPremium is the minimum cost of an on-demand machine for a job that may use spot
 	// machines.
 	minSpotPremium = model.Second
 )
@@ -54,7 +54,7 @@
 	return costGPUMachine + costGPUFragment
 }
 
-// spotCost returns the cost of the wrong choice between spot and ordinary machines.
+// spotCost returns the cost of the wrong choice between spot and on-demand machines.
 func (r *Round) spotCost(job *model.JobState, machine *model.Machine) model.Micros {
 	switch {
 	case machine.Spot && job.LateIfTaskLost:
@@ -85,7 +85,7 @@
 	return !job.AllowsSpot || machine.Spot != job.LateIfTaskLost
 }
 
-// spotPremium returns the cost of an ordinary machine for a job that may use spot machines:
+// spotPremium returns the cost of an on-demand machine for a job that may use spot machines:
 // the additional run time that a spot machine would provide for the same price. Fetching
 // the image to a spot machine is worthwhile if it takes less time than that.
 func (r *Round) spotPremium(job *model.JobState, machine *model.Machine) model.Micros {
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -68,7 +68,7 @@
 	return zones
 }
 
-// chooseMachines assigns the tasks of a gang to the first candidates that have room.
+// chooseMachines assigns the tasks of a gang to the first candidates on which they fit.
 func (r *Round) chooseMachines(job *model.JobState, candidates []candidate) assignment {
 	constraints := r.constraintsOf(job)
 	var chosen assignment
--- a/internal/core/placement/machines.go
+++ b/internal/core/placement/machines.go
@@ -15,7 +15,7 @@
 type target struct {
 	machine    *model.Machine
 	reserved   model.Resources // reserved for jobs served earlier
-	gpuReserve model.Resources // reserved for GPU tasks: free GPUs and what such tasks take beside them
+	gpuReserve model.Resources // reserved for GPU tasks: free GPUs and what such tasks need in addition
 
 	victimsKnown bool             // the fields below are set
 	victims      []*model.Binding // tasks that may be preempted, least loss first
@@ -26,7 +26,7 @@
 func (t *target) free() model.Resources { return t.machine.Free().Minus(t.reserved) }
 
 // usable returns the resources that a job with these constraints may use. Tasks without
-// GPUs leave what GPU tasks need beside the GPUs that are wanted, unless they can't wait
+// GPUs leave what GPU tasks need in addition to the wanted GPUs, unless they can't wait
 // until others have been preempted.
 func (t *target) usable(constraints machineConstraints) model.Resources {
 	if constraints.needsGPUs || constraints.mustStartNow {
@@ -35,8 +35,8 @@
 	return t.free().Minus(t.gpuReserve)
 }
 
-// machineConstraints are the properties of a job, beside its request, that determine which
-// machines it may use.
+// machineConstraints are the properties of a job, apart from its request, that determine
+// which machines it may use.
 type machineConstraints struct {
 	machineTypes   string
 	zone           string
@@ -109,7 +109,7 @@
 }
 
 // reserveForGPUTasks reserves the free GPUs that are wanted, on the machines that are best
-// for GPU tasks, together with what such tasks take beside each GPU.
+// for GPU tasks, together with what such tasks need in addition to each GPU.
 func (r *Round) reserveForGPUTasks() {
 	left := r.WantedGPUs
 	for _, target := range r.machinesWithFreeGPUs() {
@@ -156,7 +156,7 @@
 
 // surplusAllowedAfter is the wait after which a job may use surplus machines after all:
 // machines that were rented for it may be slow to boot, and no job may wait for 90 s while
-// a machine has room for it.
+// it fits on a machine.
 const surplusAllowedAfter = 45 * model.Second
 
 // mayUseSurplus reports whether a job has waited long enough to use surplus machines.
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -61,10 +61,10 @@
 	return 1
 }
 
-// Even the largest jobs are to start within four minutes. So a job is starved if it has not
-// started within startWithin, or if it would not if it waited any longer, given the tasks
-// ahead of it and the rate at which tasks of its class start. Whatever the rate, no job is
-// starved before minStarvationAge.
+// Even the largest jobs are to start within four minutes. So a job is starved if it has
+// not started within startWithin, or would not start in that time if it kept waiting for
+// the tasks ahead of it, at the rate at which tasks of its class start. Whatever the
+// rate, no job is starved before minStarvationAge.
 const (
 	startWithin      = 185 * model.Second
 	minStarvationAge = 60 * model.Second
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -63,7 +63,7 @@
 	Teams        map[string]*model.Team
 	// Used are the resources that the bound tasks of a team take, by team.
 	Used map[string]model.Resources
-	// RequestPerGPU is what a GPU task takes beside each of its GPUs, on average.
+	// RequestPerGPU is what a GPU task requests in addition to each of its GPUs, on average.
 	RequestPerGPU model.Resources
 	// WantedGPUs are the GPUs that are, or may soon be, wanted beyond those in use.
 	WantedGPUs model.Milli
@@ -89,7 +89,8 @@
 	// reservedLimit holds, by team, the part of the limit that is reserved for gangs served
 	// earlier.
 	reservedLimit map[string]model.Resources
-	// reservedZones are the zones in which machines that come free are reserved for a gang.
+	// reservedZones are the zones in which machines that become free are reserved for a
+	// gang.
 	reservedZones map[string]bool
 	// lowestPriority is the lowest priority of the tasks that may be preempted.
 	lowestPriority model.Priority
@@ -128,7 +129,7 @@
 }
 
 // placeSamePrecedence serves jobs of the same precedence. Tasks whose image is on a machine
-// are placed first: when GPUs come free one at a time, each would otherwise go to the next
+// are placed first: when GPUs become free one at a time, each would otherwise go to the next
 // task in order, and spend as much time on fetching the image as on running the task.
 func (r *Round) placeSamePrecedence(jobs []*model.JobState) {
 	if r.mayReorder(jobs) {
@@ -164,9 +165,9 @@
 	return job.FinalStatus == "" && !job.EndPending && len(job.Waiting) > 0 && r.Now >= job.NotBefore
 }
 
-// placeJob places the tasks of a job that it can, on resources reserved for the job and on
-// others. Reserved resources that are not used stay reserved, except in a preempting round,
-// which decides anew.
+// placeJob places as many tasks of a job as it can, on resources reserved for the job and
+// on others. Reserved resources that are not used stay reserved, except in a preempting
+// round, which decides anew.
 func (r *Round) placeJob(job *model.JobState) {
 	if len(r.Reservations[job]) == 0 {
 		r.placeOrReserve(job)
@@ -186,8 +187,8 @@
 	r.bookReservationsOf(job)
 }
 
-// placeOrReserve places the tasks of a job that it can, and reserves or frees resources for
-// the others.
+// placeOrReserve places as many tasks of a job as it can, and reserves or frees resources
+// for the others.
 func (r *Round) placeOrReserve(job *model.JobState) {
 	if job.Kind == model.Gang && r.tasksWithinLimit(job, job.Tasks) < job.Tasks {
 		r.preemptWithinTeam(job)
@@ -220,7 +221,7 @@
 }
 
 // freeResources preempts others for a job that found no machines. For a gang that can't
-// preempt, it reserves the machines that come free next.
+// preempt, it reserves the machines that become free next.
 func (r *Round) freeResources(job *model.JobState) {
 	reserved := false
 	if r.mayPreempt(job) {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -64,7 +64,7 @@
 	for _, c := range []struct {
 		name    string
 		late    bool // the job is late if a task is lost
-		surplus bool // the ordinary machine is surplus
+		surplus bool // the on-demand machine is surplus
 		full    bool // the spot machine is full
 		waited  model.Micros
 		want    string
@@ -72,7 +72,7 @@
 		{name: "a job with time to spare", want: "spot"},
 		{name: "a job that a lost task makes late", late: true, want: "ordinary"},
 		{name: "the spot machine is full", full: true, want: "ordinary"},
-		{name: "the ordinary machine is surplus", late: true, surplus: true, want: "spot"},
+		{name: "the on-demand machine is surplus", late: true, surplus: true, want: "spot"},
 		{name: "the same, and the spot machine is full", late: true, surplus: true, full: true, want: ""},
 		{name: "the same, and the job has waited long", late: true, surplus: true, full: true, waited: surplusAllowedAfter, want: "ordinary"},
 	} {
--- a/internal/core/placement/victims.go
+++ b/internal/core/placement/victims.go
@@ -6,7 +6,7 @@
 	// placementCostDivisor scales the cost of a machine so that it can be compared with the
 	// work that is lost by preemption.
 	placementCostDivisor = 4
-	// minIdleGPUTime is the minimum time for which GPUs count as idle beside a task.
+	// minIdleGPUTime is the minimum time for which a task counts as leaving GPUs idle.
 	minIdleGPUTime = 10 * model.Second
 	// costUnknown marks a cost that has not been computed yet.
 	costUnknown = model.Micros(-1)
@@ -88,8 +88,8 @@
 	preemptedSlots int
 	// placementCost is the cost of the machine for a task, costUnknown until it is needed.
 	placementCost model.Micros
-	// coresTaken are the cores of the found slots, and gpusIdled the GPUs that would be idle
-	// beside them.
+	// coresTaken are the cores of the found slots, and gpusIdled the GPUs that they
+	// would leave idle.
 	coresTaken, gpusIdled model.Milli
 }
 
--- a/internal/core/shard/bindings.go
+++ b/internal/core/shard/bindings.go
@@ -201,7 +201,7 @@
 	for _, job := range s.Jobs {
 		s.checkGang(job, now)
 	}
-	// Jobs become late through the passing of time, without any other event.
+	// Jobs become late as time passes, without any other event.
 	s.NeedsPlacement = true
 }
 
--- a/internal/core/shard/dense_test.go
+++ b/internal/core/shard/dense_test.go
@@ -75,7 +75,7 @@
 }
 
 // Input that is not a complete dense bundle is rejected, and decoding of arbitrary
-// changes of a bundle neither panics nor runs for ever.
+// changes of a bundle neither panics nor runs forever.
 func TestDenseDecodingOfMalformedInput(t *testing.T) {
 	bundle := BundleRecord{Dense: true, Machines: map[string]*MachineRecord{"h1": {MachineType: "box", Zone: "a", Tasks: map[string][][2]uint64{"j-1": {{3, 70}}}}, "h2": nil},
 		Done: map[string][]byte{"j-1": {7}}}
--- a/internal/core/shard/failures.go
+++ b/internal/core/shard/failures.go
@@ -56,15 +56,16 @@
 	provenFailureThreshold = 2
 	// unprovenFailureThreshold is the number of failures of jobs that have not run
 	// anywhere yet after which a machine is quarantined, as long as nothing else runs on
-	// it. Such a job may not fit on other machines, and would fail on this one for ever.
+	// it. Such a job may not fit on other machines, and would fail on this one forever.
 	// It gets only one machine quarantined.
 	unprovenFailureThreshold = 3
 )
 
 // quarantineIfFaulty quarantines a machine if the failures on it are attributed to the
 // machine. Failures of jobs that are known to run have more weight: the first tasks of
-// new jobs with a mistake often fail on the same machines at once, which proves nothing.
-// This is checked with every heartbeat, because the jobs may have run elsewhere since.
+// new jobs with a mistake often fail on the same machines at the same time, which proves
+// nothing. This is checked with every heartbeat, because the jobs may have run elsewhere
+// since.
 func (s *State) quarantineIfFaulty(machine *model.Machine, now model.Micros) {
 	if machine.Quarantined || len(machine.ConsecutiveFailures) < provenFailureThreshold {
 		return
--- a/internal/core/shard/heartbeats_test.go
+++ b/internal/core/shard/heartbeats_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// A worker is told to clear a finished task only once its completion is durable, and a
-// job is done only once its end is durable.
+// A worker gets the command to clear a finished task only once the completion is durable,
+// and a job is done only once its end is durable.
 func TestCompletionDurableBeforeClear(t *testing.T) {
 	s := newTestState(5)
 	job := s.AddJob(newJob("j-1", 2, model.Array), model.TaskSet{}, "", 0, 0)
@@ -78,8 +78,8 @@
 	}
 }
 
-// failBoundTasks sends the heartbeats of a worker that comes up, is told to start the
-// tasks bound to its machine, and reports all of them as failed.
+// failBoundTasks sends the heartbeats of a worker that comes up, gets the command to start
+// the tasks bound to its machine, and reports all of them as failed.
 func failBoundTasks(s *State, w *worker, now model.Micros) {
 	w.sendHeartbeat(now, 5)
 	commitAll(s, now)
@@ -129,7 +129,7 @@
 }
 
 // A machine on which all tasks fail is quarantined even if they belong to a single job
-// that fits on no other machine: otherwise that job would fail there for ever. The job
+// that fits on no other machine: otherwise that job would fail there forever. The job
 // gets only one machine quarantined, not every machine on which it fails.
 func TestFailingJobQuarantinesOnlyOneMachine(t *testing.T) {
 	s := newTestState(5)
--- a/internal/core/shard/placement_test.go
+++ b/internal/core/shard/placement_test.go
@@ -186,7 +186,7 @@
 // Jobs count as starved early enough that all of them start within four minutes at the
 // rate at which tasks of their class start. A job with finished tasks has started, even
 // for a new owner that has seen none of them run. But a started job of which no task has
-// been bound for as long also counts as starved, so that it does not wait for ever.
+// been bound for as long also counts as starved, so that it does not wait forever.
 func TestStarvationDependsOnStartRateOfClass(t *testing.T) {
 	s := newTestState(5)
 	now := 200 * sec
@@ -232,7 +232,7 @@
 
 // Of the starved jobs, the oldest goes first. In the order of the other jobs, those that
 // can still meet an objective would go before those that can't, and in a long overload the
-// oldest job would wait for ever.
+// oldest job would wait forever.
 func TestOldestStarvedJobGoesFirst(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"c": {30 * sec, 150 * sec}}
--- a/internal/core/shard/runtimes.go
+++ b/internal/core/shard/runtimes.go
@@ -24,7 +24,8 @@
 
 // ExpectedRunTime returns the expected run time of a task of the job: the mean of the
 // estimate given with the job and the average of the class. Until three tasks of the
-// class have completed, it returns the estimate alone.
+// class have completed, it returns the estimate alone, and for a job without an estimate
+// after that, the average alone.
 func (s *State) ExpectedRunTime(job *model.Job) model.Micros {
 	stats := s.runTimes[job.Class]
 	if stats == nil || stats.count < 3 {
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -85,7 +85,7 @@
 	queue               []string        // entries to be written, in order
 	queued              map[string]bool // the entries in queue, as a set
 	pendingEnds         []string        // jobs whose end is to be written
-	unansweredWrites    []Write         // bundle writes without an answer, which may still take effect
+	unansweredWrites    []Write         // bundle writes without a response, which may still take effect
 	slots               []*bundleSlot
 	latestSlot          map[string]int // entry -> the slot with its latest durable version
 	copies              map[string]int // entry -> the number of slots that hold any version of it
--- a/internal/core/shard/writes_test.go
+++ b/internal/core/shard/writes_test.go
@@ -11,7 +11,7 @@
 	"woadweir/internal/core/model"
 )
 
-// The write of a bundle that got no answer may still take effect. The bundle is written
+// The write of a bundle that got no response may still take effect. The bundle is written
 // again before any other, so that the condition on its revision makes the late copy fail,
 // and its entries become durable.
 func TestUnansweredBundleIsWrittenAgainFirst(t *testing.T) {
--- a/internal/spill/messages.go
+++ b/internal/spill/messages.go
@@ -17,7 +17,8 @@
 	ErrUnreachable = errors.New("cell: no answer")
 )
 
-// Offer asks a neighbour to run a job of the home cell.
+// Offer asks a neighbour to run a job of the home cell. It has nothing to do with an
+// autoscaler.Offer, a kind of machine that can be rented.
 type Offer struct {
 	Home string
 	// Token is the fencing token of the lending. With 0 the offer only asks whether the job
