--- a/internal/core/autoscaler/drain.go
+++ b/internal/core/autoscaler/drain.go
@@ -17,8 +17,8 @@
 	drainUsageDivisor = 2                 // at most 1/drainUsageDivisor of a drained machine is used
 )
 
-// drain chooses a machine that is mostly unused and whose replicas all fit, beside the
-// placeholders, on other machines that have their images.
+// drain chooses a machine that is mostly unused and whose replicas all fit on other
+// machines that have their images, in addition to the placeholders there.
 func (p *Provisioner) drain(in *Input, candidates []*candidateMachine) []*model.Machine {
 	if in.Now-p.lastDrain < drainInterval {
 		return nil
@@ -65,24 +65,23 @@
 }
 
 // fitsElsewhere reports whether all replicas of a machine fit on other machines of its
-// zone that have the images, and its placeholders on any machines. If so, it takes that
-// room.
+// zone that have the images, and its placeholders on any machines. If so, it assigns
+// them there.
 func (p *Provisioner) fitsElsewhere(drained *candidateMachine, candidates []*candidateMachine) bool {
 	others := slices.DeleteFunc(slices.Clone(candidates), func(other *candidateMachine) bool {
 		return other == drained || other.surplus || other.offer.Spot || !other.machine.Up || len(other.machine.Bindings) <= len(drained.machine.Bindings)
 	})
 	spare := saveSpare(others)
-	if !takeRoomForReplicas(drained, others) || len(p.placePlaceholders(drained.placeholders, others)) > 0 {
+	if !assignReplicas(drained, others) || len(p.placePlaceholders(drained.placeholders, others)) > 0 {
 		restoreSpare(others, spare)
 		return false
 	}
 	return true
 }
 
-// takeRoomForReplicas takes room for each replica of a machine on another machine of its
-// zone that has the replica's image. It stops and returns false at the first replica that
-// fits nowhere.
-func takeRoomForReplicas(drained *candidateMachine, others []*candidateMachine) bool {
+// assignReplicas assigns each replica of a machine to another machine of its zone that has
+// the replica's image. It stops and returns false at the first replica that fits nowhere.
+func assignReplicas(drained *candidateMachine, others []*candidateMachine) bool {
 	for _, binding := range drained.machine.Bindings {
 		job := binding.Job
 		i := slices.IndexFunc(others, func(other *candidateMachine) bool {
--- a/internal/core/autoscaler/zones.go
+++ b/internal/core/autoscaler/zones.go
@@ -6,8 +6,8 @@
 )
 
 // zoneLimits tracks how many of a job's waiting tasks its zone rules still allow in each
-// zone. Room in a zone that the tasks may not use must not count as room for them:
-// nothing would be rented in the zones that they may use, and they would wait for ever.
+// zone. Capacity in a zone that the tasks may not use must not count for them:
+// nothing would be rented in the zones that they may use, and they would wait indefinitely.
 type zoneLimits struct {
 	job        *model.JobState
 	leftByZone map[string]int // further tasks allowed, for the zones looked at so far
@@ -26,14 +26,14 @@
 // applies reports whether the job has zone rules.
 func (z *zoneLimits) applies() bool { return z.job.SameZone || z.job.Spread }
 
-// roomIn returns how many more tasks may be placed in a zone.
-func (z *zoneLimits) roomIn(zone string) int {
+// allowedIn returns how many more tasks may be placed in a zone.
+func (z *zoneLimits) allowedIn(zone string) int {
 	if z.chosenZone != "" && zone != z.chosenZone {
 		return 0
 	}
 	n, ok := z.leftByZone[zone]
 	if !ok {
-		n = placement.ZoneRoom(z.job, zone)
+		n = placement.AllowedInZone(z.job, zone)
 		z.leftByZone[zone] = n
 	}
 	return n
@@ -45,13 +45,13 @@
 	if !z.job.Allows(offer.MachineType, offer.Zone, offer.Spot) || candidate.machine != nil && !suitsJob(z.job, candidate) {
 		return 0
 	}
-	room := candidate.freeForOnDemand
+	free := candidate.freeForOnDemand
 	if z.spotTolerant {
-		room = candidate.free
+		free = candidate.free
 	}
-	fits := z.job.Request.FitCount(room, n)
+	fits := z.job.Request.FitCount(free, n)
 	if fits > 0 && z.applies() {
-		fits = min(fits, z.roomIn(offer.Zone))
+		fits = min(fits, z.allowedIn(offer.Zone))
 	}
 	return fits
 }
@@ -70,28 +70,28 @@
 
 // allows reports whether a machine of that kind may be rented for the job.
 func (z *zoneLimits) allows(machineType, zone string, spot bool) bool {
-	return z.job.Allows(machineType, zone, spot) && (!z.applies() || z.roomIn(zone) > 0)
+	return z.job.Allows(machineType, zone, spot) && (!z.applies() || z.allowedIn(zone) > 0)
 }
 
-// chooseZone chooses the zone with the most room for tasks that have to be in the same
+// chooseZone chooses the zone with the most capacity for tasks that have to be in the same
 // zone.
 func (z *zoneLimits) chooseZone(candidates []*candidateMachine, demand Demand) {
 	if len(z.job.Bindings) > 0 {
 		return // the zone of the job's bound tasks is given
 	}
-	room := map[string]int{}
+	fitting := map[string]int{}
 	for _, candidate := range candidates {
-		room[candidate.offer.Zone] += z.fittingTasks(candidate, demand.Count)
+		fitting[candidate.offer.Zone] += z.fittingTasks(candidate, demand.Count)
 	}
 	best := 0
-	for zone, tasks := range room {
+	for zone, tasks := range fitting {
 		if tasks > best || tasks == best && tasks > 0 && zone < z.chosenZone {
 			z.chosenZone, best = zone, tasks
 		}
 	}
 }
 
-// excludeChosenZone gives up the chosen zone, so that all tasks are placed in another one.
+// excludeChosenZone excludes the chosen zone, so that all tasks are placed in another one.
 func (z *zoneLimits) excludeChosenZone() { z.leftByZone[z.chosenZone], z.chosenZone = 0, "" }
 
 // isZoneExhausted reports whether nothing can be rented at present in the zone chosen for
--- a/internal/core/model/machine.go
+++ b/internal/core/model/machine.go
@@ -23,27 +23,30 @@
 	Stored         bool   // the state service has a record of the machine
 
 	// State derived from the worker's heartbeats.
-	Up             bool   // a heartbeat has shown that the worker knows the leader's fencing token
-	Incarnation    uint64 // of the worker; counts the expiries of its lease
-	Sequence       uint64 // of the newest heartbeat of that incarnation
-	Token          uint64 // highest fencing token that the worker has reported
-	LastHeartbeat  Micros // when the newest heartbeat was applied
-	LastAnswer     Micros // latest time at which a leader may have renewed the worker's lease
-	HasNewCapacity bool   // the newest heartbeat freed resources or showed that the machine is up
-	// ReceivesAnswers is set if the newest heartbeat showed that the response to the one
+	Up            bool   // a heartbeat has shown that the worker knows the leader's fencing token
+	Incarnation   uint64 // of the worker; counts the expiries of its lease
+	Sequence      uint64 // of the newest heartbeat of that incarnation
+	Token         uint64 // highest fencing token that the worker has reported
+	LastHeartbeat Micros // when the newest heartbeat was applied
+	LastResponse  Micros // latest time at which a leader may have renewed the worker's lease
+	// HasNewCapacity is set when a binding is removed from the machine, and when a heartbeat
+	// shows that the machine is up or that responses reach it again. It is cleared by a
+	// heartbeat that does not show that the last response was received.
+	HasNewCapacity bool
+	// ReceivesResponses is set if the newest heartbeat showed that the response to the one
 	// before it had arrived.
-	ReceivesAnswers bool
-	UnansweredSince Micros // since when the worker has sent heartbeats without receiving responses, 0 if it receives them
-	Lost            bool   // the worker's lease has certainly expired, and no heartbeat has arrived since
-	SpotNotice      bool   // the cloud has announced that it will reclaim the machine
-	ReclaimedAt     Micros // when the cloud will reclaim the machine
+	ReceivesResponses bool
+	NoResponseSince   Micros // since when the worker has sent heartbeats without receiving responses, 0 if it receives them
+	Lost              bool   // the worker's lease has certainly expired, and no heartbeat has arrived since
+	SpotNotice        bool   // the cloud has announced that it will reclaim the machine
+	ReclaimedAt       Micros // when the cloud will reclaim the machine
 
 	// State derived from the cloud's answers.
 	Listed bool // the machine has been in a machine list
 	Failed bool // the cloud reports that the machine stopped by itself
 
 	// Decisions of the leader.
-	// Surplus is set if no work that requires an ordinary machine needs this one. It is to
+	// Surplus is set if no work that requires an on-demand machine needs this one. It is to
 	// become empty, so work that may use spot machines is not placed there.
 	Surplus     bool
 	Draining    bool   // no new work; released once empty
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -8,13 +8,13 @@
 
 // testEstimator returns such a long MaxWait that no job preempts others.
 type testEstimator struct {
-	dueAt map[string]model.Micros // by job; 0 for jobs without an entry
+	orderKeys map[string]model.Micros // by job; 0 for jobs without an entry
 }
 
-func (e testEstimator) DueAt(job *model.JobState) model.Micros { return e.dueAt[job.ID] }
-func (e testEstimator) MaxWait(*model.JobState) model.Micros   { return 1000 * 3600 * model.Second }
-func (e testEstimator) StartRate(string) float64               { return 1 }
-func (e testEstimator) Remaining(*model.Binding) model.Micros  { return 0 }
+func (e testEstimator) OrderKey(job *model.JobState) model.Micros { return e.orderKeys[job.ID] }
+func (e testEstimator) MaxWait(*model.JobState) model.Micros      { return 1000 * 3600 * model.Second }
+func (e testEstimator) StartRate(string) float64                  { return 1 }
+func (e testEstimator) Remaining(*model.Binding) model.Micros     { return 0 }
 
 // testExecutor records the machine to which a task was last bound. It supports jobs with a
 // single task.
@@ -44,7 +44,7 @@
 	round := &Round{
 		Now:          model.Second,
 		Jobs:         []*model.JobState{preempting, older, higher},
-		Estimates:    testEstimator{dueAt: map[string]model.Micros{preempting.ID: LateDueAt}},
+		Estimates:    testEstimator{orderKeys: map[string]model.Micros{preempting.ID: LateOrderKey}},
 		Reservations: map[*model.JobState][]Reservation{preempting: {{Preempted: true}}, older: {{}}},
 	}
 	for _, want := range []string{"j-3 j-2 j-1", "j-3 j-1 j-2"} {
@@ -64,7 +64,7 @@
 	for _, c := range []struct {
 		name    string
 		late    bool // the job is late if a task is lost
-		surplus bool // the ordinary machine is surplus
+		surplus bool // the on-demand machine is surplus
 		full    bool // the spot machine is full
 		waited  model.Micros
 		want    string
@@ -72,12 +72,12 @@
 		{name: "a job with time to spare", want: "spot"},
 		{name: "a job that a lost task makes late", late: true, want: "ordinary"},
 		{name: "the spot machine is full", full: true, want: "ordinary"},
-		{name: "the ordinary machine is surplus", late: true, surplus: true, want: "spot"},
+		{name: "the on-demand machine is surplus", late: true, surplus: true, want: "spot"},
 		{name: "the same, and the spot machine is full", late: true, surplus: true, full: true, want: ""},
 		{name: "the same, and the job has waited long", late: true, surplus: true, full: true, waited: surplusAllowedAfter, want: "ordinary"},
 	} {
-		ordinary, spot := testMachine("ordinary", false), testMachine("spot", true)
-		ordinary.Cache, ordinary.Surplus = []string{"i"}, c.surplus
+		onDemand, spot := testMachine("ordinary", false), testMachine("spot", true)
+		onDemand.Cache, onDemand.Surplus = []string{"i"}, c.surplus
 		if c.full {
 			spot.Used = spot.Size
 		}
@@ -85,19 +85,19 @@
 		job.LateIfTaskLost = c.late
 		job.ReadySince -= c.waited
 		executor := &testExecutor{}
-		testRound(job, executor, ordinary, spot).Run()
+		testRound(job, executor, onDemand, spot).Run()
 		if executor.boundTo != c.want {
 			t.Errorf("%s: bound to %q, want %q", c.name, executor.boundTo, c.want)
 		}
 	}
 }
 
-// testNow is the time of the rounds of testWorld.
+// testNow is the time of the rounds of testRound.
 const testNow = model.Micros(1000)
 
 // testMachine returns a machine that accepts tasks.
 func testMachine(id string, spot bool) *model.Machine {
-	return &model.Machine{ID: id, MachineType: "box", Zone: "a", Spot: spot, Size: model.Resources{Cores: 8000}, Up: true, ReceivesAnswers: true}
+	return &model.Machine{ID: id, MachineType: "box", Zone: "a", Spot: spot, Size: model.Resources{Cores: 8000}, Up: true, ReceivesResponses: true}
 }
 
 // flexibleJob returns a new job with one task that may use spot machines.
--- a/internal/core/shard/heartbeats_test.go
+++ b/internal/core/shard/heartbeats_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// A worker is told to clear a finished task only once its completion is durable, and a
-// job is done only once its end is durable.
+// A worker gets the command to clear a finished task only once the completion is durable,
+// and a job is done only once its end is durable.
 func TestCompletionDurableBeforeClear(t *testing.T) {
 	s := newTestState(5)
 	job := s.AddJob(newJob("j-1", 2, model.Array), model.TaskSet{}, "", 0, 0)
@@ -78,8 +78,8 @@
 	}
 }
 
-// failBoundTasks sends the heartbeats of a worker that comes up, is told to start the
-// tasks bound to its machine, and reports all of them as failed.
+// failBoundTasks sends the heartbeats of a worker that comes up, gets the command to start
+// the tasks bound to its machine, and reports all of them as failed.
 func failBoundTasks(s *State, w *worker, now model.Micros) {
 	w.sendHeartbeat(now, 5)
 	commitAll(s, now)
@@ -129,7 +129,7 @@
 }
 
 // A machine on which all tasks fail is quarantined even if they belong to a single job
-// that fits on no other machine: otherwise that job would fail there for ever. The job
+// that fits on no other machine: otherwise that job would fail there forever. The job
 // gets only one machine quarantined, not every machine on which it fails.
 func TestFailingJobQuarantinesOnlyOneMachine(t *testing.T) {
 	s := newTestState(5)
@@ -288,7 +288,7 @@
 // each of two controllers, and one more second before the next. A fixed limit that suits
 // one heartbeat interval would, at another one, exclude half of the machines from a
 // placement round, or detect no lost response.
-func TestReceivesAnswersAtBothHeartbeatIntervals(t *testing.T) {
+func TestReceivesResponsesAtBothHeartbeatIntervals(t *testing.T) {
 	for _, interval := range []model.Micros{5 * sec / 2, 5 * sec} {
 		s := newTestState(5)
 		s.Params.HeartbeatInterval = interval
@@ -300,11 +300,11 @@
 			at += gap
 			heartbeat.Sequence, heartbeat.Token = uint64(i+1), 5
 			s.ApplyHeartbeat(&heartbeat, at)
-			if want := i == 1 || i == 2; machine.ReceivesAnswers != want {
-				t.Errorf("heartbeat interval %v, heartbeat after %v: got ReceivesAnswers %v", interval, gap, machine.ReceivesAnswers)
+			if want := i == 1 || i == 2; machine.ReceivesResponses != want {
+				t.Errorf("heartbeat interval %v, heartbeat after %v: got ReceivesResponses %v", interval, gap, machine.ReceivesResponses)
 			}
 		}
-		if stopTime := s.PlacementInput(at).StopTime; stopTime < interval || stopTime > 2*interval {
+		if stopTime := s.NewRound(at).StopTime; stopTime < interval || stopTime > 2*interval {
 			t.Errorf("heartbeat interval %v: got a stop time of %v, want one to two intervals", interval, stopTime)
 		}
 	}
--- a/internal/core/shard/placement_test.go
+++ b/internal/core/shard/placement_test.go
@@ -162,7 +162,7 @@
 	}
 	want := []*model.JobState{add("j-small", 2, 5*sec), add("j-large", 12, 20*sec), add("j-missed", 2, 40*sec), add("j-hopeless", 2, 160*sec)}
 	order := func() []*model.JobState {
-		round := s.PlacementInput(now)
+		round := s.NewRound(now)
 		round.Sort()
 		return slices.DeleteFunc(round.Jobs, func(job *model.JobState) bool { return len(job.Waiting) == 0 })
 	}
@@ -186,7 +186,7 @@
 // Jobs count as starved early enough that all of them start within four minutes at the
 // rate at which tasks of their class start. A job with finished tasks has started, even
 // for a new owner that has seen none of them run. But a started job of which no task has
-// been bound for as long also counts as starved, so that it does not wait for ever.
+// been bound for as long also counts as starved, so that it does not wait forever.
 func TestStarvationDependsOnStartRateOfClass(t *testing.T) {
 	s := newTestState(5)
 	now := 200 * sec
@@ -205,7 +205,7 @@
 	startedJob := s.AddJob(newJob("j-begun", 3, model.Array), done, "", now, 190*sec)
 	startedJob.IdleSince = 150 * sec
 	starved := func() (n int) {
-		s.PlacementInput(now).Sort()
+		s.NewRound(now).Sort()
 		for _, job := range waiting {
 			if job.Starved {
 				n++
@@ -232,14 +232,14 @@
 
 // Of the starved jobs, the oldest goes first. In the order of the other jobs, those that
 // can still meet an objective would go before those that can't, and in a long overload the
-// oldest job would wait for ever.
+// oldest job would wait forever.
 func TestOldestStarvedJobGoesFirst(t *testing.T) {
 	s := newTestState(5)
 	s.Params.StartObjectives = map[string][]model.Micros{"c": {30 * sec, 150 * sec}}
 	now := 300 * sec
 	s.AddJob(newJob("j-young", 2, model.Gang), model.TaskSet{}, "", now, 90*sec)
 	oldest := s.AddJob(newJob("j-old", 12, model.Gang), model.TaskSet{}, "", now, 200*sec)
-	round := s.PlacementInput(now)
+	round := s.NewRound(now)
 	round.Sort()
 	if !round.Jobs[1].Starved || round.Jobs[0] != oldest {
 		t.Errorf("got %s first, want j-old; starved: %v, %v, want both", round.Jobs[0].ID, round.Jobs[0].Starved, round.Jobs[1].Starved)
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -85,7 +85,7 @@
 	queue               []string        // entries to be written, in order
 	queued              map[string]bool // the entries in queue, as a set
 	pendingEnds         []string        // jobs whose end is to be written
-	unansweredWrites    []Write         // bundle writes without an answer, which may still take effect
+	unansweredWrites    []Write         // bundle writes without a response, which may still take effect
 	slots               []*bundleSlot
 	latestSlot          map[string]int // entry -> the slot with its latest durable version
 	copies              map[string]int // entry -> the number of slots that hold any version of it
@@ -130,14 +130,14 @@
 		return m
 	}
 	m := &model.Machine{
-		ID:          machineID,
-		MachineType: machineType,
-		Zone:        zone,
-		Spot:        spot,
-		Bindings:    map[model.TaskID]*model.Binding{},
-		LastAnswer:  now,
-		RentedAt:    now,
-		EmptySince:  now,
+		ID:           machineID,
+		MachineType:  machineType,
+		Zone:         zone,
+		Spot:         spot,
+		Bindings:     map[model.TaskID]*model.Binding{},
+		LastResponse: now,
+		RentedAt:     now,
+		EmptySince:   now,
 	}
 	if known := s.MachineTypes[machineType]; known != nil {
 		m.Size = known.Size()
