--- a/internal/controller/borrowing_renewals.go
+++ b/internal/controller/borrowing_renewals.go
@@ -110,5 +110,5 @@
 	}
 	s.applyExecutionLeases()
 	s.stepBorrowedJobs()
-	c.leading.provisioning.runSoon()
+	c.leading.provisioningSchedule.runSoon()
 }
--- a/internal/controller/duty_leases.go
+++ b/internal/controller/duty_leases.go
@@ -20,7 +20,7 @@
 // updateHeld updates which duties this controller holds, and logs which it has acquired,
 // and which it has lost and why.
 func (d *dutyManager) updateHeld(snapshot *duty.Snapshot) {
-	leader := d.controller.view.Leader
+	leaderRecord := d.controller.view.Leader
 	for _, name := range duty.Movable {
 		token, holds := snapshot.Holds(name)
 		previousToken := d.held[name]
@@ -34,7 +34,7 @@
 			d.vacancies.acquired(name, snapshot.Now)
 			slog.Info("duty acquired", "duty", name, "token", token, "previous", lease.Previous, "previous_token", lease.PreviousToken, "why", lease.Why)
 		}
-		d.vacancies.observe(name, lease.Token == 0 && leader != nil && leader.UsesIntents, snapshot.Now)
+		d.vacancies.observe(name, lease.Token == 0 && leaderRecord != nil && leaderRecord.UsesIntents, snapshot.Now)
 	}
 }
 
--- a/internal/controller/duty_manager.go
+++ b/internal/controller/duty_manager.go
@@ -87,7 +87,7 @@
 	if !c.lanes.isFree(laneDuty, c.now) || d.resync || snapshot.Session == 0 {
 		return
 	}
-	if l := c.view.Leader; l != nil && l.UsesIntents {
+	if leaderRecord := c.view.Leader; leaderRecord != nil && leaderRecord.UsesIntents {
 		if action, ok := d.planner.Decide(&snapshot); ok {
 			d.writeLease(action)
 			return
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -153,10 +153,10 @@
 // relay relays a heartbeat to the leader and returns its answer, or ours if the leader does
 // not answer.
 func (f *frontend) relay(ours workerAnswer, body []byte) workerAnswer {
-	if leader := f.findPeer(ours.relayTo); leader != nil {
+	if leaderClient := f.findPeer(ours.relayTo); leaderClient != nil {
 		ctx, cancel := context.WithTimeout(f.ctx, relayTimeout)
 		defer cancel()
-		if code, answer, err := leader.Report(ctx, body); err == nil {
+		if code, answer, err := leaderClient.Report(ctx, body); err == nil {
 			return workerAnswer{code: code, body: answer}
 		}
 	}
--- a/internal/controller/intent_results.go
+++ b/internal/controller/intent_results.go
@@ -76,7 +76,7 @@
 	delete(l.intents.rentals, rental.Request)
 	delete(l.inventory.pendingRentals, rental.Request)
 	l.intents.finishedAt[key] = l.controller.now
-	l.provisioning.runSoon()
+	l.provisioningSchedule.runSoon()
 	slog.Info("rental intent finished", "request", rental.Request, "state", rental.State, "type", rental.MachineType, "zone", rental.Zone, "spot", rental.Spot, "machines", rental.Machines)
 	if rental.State == duty.Refused || len(rental.Machines) < rental.Count {
 		l.offerRefused(offerOf(rental))
@@ -89,5 +89,5 @@
 	for _, machineID := range returnIntent.Machines {
 		l.machineDeleted(machineID)
 	}
-	l.provisioning.runSoon()
+	l.provisioningSchedule.runSoon()
 }
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -39,8 +39,8 @@
 // usesIntents reports whether this controller, as the leader, rents and returns machines
 // through intents. It then does not call the cloud for that as the leader.
 func (c *controller) usesIntents() bool {
-	l := c.view.Leader
-	return l != nil && l.Session == c.session && l.UsesIntents
+	leaderRecord := c.view.Leader
+	return leaderRecord != nil && leaderRecord.Session == c.session && leaderRecord.UsesIntents
 }
 
 // queueRental queues an intent to rent machines. Until its outcome is known, the machines
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -18,17 +18,17 @@
 	resync     bool   // a transaction failed: the view must be synchronized before the next one
 
 	// Scheduling.
-	shard            *shard.State // the scheduler
-	placement        placementRounds
-	pendingResponses []pendingResponse
-	lastSweepAt      model.Micros // when timeouts were last checked
-	spill            *spillManager
+	shard             *shard.State // the scheduler
+	placementSchedule placementSchedule
+	pendingResponses  []pendingResponse
+	lastSweepAt       model.Micros // when timeouts were last checked
+	spill             *spillManager
 
 	// Provisioning.
-	provisioner  *autoscaler.Provisioner
-	provisioning provisioningSchedule
-	recentSizes  recentTaskSizes
-	intents      intentLog
+	provisioner          *autoscaler.Provisioner
+	provisioningSchedule provisioningSchedule
+	recentSizes          recentTaskSizes
+	intents              intentLog
 
 	// The machines in the cloud, and whether the cloud answers.
 	inventory   machineInventory
@@ -141,7 +141,7 @@
 	age := model.Micros(max(0, l.controller.wallClockMs()-job.ReadyMs())) * model.Millisecond
 	l.shard.AddJob(job.Job(), l.controller.view.Done(jobID), job.End, l.controller.now, age)
 	l.spill.suspendIfLent(jobID)
-	l.provisioning.runSoon()
+	l.provisioningSchedule.runSoon()
 }
 
 // due reports whether periodic work is due, and if so, sets the time of its last run to
@@ -173,7 +173,7 @@
 	l.writeBindings()
 	l.answerPending(false)
 	l.pollCloud()
-	if l.provisioning.isDue(c.now) {
+	if l.provisioningSchedule.isDue(c.now) {
 		l.provision()
 	}
 }
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -86,7 +86,7 @@
 	s.release(jobID)
 	if job := l.shard.Jobs[jobID]; job != nil && job.HomeCell == "" {
 		l.shard.Resume(job)
-		l.provisioning.runSoon()
+		l.provisioningSchedule.runSoon()
 	}
 }
 
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -30,7 +30,7 @@
 	}
 	if l.ready {
 		l.shard.SetMachineTypes(m.machineTypes)
-		l.provisioning.runSoon()
+		l.provisioningSchedule.runSoon()
 	}
 }
 
--- a/internal/controller/placement_rounds.go
+++ b/internal/controller/placement_rounds.go
@@ -14,7 +14,7 @@
 )
 
 // placementRounds paces the leader's placement rounds by how long they take.
-type placementRounds struct {
+type placementSchedule struct {
 	lastAt             model.Micros
 	interval           model.Micros // until the next round
 	lastPreemptionAt   model.Micros
@@ -23,7 +23,7 @@
 
 // recordDuration sets the interval until the next round of the same kind from the duration
 // of a round. cores is the configured CPU quota; 0 counts as one core.
-func (p *placementRounds) recordDuration(duration model.Micros, preempted bool, cores float64) {
+func (p *placementSchedule) recordDuration(duration model.Micros, preempted bool, cores float64) {
 	if preempted {
 		p.preemptionInterval = min(intervalFor(duration, preemptionCPUShare, cores), maxPreemptionInterval)
 		return
@@ -43,13 +43,13 @@
 // place runs a placement round if one is due. On a large fleet, heartbeats arrive much
 // faster than rounds can be run, so one round serves many of them.
 func (l *leader) place() {
-	c, rounds := l.controller, &l.placement
-	if !l.shard.NeedsPlacement || !l.due(&rounds.lastAt, rounds.interval) {
+	c, schedule := l.controller, &l.placementSchedule
+	if !l.shard.NeedsPlacement || !l.due(&schedule.lastAt, schedule.interval) {
 		return
 	}
-	preempt := l.due(&rounds.lastPreemptionAt, rounds.preemptionInterval)
+	preempt := l.due(&schedule.lastPreemptionAt, schedule.preemptionInterval)
 	start := c.clock()
 	l.shard.Place(c.now, preempt)
-	rounds.recordDuration(c.clock()-start, preempt, c.settings.Params.Quota.Cores)
-	l.provisioning.runSoon()
+	schedule.recordDuration(c.clock()-start, preempt, c.settings.Params.Quota.Cores)
+	l.provisioningSchedule.runSoon()
 }
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -15,11 +15,11 @@
 // provision runs a round of the autoscaler and carries out its decisions.
 func (l *leader) provision() {
 	c := l.controller
-	l.provisioning.started(c.now, model.Seconds(float64(c.operator.LoopPeriodS)))
+	l.provisioningSchedule.started(c.now, model.Seconds(float64(c.operator.LoopPeriodS)))
 	if len(l.shard.MachineTypes) == 0 || l.inventory.listsReceived == 0 {
 		// Until the first machine list arrives, the fleet may look empty although machines
 		// are rented.
-		l.provisioning.runSoon()
+		l.provisioningSchedule.runSoon()
 		return
 	}
 	out := l.provisioner.Round(l.provisioningInput())
@@ -36,7 +36,7 @@
 		l.shard.Drain(machine, c.now)
 	}
 	if out.Unplaced > 0 {
-		l.provisioning.runSoon()
+		l.provisioningSchedule.runSoon()
 	}
 }
 
@@ -88,9 +88,9 @@
 // addWaitingWork adds the waiting tasks that may start within their teams' limits.
 func (l *leader) addWaitingWork(in *autoscaler.Input, round *placement.Round) {
 	now := l.controller.now
-	room := map[string]model.Resources{}
+	remaining := map[string]model.Resources{}
 	for _, team := range l.controller.teams {
-		room[team.Name] = team.Limit.Minus(round.Used[team.Name])
+		remaining[team.Name] = team.Limit.Minus(round.Used[team.Name])
 	}
 	for _, job := range round.Jobs {
 		l.recentSizes.record(job, now)
@@ -102,8 +102,8 @@
 		if len(job.Waiting) == 0 || now < job.NotBefore {
 			continue
 		}
-		count, need := startableTasks(job, room[job.Team])
-		room[job.Team] = room[job.Team].Minus(need.Times(count))
+		count, need := startableTasks(job, remaining[job.Team])
+		remaining[job.Team] = remaining[job.Team].Minus(need.Times(count))
 		if count > 0 {
 			in.Waiting = append(in.Waiting, autoscaler.Demand{Job: job, Count: count})
 		}
@@ -113,11 +113,11 @@
 // startableTasks returns how many of a job's waiting tasks may start within the room that
 // is left of its team's limit, and how much of that room each task takes. Memory is not
 // limited.
-func startableTasks(job *model.JobState, room model.Resources) (count int, need model.Resources) {
+func startableTasks(job *model.JobState, remaining model.Resources) (count int, need model.Resources) {
 	need = job.Request
 	need.Mem = 0
 	// For a job that fails on every machine, rent only for the task that is retried.
-	count = job.BindableTasks(need.FitCount(room, len(job.Waiting)))
+	count = job.BindableTasks(need.FitCount(remaining, len(job.Waiting)))
 	if job.Kind == model.Gang && count < len(job.Waiting) {
 		return 0, need
 	}
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -159,13 +159,13 @@
 // redirectToLeader returns a response that redirects a worker to the leader. It allows the
 // frontend to relay the heartbeat there instead.
 func (c *controller) redirectToLeader() workerAnswer {
-	leader := c.view.Leader
-	if leader == nil || leader.Node == c.settings.NodeName || !c.authority.IsViewFresh(c.now) {
+	leaderRecord := c.view.Leader
+	if leaderRecord == nil || leaderRecord.Node == c.settings.NodeName || !c.authority.IsViewFresh(c.now) {
 		return redirectTo("")
 	}
-	answer := redirectTo(leader.Node)
+	answer := redirectTo(leaderRecord.Node)
 	if c.now >= c.relay.retryAt {
-		answer.relayTo = leader.Node
+		answer.relayTo = leaderRecord.Node
 	}
 	return answer
 }
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -116,7 +116,7 @@
 	for _, machineID := range m.machineIDs {
 		l.machineDeleted(machineID)
 	}
-	l.provisioning.runSoon()
+	l.provisioningSchedule.runSoon()
 }
 
 // machineDeleted handles a deletion that the cloud has confirmed.
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -53,7 +53,7 @@
 		return
 	}
 	delete(l.inventory.pendingRentals, m.rental.RequestID)
-	l.provisioning.runSoon()
+	l.provisioningSchedule.runSoon()
 	if m.err != nil {
 		if !errors.Is(m.err, cloud.ErrNoCapacity) {
 			l.cloudHealth.failed(c.now)
