--- a/internal/controller/borrowing.go
+++ b/internal/controller/borrowing.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// borrowedJob returns the shard's job that a record stands for, nil if there is none or the
-// job of that ID has another home cell.
+// borrowedJob returns the shard's job for a borrowed job's record, nil if there is none or
+// the job of that ID has another home cell.
 func (s *spillManager) borrowedJob(key string) *model.JobState {
 	job := s.leader.shard.Jobs[borrowedJobID(key)]
 	if job == nil || job.HomeCell != s.borrowedJobs[key].Home {
@@ -168,8 +168,8 @@
 	return !reachable && borrowed.Permission(s.withholdTime(), s.leader.controller.now) == spill.Stopped
 }
 
-// writeReturn queues the write that returns a borrowed job. Once it is durable, no shard
-// holder of this cell starts a task of the job under this token.
+// writeReturn queues the write that returns a borrowed job. Once it is durable, no leader
+// of this cell starts a task of the job under this token.
 func (s *spillManager) writeReturn(key string) {
 	record := *s.leader.controller.view.BorrowedJobs[key]
 	record.State = spill.Returned
--- a/internal/controller/borrowing_offers.go
+++ b/internal/controller/borrowing_offers.go
@@ -88,7 +88,7 @@
 		return spill.CannotRun, "the workers do not know it"
 	}
 	if offer.Token != 0 {
-		return spill.NotRefused, "" // room was checked when the home cell asked with token 0
+		return spill.NotRefused, "" // capacity was checked when the home cell asked with token 0
 	}
 	if s.leader.shard.OwnWorkWaits(ownJobMaxWait, c.now) {
 		return spill.Busy, ""
@@ -119,8 +119,8 @@
 	return !gone || token != 0 && token < borrowed.Token
 }
 
-// canRun reports whether a job would start soon: on room beyond this cell's own headroom,
-// or on machines that the cloud may have.
+// canRun reports whether a job would start soon: on free capacity beyond this cell's own
+// headroom, or on machines that the cloud may have.
 func (s *spillManager) canRun(offer *spill.Offer, spec *model.Job) bool {
 	c := s.leader.controller
 	done := model.TaskSetFromBytes(offer.Done)
--- a/internal/controller/cells.go
+++ b/internal/controller/cells.go
@@ -130,7 +130,7 @@
 	return answered.answer, answered.err
 }
 
-// handleCellMessage handles a message from or about another cell. Only a shard holder whose
+// handleCellMessage handles a message from or about another cell. Only a leader whose
 // authority is valid answers other cells.
 func (c *controller) handleCellMessage(m any) {
 	l := c.leading
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -199,7 +199,7 @@
 	go func() {
 		if sibling == "" {
 			if err := e.state.RevokeLease(session, endSessionTimeout); err != nil {
-				slog.Info("could not end the own session after resigning", "err", err)
+				slog.Info("could not end this controller's session after resigning", "err", err)
 			}
 			return
 		}
@@ -216,7 +216,7 @@
 			continue
 		}
 		if err := client.Resign(ctx, session); err != nil {
-			slog.Info("could not end the own session through a sibling after resigning", "helper", sibling, "err", err)
+			slog.Info("could not end this controller's session through a sibling after resigning", "helper", sibling, "err", err)
 		}
 	}
 }
--- a/internal/controller/intent_outcomes.go
+++ b/internal/controller/intent_outcomes.go
@@ -82,8 +82,8 @@
 
 // maxIntentWrites returns how many intents, or outcomes of them, may be written now; last
 // is when some were last written. A few may be written even if bindings and users' writes
-// use up the whole budget, which then has to wait for them: intents are few, and tasks
-// that wait for machines wait for both.
+// use up the whole budget; the other writes then have to wait until it is refilled. There
+// are few intents, and tasks that wait for machines wait for intents and outcomes both.
 func (d *dutyManager) maxIntentWrites(last model.Micros) int {
 	c := d.controller
 	limit := c.writeBudget.Left(c.now)
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -60,8 +60,8 @@
 }
 
 // extendQueuedRental adds machines to a queued rental of the same kind that was not
-// written yet. It reports whether there is one. Otherwise requests would accumulate, one
-// each round, if the state service sustains only few writes.
+// written yet, and reports whether there is one. If each round queued a rental of its own,
+// they would accumulate while the state service sustains only few writes.
 func (l *leader) extendQueuedRental(rental autoscaler.Rental, count int) bool {
 	for _, draft := range l.intents.queue {
 		if draft.rental == nil || draft.slotKey != "" || !sameOffer(draft.rental, rental) || draft.rental.Count+count > duty.RentAtMost(l.controller.maxValueBytes()) {
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -91,8 +91,8 @@
 }
 
 // stepLentJobs offers lent jobs until the execution cell has sent a renewal, takes back
-// those of which provably nothing is left there, and removes the records of jobs that have
-// ended.
+// those of which it is proven that nothing is left there, and removes the records of jobs
+// that have ended.
 func (s *spillManager) stepLentJobs() {
 	c := s.leader.controller
 	for _, jobID := range sortedKeys(c.view.LentJobs) {
@@ -151,7 +151,8 @@
 }
 
 // shouldRecall reports whether a job that has not started in its execution cell is better
-// run here: this cell has room for it soon, or the execution cell is no longer a neighbour.
+// run here: this cell has room for it soon and none of its own jobs waits for long, or the
+// execution cell is no longer a neighbour.
 func (s *spillManager) shouldRecall(job *model.JobState, lent *spill.LentJob) bool {
 	if s.policy == nil || !s.policy.HasNeighbour(lent.Record.Cell) {
 		return true
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -48,8 +48,8 @@
 }
 
 // writeMachineTypes stores the machine types for all controllers, as many as fit into a
-// value: after an outage of the cloud, a controller that knows some of them can still
-// decide for most submissions whether they can run.
+// value: when the cloud has become unreachable, a controller that knows some of them can
+// still decide for most submissions whether they can run.
 func (l *leader) writeMachineTypes(machineTypes []model.MachineType) {
 	c := l.controller
 	record := state.MachineTypesRecord{MachineTypes: machineTypes}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -110,9 +110,8 @@
 	}
 }
 
-// startableTasks returns how many of a job's waiting tasks may start within the room that
-// is left of its team's limit, and how much of that room each task takes. Memory is not
-// limited.
+// startableTasks returns how many of a job's waiting tasks may start within what remains
+// of its team's limit, and how much of that each task uses. Memory is not limited.
 func startableTasks(job *model.JobState, remaining model.Resources) (count int, need model.Resources) {
 	need = job.Request
 	need.Mem = 0
--- a/internal/controller/spill.go
+++ b/internal/controller/spill.go
@@ -69,7 +69,7 @@
 }
 
 // takeOver restores lent and borrowed jobs from the records, before this cell's own jobs
-// are added and bindings are restored. Execution leases that earlier holders granted or
+// are added and bindings are restored. Execution leases that earlier leaders granted or
 // were granted ended with their authority.
 func (s *spillManager) takeOver() {
 	view := s.leader.controller.view
@@ -88,7 +88,7 @@
 }
 
 // suspendRestored stops tasks that a takeover has restored of jobs that are lent to other
-// cells: the previous holder had proof that these were gone before it lent the jobs.
+// cells: the previous leader had proof that these were gone before it lent the jobs.
 func (s *spillManager) suspendRestored() {
 	for jobID := range s.lentJobs {
 		if job := s.leader.shard.Jobs[jobID]; job != nil {
--- a/internal/controller/state_limits.go
+++ b/internal/controller/state_limits.go
@@ -11,7 +11,7 @@
 	// denseBelowBytes is a threshold for the maximum size of a value. Below it, bundles are
 	// written in the dense layout; from it on, the plain layout is compact enough.
 	denseBelowBytes = 8 << 10
-	// valueBytesPerKB is less than 1024, which leaves a margin to the limit on values.
+	// valueBytesPerKB is how many bytes of a value are used per KB of the limit on values.
 	valueBytesPerKB = 960
 )
 
--- a/internal/controller/user_writes.go
+++ b/internal/controller/user_writes.go
@@ -229,7 +229,8 @@
 }
 
 // resolveConflict answers a write whose job was changed by another write first, or queues
-// it again if that change does not determine the answer.
+// it again if that change does not determine the answer. synced reports whether the read
+// barrier succeeded.
 func (c *controller) resolveConflict(write userWrite, synced bool) {
 	status, _, _, known := c.view.Status(write.jobID)
 	_, ended := c.view.EffectiveEnd(write.jobID)
