--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -12,7 +12,7 @@
 // recallPeriod is how often this cell looks for a lent job that it has room for again.
 const recallPeriod = model.Second
 
-// maxJobsSearched limits for how many jobs one search looks for room.
+// maxJobsSearched is the maximum number of jobs for which one search looks for room.
 const maxJobsSearched = 8
 
 // suspendReasonLent is the logged reason for suspending a lent job in its home cell.
--- a/internal/controller/placement_rounds.go
+++ b/internal/controller/placement_rounds.go
@@ -13,7 +13,7 @@
 	preemptionCPUShare    = 0.1
 )
 
-// placementRounds paces the leader's placement rounds by how long they take.
+// placementSchedule paces the leader's placement rounds by how long they take.
 type placementSchedule struct {
 	lastAt             model.Micros
 	interval           model.Micros // until the next round
