--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -39,8 +39,8 @@
 // usesIntents reports whether this controller, as the leader, rents and returns machines
 // through intents. It then does not call the cloud for that as the leader.
 func (c *controller) usesIntents() bool {
-	l := c.view.Leader
-	return l != nil && l.Session == c.session && l.UsesIntents
+	leaderRecord := c.view.Leader
+	return leaderRecord != nil && leaderRecord.Session == c.session && leaderRecord.UsesIntents
 }
 
 // queueRental queues an intent to rent machines. Until its outcome is known, the machines
@@ -60,8 +60,8 @@
 }
 
 // extendQueuedRental adds machines to a queued rental of the same kind that was not
-// written yet. It reports whether there is one. Otherwise requests would accumulate, one
-// each round, if the state service sustains only few writes.
+// written yet, and reports whether there is one. If each round queued a rental of its own,
+// they would accumulate while the state service sustains only few writes.
 func (l *leader) extendQueuedRental(rental autoscaler.Rental, count int) bool {
 	for _, draft := range l.intents.queue {
 		if draft.rental == nil || draft.slotKey != "" || !sameOffer(draft.rental, rental) || draft.rental.Count+count > duty.RentAtMost(l.controller.maxValueBytes()) {
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -12,7 +12,7 @@
 // recallPeriod is how often this cell looks for a lent job that it has room for again.
 const recallPeriod = model.Second
 
-// maxJobsSearched limits for how many jobs one search looks for room.
+// maxJobsSearched is the maximum number of jobs for which one search looks for room.
 const maxJobsSearched = 8
 
 // suspendReasonLent is the logged reason for suspending a lent job in its home cell.
@@ -86,13 +86,13 @@
 	s.release(jobID)
 	if job := l.shard.Jobs[jobID]; job != nil && job.HomeCell == "" {
 		l.shard.Resume(job)
-		l.provisioning.runSoon()
+		l.provisioningSchedule.runSoon()
 	}
 }
 
 // stepLentJobs offers lent jobs until the execution cell has sent a renewal, takes back
-// those of which provably nothing is left there, and removes the records of jobs that have
-// ended.
+// those of which it is proven that nothing is left there, and removes the records of jobs
+// that have ended.
 func (s *spillManager) stepLentJobs() {
 	c := s.leader.controller
 	for _, jobID := range sortedKeys(c.view.LentJobs) {
@@ -151,7 +151,8 @@
 }
 
 // shouldRecall reports whether a job that has not started in its execution cell is better
-// run here: this cell has room for it soon, or the execution cell is no longer a neighbour.
+// run here: this cell has room for it soon and none of its own jobs waits for long, or the
+// execution cell is no longer a neighbour.
 func (s *spillManager) shouldRecall(job *model.JobState, lent *spill.LentJob) bool {
 	if s.policy == nil || !s.policy.HasNeighbour(lent.Record.Cell) {
 		return true
