--- a/internal/spill/model_test.go
+++ b/internal/spill/model_test.go
@@ -114,7 +114,8 @@
 }
 
 // actions returns the events that may happen at any moment. The empty name is rapid's invariant
-// check.
+// check. The alphabetical order of the names matters: rapid draws from the sorted names, so that
+// another order changes the schedules of a seed.
 func (m *lendingModel) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"": func(*rapid.T) { m.checkInvariants() },
@@ -125,7 +126,7 @@
 		"home syncs":       func(*rapid.T) { m.syncedAt = m.now },
 		"home offers":      func(*rapid.T) { m.offers = append(m.offers, m.record.Token) },
 		"offer arrives":    func(*rapid.T) { m.receiveOffer() },
-		"lending succeeds": func(*rapid.T) { // without it, the job is never run in most schedules
+		"all steps succeed": func(*rapid.T) { // without it, the job is never run in most schedules
 			m.syncedAt = m.now
 			m.offers = append(m.offers, m.record.Token)
 			m.receiveOffer()
@@ -134,28 +135,28 @@
 			m.receiveAnswer()
 			m.advance(model.Second / 2)
 		},
-		"execution cell renews": func(*rapid.T) { // based on what the home cell knows
+		"renewal succeeds": func(*rapid.T) { // based on what the home cell knows
 			m.sendRenewal()
 			m.answerRenewal()
 			m.receiveAnswer()
 		},
-		"renewal is sent":      func(*rapid.T) { m.sendRenewal() },
-		"home answers renewal": func(*rapid.T) { m.answerRenewal() },
-		"answer arrives":       func(*rapid.T) { m.receiveAnswer() },
-		"home holder steps":    func(*rapid.T) { m.stepHome() },
+		"execution cell sends renewal": func(*rapid.T) { m.sendRenewal() },
+		"home answers renewal":         func(*rapid.T) { m.answerRenewal() },
+		"answer arrives":               func(*rapid.T) { m.receiveAnswer() },
+		"home's holder steps":          func(*rapid.T) { m.stepHome() },
 		"home takes back": func(*rapid.T) {
 			m.syncedAt = m.now
 			m.stepHome()
 		},
-		"home commits":         func(*rapid.T) { m.commitHome() },
-		"execution cell steps": func(*rapid.T) { m.stepExecutionCell() },
+		"home commits":                  func(*rapid.T) { m.commitHome() },
+		"execution cell's holder steps": func(*rapid.T) { m.stepExecutionCell() },
 		"home recalls": func(*rapid.T) {
 			if m.lent != nil {
 				m.lent.Recall(m.now)
 			}
 		},
-		"home holder ends": func(*rapid.T) { m.lent, m.takingBack = nil, false },
-		"home holder takes over": func(*rapid.T) {
+		"home's holder ends": func(*rapid.T) { m.lent, m.takingBack = nil, false },
+		"home takes over": func(*rapid.T) {
 			if m.lent == nil && m.record.State == Lent {
 				m.lent, m.syncedAt = RestoreLentJob(m.record, m.now), m.now
 			}
@@ -165,8 +166,8 @@
 				m.borrowed = NewBorrowedJob(m.inRecord, m.now)
 			}
 		},
-		"worker connection changes": func(*rapid.T) { m.workerReachable = !m.workerReachable },
-		"job is cancelled": func(*rapid.T) {
+		"the worker's connection changes": func(*rapid.T) { m.workerReachable = !m.workerReachable },
+		"cancellation": func(*rapid.T) {
 			if m.cancelledAt == 0 && rapid.IntRange(0, 3).Draw(m.t, "one in four") == 0 {
 				m.cancelledAt = m.now
 			}
