--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -35,10 +35,17 @@
 	return r.includesLow || r.value != r.low
 }
 
+func (r *fieldRange) outOfRangeReason() string {
+	if r.includesLow {
+		return fmt.Sprintf("%v is not between %v and %v", r.value, r.low, r.high)
+	}
+	return fmt.Sprintf("%v is not greater than %v and at most %v", r.value, r.low, r.high)
+}
+
 func checkRanges(ranges []fieldRange) error {
 	for _, r := range ranges {
 		if !r.contains() {
-			return &FieldError{r.field, fmt.Sprintf("%v is not between %v and %v", r.value, r.low, r.high)}
+			return &FieldError{r.field, r.outOfRangeReason()}
 		}
 	}
 	return nil
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -125,10 +125,15 @@
 }
 
 func TestFieldErrors(t *testing.T) {
-	_, err := Parse([]byte(strings.Replace(validSettings, "txn_ops = 24", "txn_ops = 1", 1)))
-	var fieldError *FieldError
-	if want := (FieldError{"params.state.txn_ops", "1 is not between 2 and 1e+06"}); !errors.As(err, &fieldError) || *fieldError != want {
-		t.Errorf("error %v, want %v", err, &want)
+	for replacement, want := range map[[2]string]FieldError{
+		{"txn_ops = 24", "txn_ops = 1"}:     {"params.state.txn_ops", "1 is not between 2 and 1e+06"},
+		{"lease_s = 18.0", "lease_s = 0.0"}: {"params.workers.lease_s", "0 is not greater than 0 and at most 86400"},
+	} {
+		_, err := Parse([]byte(strings.Replace(validSettings, replacement[0], replacement[1], 1)))
+		var fieldError *FieldError
+		if !errors.As(err, &fieldError) || *fieldError != want {
+			t.Errorf("%s: error %v, want %v", replacement[1], err, &want)
+		}
 	}
 }
 
