--- a/cmd/woadweir/main_test.go
+++ b/cmd/woadweir/main_test.go
@@ -87,8 +87,8 @@
 		{"check --config " + validSettings + " --duties " + longLease, 2, "lease-s: 60 is longer than is safe"},
 		{"duties --config " + validSettings, 1, "state service"},
 		{"check --config " + validSettings + " --spill ../../deploy/spill.xml", 0, "settings are good"},
-		{"check --config " + validSettings + " --spill " + longSpillLease, 2, "lease-s: 30 s of right"},
-		{"run --config " + validSettings + " --spill " + longSpillLease, 2, "lease-s: 30 s of right"},
+		{"check --config " + validSettings + " --spill " + longSpillLease, 2, "lease-s: an execution lease of 30 s"},
+		{"run --config " + validSettings + " --spill " + longSpillLease, 2, "lease-s: an execution lease of 30 s"},
 		{"spills --config " + validSettings, 1, "state service"},
 	} {
 		cmd := exec.Command(os.Args[0], strings.Fields(c.args)...)
--- a/internal/spill/settings.go
+++ b/internal/spill/settings.go
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	if !FitsCancel(policy.Lease, workerLease, cancelTime) {
-		return nil, &FieldError{"lease-s", fmt.Sprintf("%v s of right to run a borrowed job, a worker lease of %v s and the safety margin do not fit into cancel_s = %v", policy.Lease.Seconds(), workerLease.Seconds(), cancelTime.Seconds())}
+		return nil, &FieldError{"lease-s", fmt.Sprintf("an execution lease of %v s, a worker lease of %v s and the safety margin do not fit into cancel_s = %v", policy.Lease.Seconds(), workerLease.Seconds(), cancelTime.Seconds())}
 	}
 	return policy, nil
 }
--- a/internal/spill/settings_test.go
+++ b/internal/spill/settings_test.go
@@ -26,7 +26,7 @@
 		{`<spill cell="north"><start-s>NaN</start-s></spill>`, "start-s: NaN is not between"},
 		{`<spill cell="north"><most-lent>0</most-lent></spill>`, "most-lent: 0 is not between"},
 		{`<spill cell="north"><lease-s>2</lease-s></spill>`, "lease-s: 2 is not between 3"},
-		{`<spill cell="north"><lease-s>18</lease-s></spill>`, "lease-s: 18 s of right"},
+		{`<spill cell="north"><lease-s>18</lease-s></spill>`, "lease-s: an execution lease of 18 s"},
 	} {
 		_, err := ParseSettings([]byte(c.file), 18*model.Second, 38*model.Second)
 		switch {
