--- a/cmd/cellbench/main.go
+++ b/cmd/cellbench/main.go
@@ -222,7 +222,7 @@
 	wait := report.StartWait
 	fmt.Printf("  wait for the first task: median %.1f s, 90%% %.1f s, most %.1f s; last job done after %.1f s\n",
 		float64(wait.ValueAtQuantile(50))/1000, float64(wait.ValueAtQuantile(90))/1000, float64(wait.Max())/1000, float64(report.LastDoneUs)/1e6)
-	if report.LentJobs == 0 {
+	if report.Lendings == 0 {
 		return
 	}
 	returned := "not all home in time"
@@ -230,5 +230,5 @@
 		returned = fmt.Sprintf("all home %.1f s after the last job", float64(report.AllReturnedUs-report.LastDoneUs)/1e6)
 	}
 	fmt.Printf("  %d lendings, %d jobs ran in another cell; %.1f state changes and %.0f bytes a lending; %s\n",
-		report.LentJobs, report.RanElsewhere, float64(report.StateChanges)/float64(report.LentJobs), float64(report.StateBytes)/float64(report.LentJobs), returned)
+		report.Lendings, report.RanElsewhere, float64(report.StateChanges)/float64(report.Lendings), float64(report.StateBytes)/float64(report.Lendings), returned)
 }
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -59,7 +59,7 @@
 	Accepted, Finished, Lost  int
 	Duplicated                int // jobs reported done more than once, plus all violations, such as a task in two places at once
 	ExecutedAgain, Starts     int
-	LentJobs, StateChanges    int
+	Lendings, StateChanges    int
 	StateBytes                int64
 	RanElsewhere              int // jobs of which a task started in another cell than its user's
 	Violations                []string
@@ -105,7 +105,7 @@
 			report.StateChanges++
 			report.StateBytes += row.Bytes
 			if row.Lent {
-				report.LentJobs++
+				report.Lendings++
 			}
 		case RuleViolated:
 			report.Violations = append(report.Violations, row.Key)
