--- a/internal/cellrpc/cellrpc.go
+++ b/internal/cellrpc/cellrpc.go
@@ -29,12 +29,12 @@
 	Renew(renewal *spill.Renewal) (*spill.RenewalAnswer, error)
 }
 
-// newValidator returns the validator, which is created when the first message is validated.
-var newValidator = sync.OnceValues(func() (protovalidate.Validator, error) { return protovalidate.New() })
+// sharedValidator returns the validator, which is created when the first message is validated.
+var sharedValidator = sync.OnceValues(func() (protovalidate.Validator, error) { return protovalidate.New() })
 
 // validate validates a message. The error names the invalid field.
 func validate(message proto.Message) error {
-	validator, err := newValidator()
+	validator, err := sharedValidator()
 	if err != nil {
 		return err
 	}
--- a/internal/lab/environment.go
+++ b/internal/lab/environment.go
@@ -36,9 +36,9 @@
 func NewEnvironment(teams map[string]*model.Team, cancelLimit model.Micros) *Environment {
 	sim := standin.NewSim(1)
 	env := &Environment{sim: sim, rules: standin.NewInvariantChecker(sim, teams, cancelLimit), history: &History{}, startedAt: time.Now()}
-	env.rules.OnTaskStarted = func(cell string, id model.TaskID, again bool) {
+	env.rules.OnTaskStarted = func(cell string, id model.TaskID, completedBefore bool) {
 		kind := TaskStarted
-		if again {
+		if completedBefore {
 			kind = TaskRepeated
 		}
 		env.history.add(Row{AtUs: int64(sim.Now), Kind: kind, Cell: cell, Job: id.Job, Task: int64(id.Index)})
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -89,7 +89,7 @@
 	wireTask struct {
 		TaskID     string `json:"piece"`
 		Attempt    uint64 `json:"try"`
-		TaskState  string `json:"status"`
+		Status     string `json:"status"`
 		Cause      string `json:"cause,omitempty"`
 		StateSaved bool   `json:"stored,omitempty"`
 	}
