--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -120,7 +120,7 @@
 	for _, worker := range f.workers {
 		switch {
 		case worker.Spot && f.Chance(0.7):
-			worker.Recall(f.Between(0, 15*model.Second))
+			worker.Reclaim(f.Between(0, 15*model.Second))
 		case f.Chance(0.2):
 			worker.Terminate()
 		case f.Chance(0.2):
--- a/internal/lab/environment.go
+++ b/internal/lab/environment.go
@@ -24,19 +24,19 @@
 
 // Environment has the test doubles of all cells, on one clock.
 type Environment struct {
-	mu        sync.Mutex
-	sim       *standin.Sim
-	rules     *standin.InvariantChecker
-	history   *History
-	startedAt time.Time
+	mu         sync.Mutex
+	sim        *standin.Sim
+	invariants *standin.InvariantChecker
+	history    *History
+	startedAt  time.Time
 }
 
 // NewEnvironment returns an environment without cells and starts its clock. Breaches of the
 // invariants, such as a team over its limit or a task in two places at once, are recorded.
 func NewEnvironment(teams map[string]*model.Team, cancelLimit model.Micros) *Environment {
 	sim := standin.NewSim(1)
-	env := &Environment{sim: sim, rules: standin.NewInvariantChecker(sim, teams, cancelLimit), history: &History{}, startedAt: time.Now()}
-	env.rules.OnTaskStarted = func(cell string, id model.TaskID, completedBefore bool) {
+	env := &Environment{sim: sim, invariants: standin.NewInvariantChecker(sim, teams, cancelLimit), history: &History{}, startedAt: time.Now()}
+	env.invariants.OnTaskStarted = func(cell string, id model.TaskID, completedBefore bool) {
 		kind := TaskStarted
 		if completedBefore {
 			kind = TaskRepeated
@@ -84,8 +84,8 @@
 // RecordViolations adds each breach of a rule to the history. It is called once, at the end.
 func (e *Environment) RecordViolations() {
 	e.Do(func() {
-		e.rules.CheckCancelled()
-		for _, violation := range e.rules.Violations {
+		e.invariants.CheckCancelled()
+		for _, violation := range e.invariants.Violations {
 			e.history.add(Row{AtUs: int64(e.sim.Now), Kind: RuleViolated, Key: violation})
 		}
 	})
@@ -111,7 +111,7 @@
 	services := &CellServices{Name: name, Address: listener.Addr().String(), env: e, nodes: nodes, clients: map[string]*jsonhttp.Client{}}
 	e.Do(func() {
 		services.state = standin.NewState(e.sim)
-		services.cloud = standin.NewCloud(e.sim, services, e.rules, machineTypes, times)
+		services.cloud = standin.NewCloud(e.sim, services, e.invariants, machineTypes, times)
 		services.cloud.Cell, services.cloud.Capacity, services.cloud.ListLag = name, capacity, model.Second/2
 	})
 	for _, node := range nodes {
--- a/internal/lab/users.go
+++ b/internal/lab/users.go
@@ -40,8 +40,8 @@
 		Image: "img-1", ImageGB: 1, AllowsSpot: true, EstimateS: seconds}
 	env := u.cell.env
 	env.Do(func() {
-		env.rules.Submitted[id] = submission.Job(0)
-		env.rules.HomeCells[id] = u.cell.Name
+		env.invariants.Submitted[id] = submission.Job(0)
+		env.invariants.HomeCells[id] = u.cell.Name
 	})
 	env.Record(Row{Kind: JobSubmitted, Cell: u.cell.Name, Job: id})
 	u.running.Go(func() { u.submitAndPoll(submission, deadline) })
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -24,13 +24,13 @@
 	// Calls are the rentals and deletions that were carried out, in order.
 	Calls []CloudCall
 
-	sim      *Sim
-	net      Net
-	rules    *InvariantChecker
-	gangs    map[gangKey]map[*Task]bool
-	machines []*machine
-	rentals  map[string][]string // machine IDs by request ID
-	nextID   int
+	sim        *Sim
+	net        Net
+	invariants *InvariantChecker
+	gangs      map[gangKey]map[*Task]bool
+	machines   []*machine
+	rentals    map[string][]string // machine IDs by request ID
+	nextID     int
 }
 
 // CloudCall is a rental that got machines or a deletion that ended machines.
@@ -53,8 +53,8 @@
 }
 
 // NewCloud returns a cloud without machines and without capacity.
-func NewCloud(sim *Sim, net Net, rules *InvariantChecker, machineTypes []model.MachineType, times WorkerTimes) *Cloud {
-	return &Cloud{MachineTypes: machineTypes, Capacity: map[string]int{}, ListLag: 3 * model.Second, Times: times, sim: sim, net: net, rules: rules,
+func NewCloud(sim *Sim, net Net, invariants *InvariantChecker, machineTypes []model.MachineType, times WorkerTimes) *Cloud {
+	return &Cloud{MachineTypes: machineTypes, Capacity: map[string]int{}, ListLag: 3 * model.Second, Times: times, sim: sim, net: net, invariants: invariants,
 		gangs: map[gangKey]map[*Task]bool{}, rentals: map[string][]string{}, TaskDuration: func(j *model.Job) model.Micros { return j.EstimatedRun }}
 }
 
@@ -109,7 +109,7 @@
 
 func (c *Cloud) addMachine(rental *cloud.Rental, machineType *model.MachineType) *machine {
 	worker := &Worker{ID: fmt.Sprintf("host-%06d", c.nextID), Cell: c.Cell, MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot, Size: machineType.Size(),
-		sim: c.sim, net: c.net, rules: c.rules, gangs: c.gangs, taskDuration: c.TaskDuration, times: c.Times}
+		sim: c.sim, net: c.net, invariants: c.invariants, gangs: c.gangs, taskDuration: c.TaskDuration, times: c.Times}
 	c.nextID++
 	m := &machine{rentedAt: c.sim.Now, worker: worker}
 	c.machines = append(c.machines, m)
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -380,7 +380,7 @@
 	}
 	inZone := map[string]int{}
 	for _, worker := range workers {
-		if !worker.hung && !worker.FailsTasks && worker.recallAt == 0 && job.Allows(worker.MachineType, worker.Zone, worker.Spot) {
+		if !worker.hung && !worker.FailsTasks && worker.reclaimedAt == 0 && job.Allows(worker.MachineType, worker.Zone, worker.Spot) {
 			inZone[worker.Zone] += job.Request.FitCount(worker.Size.Minus(worker.used()), count)
 		}
 	}
--- a/internal/standin/rules_test.go
+++ b/internal/standin/rules_test.go
@@ -32,7 +32,7 @@
 }
 
 func (f *ruleFixture) newWorker(zone string) *Worker {
-	return &Worker{ID: "host-" + zone, Zone: zone, Size: model.Resources{Cores: 8000}, sim: f.sim, rules: f.InvariantChecker}
+	return &Worker{ID: "host-" + zone, Zone: zone, Size: model.Resources{Cores: 8000}, sim: f.sim, invariants: f.InvariantChecker}
 }
 
 // startTask places a task of the job on a machine.
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -33,7 +33,7 @@
 
 	sim          *Sim
 	net          Net
-	rules        *InvariantChecker
+	invariants   *InvariantChecker
 	gangs        map[gangKey]map[*Task]bool
 	taskDuration func(*model.Job) model.Micros
 	times        WorkerTimes
@@ -51,7 +51,7 @@
 	lastHeartbeatAt model.Micros
 	nextHeartbeatAt model.Micros // when the next heartbeat is sent
 	heartbeatTimer  int          // number of the scheduled heartbeat; earlier ones are void
-	recallAt        model.Micros // when a spot machine is taken away, 0 if no notice was given
+	reclaimedAt     model.Micros // when the cloud reclaims a spot machine, 0 if no notice was given
 }
 
 // gangKey identifies an attempt of a gang, by which its tasks find each other.
@@ -200,8 +200,8 @@
 	for _, t := range w.tasks {
 		msg.Tasks = append(msg.Tasks, wireTask{t.id.String(), t.attempt, t.status, t.cause, t.stateSaved})
 	}
-	if w.recallAt > 0 {
-		left := max(0, w.recallAt-w.sim.Now).Seconds()
+	if w.reclaimedAt > 0 {
+		left := max(0, w.reclaimedAt-w.sim.Now).Seconds()
 		msg.ReclaimedInS = &left
 	}
 	body, err := json.Marshal(msg)
@@ -282,12 +282,12 @@
 	if w.findTask(id, attempt) != nil {
 		return
 	}
-	t := &Task{id: id, attempt: attempt, job: w.rules.Submitted[id.Job], worker: w, status: statusPulling}
+	t := &Task{id: id, attempt: attempt, job: w.invariants.Submitted[id.Job], worker: w, status: statusPulling}
 	used := w.used()
 	duplicate := slices.ContainsFunc(w.tasks, func(other *Task) bool { return other.status != statusEnded && other.id == id })
 	w.tasks = append(w.tasks, t)
 	switch {
-	case t.job == nil || id.Index >= t.job.Tasks || w.rules.LocalJobsOnly[w.Cell] && w.rules.HomeCells[id.Job] != w.Cell:
+	case t.job == nil || id.Index >= t.job.Tasks || w.invariants.LocalJobsOnly[w.Cell] && w.invariants.HomeCells[id.Job] != w.Cell:
 		t.end("unknown")
 	case duplicate:
 		t.end("in_use")
@@ -326,16 +326,16 @@
 func (t *Task) imagePulled() {
 	w := t.worker
 	w.images[t.job.Image] = true
-	w.rules.taskStarted(t)
+	w.invariants.taskStarted(t)
 	w.heartbeatSoon()
 	switch {
-	case w.rules.completed[t.id]:
-		w.rules.ExecutedAgain++
+	case w.invariants.completed[t.id]:
+		w.invariants.ExecutedAgain++
 		t.end("done")
 	case w.FailsTasks:
 		t.end("error")
-	case w.rules.FailingJobs[t.id.Job]:
-		w.rules.FailingJobAttempts++
+	case w.invariants.FailingJobs[t.id.Job]:
+		w.invariants.FailingJobAttempts++
 		t.end("error")
 	case t.job.Kind == model.Gang:
 		t.joinGang()
@@ -343,7 +343,7 @@
 		t.status = statusRunning
 		if t.job.Kind == model.Array {
 			t.after(w.taskDuration(t.job), func() {
-				w.rules.taskCompleted(t.id)
+				w.invariants.taskCompleted(t.id)
 				t.end("done")
 			})
 		}
@@ -389,7 +389,7 @@
 	}
 	members := t.worker.gangMembers(key)
 	for _, member := range members {
-		t.worker.rules.taskCompleted(member.id)
+		t.worker.invariants.taskCompleted(member.id)
 	}
 	for _, member := range members {
 		member.end("done")
@@ -413,7 +413,7 @@
 // end ends the task with a cause. The worker reports it until the controller clears it.
 func (t *Task) end(cause string) {
 	t.leaveGang(cause == "done")
-	t.worker.rules.taskRemoved(t)
+	t.worker.invariants.taskRemoved(t)
 	t.status, t.cause = statusEnded, cause
 	t.timerVersion++
 	t.worker.heartbeatSoon()
@@ -423,7 +423,7 @@
 // gone.
 func (t *Task) discard() {
 	t.leaveGang(false)
-	t.worker.rules.taskRemoved(t)
+	t.worker.invariants.taskRemoved(t)
 	t.timerVersion++
 }
 
@@ -499,10 +499,10 @@
 	return n
 }
 
-// Recall announces that a spot machine will be taken away, and takes it away after the
-// notice period.
-func (w *Worker) Recall(notice model.Micros) {
-	w.recallAt = w.sim.Now + notice
+// Reclaim announces that the cloud will reclaim a spot machine, and ends the machine after
+// the notice period.
+func (w *Worker) Reclaim(notice model.Micros) {
+	w.reclaimedAt = w.sim.Now + notice
 	w.heartbeatSoon()
 	w.sim.After(notice, w.Terminate)
 }
