--- a/internal/spill/model_test.go
+++ b/internal/spill/model_test.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// receiveOffer lets the execution cell accept the job, unless an older lending is still there, as
-// refusal in internal/controller does.
+// receiveOffer lets the execution cell accept the job, unless an older lending is still there. The
+// method refusal of spillManager in internal/controller has the same condition.
 func (m *lendingModel) receiveOffer() {
 	token, ok := drawMessage(m, m.offers)
 	if !ok || m.inRecord != nil || m.running {
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -78,8 +78,8 @@
 	c.Violations = append(c.Violations, fmt.Sprintf("%.3f ", c.sim.Now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// taskStarted records that a task is on its machine, which it is from when it has its
-// image, and checks that it may be there.
+// taskStarted records that a task is on its machine, and checks that it may be there. It is
+// called once the task has its image.
 func (c *InvariantChecker) taskStarted(t *Task) {
 	c.Starts++
 	job := t.job
@@ -212,7 +212,7 @@
 	}
 }
 
-// checkAnswer checks an answer of which the body has been decoded.
+// checkAnswer checks an answer whose body has been decoded.
 func (c *InvariantChecker) checkAnswer(jobID string, code int, status string, sentAt model.Micros) {
 	if endedAt, ok := c.endReportedAt[jobID]; ok && sentAt <= endedAt {
 		return // sent before the final status was reported: both statuses are correct
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// listPage reads one page of the keys with a prefix, starting behind the key after.
+// listPage reads one page of the keys with a prefix that follow the key after. If after is
+// "", it reads the first page.
 func (c *Client) listPage(prefix, after string, timeout model.Micros) (*entryPage, error) {
 	uri := "/keys?starts=" + prefix + "&most=" + strconv.Itoa(pageSize)
 	if after != "" {
