--- a/internal/controller/cells_chaos_test.go
+++ b/internal/controller/cells_chaos_test.go
@@ -8,12 +8,12 @@
 	"woadweir/internal/core/model"
 )
 
-// cellFaultKinds is the number of faults of and between cells that beginCellFault knows, in
+// cellFaultKinds is the number of faults of and between cells that injectCellFault knows, in
 // addition to the faults within a deployment.
 const cellFaultKinds = 8
 
-// beginCellFault begins a fault of a cell or between cells.
-func beginCellFault(multi *multiCellSim, kind int, duration model.Micros) {
+// injectCellFault begins a fault of a cell or between cells.
+func injectCellFault(multi *multiCellSim, kind int, duration model.Micros) {
 	sim := multi.cells[multi.Rand.IntN(len(multi.cells))]
 	from, to := cellNames[multi.Rand.IntN(len(cellNames))], cellNames[multi.Rand.IntN(len(cellNames))]
 	switch kind {
@@ -68,7 +68,7 @@
 		}
 		for range rapid.IntRange(1, 6).Draw(rt, "cell faults") {
 			kind := rapid.IntRange(0, cellFaultKinds-1).Draw(rt, "kind")
-			multi.At(multi.Between(20*model.Second, faultsEnd-30*model.Second), func() { beginCellFault(multi, kind, multi.Between(2*model.Second, 20*model.Second)) })
+			multi.At(multi.Between(20*model.Second, faultsEnd-30*model.Second), func() { injectCellFault(multi, kind, multi.Between(2*model.Second, 20*model.Second)) })
 		}
 		for range rapid.IntRange(0, 4).Draw(rt, "faults") {
 			kind := rapid.IntRange(0, faultKinds-1).Draw(rt, "kind")
--- a/internal/controller/combined_failures_test.go
+++ b/internal/controller/combined_failures_test.go
@@ -55,7 +55,7 @@
 		sc.submitGang(3, 10)
 		long.cancel(nil)
 		sc.Run(sc.Now + 15*model.Second)
-		sc.restartAfter(sc.nodes[0], 300*model.Millisecond)
+		sc.crashFor(sc.nodes[0], 300*model.Millisecond)
 		sc.submitArray(8, 10)
 		gang.cancel(nil)
 		sc.Run(sc.Now + 30*model.Second)
@@ -73,7 +73,7 @@
 		long.cancel(nil)
 		sc.Run(sc.Now + 20*model.Second)
 		if leader := sc.readyLeader(); leader != nil {
-			sc.restartAfter(leader, 200*model.Millisecond)
+			sc.crashFor(leader, 200*model.Millisecond)
 		}
 		sc.Run(sc.Now + 20*model.Second)
 		if sc.lateWritesApplied < 5 || sc.everyNodeAnswers < 50 {
@@ -198,7 +198,7 @@
 				}
 			}
 		}
-		sc.restartAfter(sc.requireLeader(), 200*model.Millisecond)
+		sc.crashFor(sc.requireLeader(), 200*model.Millisecond)
 		jobs[1].cancel(nil)
 		sc.Run(sc.Now + sc.workerLease())
 		if lost < 2 {
@@ -242,7 +242,7 @@
 		}
 		sc.canReach = func(worker *standin.Worker, _ *simNode) bool { return worker.Zone == "a" }
 		sc.Run(sc.Now + 2*model.Second)
-		sc.restartAfter(sc.otherNode(leader), 8*model.Second)
+		sc.crashFor(sc.otherNode(leader), 8*model.Second)
 		sc.Run(sc.Now + sc.workerLease() + 2*model.Second)
 		if n := sc.tasksInZone("b"); n > 0 {
 			sc.t.Fatalf("%d tasks in the other zone outlive their leases", n)
@@ -271,7 +271,7 @@
 						halfDoneJobs++
 					}
 				}
-				sc.restartAfter(leader, 5*model.Second)
+				sc.crashFor(leader, 5*model.Second)
 			}
 		}
 		if halfDoneJobs == 0 {
@@ -323,7 +323,7 @@
 			}
 			return started
 		})
-		sc.restartAfter(sc.requireLeader(), 8*model.Second)
+		sc.crashFor(sc.requireLeader(), 8*model.Second)
 		sc.submitArray(6, 10)
 		sc.Run(sc.Now + 30*model.Second)
 		long.cancel(nil)
@@ -400,7 +400,7 @@
 				leader.setStateLink(linkRefusing)
 				sc.After(4*model.Second, func() { leader.setStateLink(linkOpen) })
 			default:
-				sc.restartAfter(leader, sc.Between(50*model.Millisecond, 2*model.Second))
+				sc.crashFor(leader, sc.Between(50*model.Millisecond, 2*model.Second))
 			}
 			if i == 4 {
 				sc.state.SetOutage(true)
@@ -428,7 +428,7 @@
 		sc.waitForCancelled(10*model.Second, long, gang)
 		sc.submitArray(4, 10)
 		sc.Run(sc.Now + sc.workerLease()/2)
-		sc.restartAfter(sc.requireLeader(), 300*model.Millisecond)
+		sc.crashFor(sc.requireLeader(), 300*model.Millisecond)
 		sc.Run(sc.Now + sc.workerLease())
 		sc.requireStopped(long, gang)
 	}},
@@ -438,7 +438,7 @@
 	{"leadership changes twice, all controllers crash, and one is back within a second", func(sc *failureScenario) {
 		sc.startMixedLoad()
 		first := sc.requireLeader()
-		sc.restartAfter(first, 300*model.Millisecond)
+		sc.crashFor(first, 300*model.Millisecond)
 		sc.runUntil(60*model.Second, "a controller leads", func() bool { return sc.readyLeader() != nil })
 		second := sc.requireLeader()
 		second.setStateLink(linkRefusing)
@@ -447,11 +447,11 @@
 		sc.Run(sc.Now + 2*model.Second)
 		sc.submitArray(4, 10)
 		for i, node := range sc.nodes {
-			after := sc.sessionTTL() + model.Micros(8+i)*model.Second
+			downtime := sc.sessionTTL() + model.Micros(8+i)*model.Second
 			if node == second {
-				after = 400 * model.Millisecond
+				downtime = 400 * model.Millisecond
 			}
-			sc.restartAfter(node, after)
+			sc.crashFor(node, downtime)
 		}
 		// Another controller may have led; its session has to expire first.
 		sc.runUntil(sc.sessionTTL()+6*model.Second, "the controller that is back leads", func() bool { return sc.readyLeader() == second })
@@ -468,7 +468,7 @@
 				job.onAccepted = func() { job.cancelAt = sc.Now + sc.Between(0, 8*model.Second) }
 			}
 			if i == 200 {
-				sc.restartAfter(sc.requireLeader(), 500*model.Millisecond)
+				sc.crashFor(sc.requireLeader(), 500*model.Millisecond)
 			}
 		}
 		sc.Run(sc.Now + 10*model.Second)
@@ -553,13 +553,13 @@
 			sc.heartbeatsBlocked[worker.ID] = true
 		}
 	}
-	sc.restartAfter(sc.requireLeader(), model.Second)
+	sc.crashFor(sc.requireLeader(), model.Second)
 	for _, u := range cancelled {
 		u.cancel(nil)
 	}
 	sc.waitForCancelled(60*model.Second, cancelled...)
 	sc.runUntil(60*model.Second, "a controller has taken over", func() bool { return sc.readyLeader() != nil })
-	sc.restartAfter(sc.requireLeader(), model.Second)
+	sc.crashFor(sc.requireLeader(), model.Second)
 	sc.requireStopped(cancelled...)
 	sc.runUntil(150*model.Second, "the jobs that waited are done", func() bool {
 		for _, u := range waiting {
--- a/internal/controller/failure_scenario_test.go
+++ b/internal/controller/failure_scenario_test.go
@@ -140,11 +140,11 @@
 	})
 }
 
-// restartAfter crashes a node and starts it again after the given time, unless it is up
-// again by then.
-func (sc *failureScenario) restartAfter(node *simNode, after model.Micros) {
+// crashFor crashes a node and starts it again after the downtime, unless it is already up by
+// then.
+func (sc *failureScenario) crashFor(node *simNode, downtime model.Micros) {
 	node.crash()
-	sc.After(after, func() {
+	sc.After(downtime, func() {
 		if !node.alive {
 			node.start()
 		}
--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -32,7 +32,7 @@
 	{"transactions are applied without a response", func(f *faultInjection) { f.delayWrites(f.shortWriteDelay) }},
 	{"jobs are cancelled and some of their machines hang", (*faultInjection).cancelAndHang},
 	{"a zone with a controller is cut off", (*faultInjection).cutOffZone},
-	{"old heartbeats are replayed during a leader change", (*faultInjection).repeatHeartbeats},
+	{"old heartbeats are replayed during a leader change", (*faultInjection).replayOldHeartbeats},
 	{"jobs are cancelled as they end", (*faultInjection).cancelAtEnd},
 	{"users query all controllers and cancel completed jobs", (*faultInjection).queryAllNodes},
 }
@@ -212,9 +212,9 @@
 	})
 }
 
-// repeatHeartbeats records the heartbeats of the next three seconds, restarts the leader, and
+// replayOldHeartbeats records the heartbeats of the next three seconds, restarts the leader, and
 // then delivers them again to all controllers, eight times.
-func (f *faultInjection) repeatHeartbeats() {
+func (f *faultInjection) replayOldHeartbeats() {
 	f.recordsHeartbeats = true
 	f.After(3*model.Second, func() {
 		heartbeats := f.recordedHeartbeats
--- a/internal/controller/fault_tolerance_test.go
+++ b/internal/controller/fault_tolerance_test.go
@@ -307,14 +307,14 @@
 func (o *overload) submitTo(node *simNode) {
 	o.lastJobNumber++
 	reply := make(chan userapi.Answer, 1)
-	askedAt := o.Now
+	sentAt := o.Now
 	submission := arrayJob(o.lastJobNumber, 1, 1)
 	o.invariants.Submitted[submission.ID] = submission.Job(0)
 	node.send(msgSubmit{submission.ID, submission, nil, reply}, func() bool {
 		select {
 		case a := <-reply:
-			o.invariants.CheckAnswer(submission.ID, a.Code, a.Body, askedAt)
-			o.countRefusal(a, askedAt)
+			o.invariants.CheckAnswer(submission.ID, a.Code, a.Body, sentAt)
+			o.countRefusal(a, sentAt)
 			return true
 		default:
 			return false
@@ -322,7 +322,7 @@
 	})
 }
 
-func (o *overload) countRefusal(a userapi.Answer, askedAt model.Micros) {
+func (o *overload) countRefusal(a userapi.Answer, sentAt model.Micros) {
 	if a.Code != 429 && a.Code != 503 {
 		return
 	}
@@ -330,7 +330,7 @@
 	if a.RetryAfter == 0 {
 		o.t.Fatalf("refused with %d without a retry time", a.Code)
 	}
-	if o.Now > askedAt+2*model.Second {
+	if o.Now > sentAt+2*model.Second {
 		o.lateRefusals++
 	}
 }
