--- a/internal/controller/cells_chaos_test.go
+++ b/internal/controller/cells_chaos_test.go
@@ -12,7 +12,7 @@
 // addition to the faults within a deployment.
 const cellFaultKinds = 8
 
-// injectCellFault begins a fault of a cell or between cells.
+// injectCellFault begins a fault of a cell or between cells now.
 func injectCellFault(multi *multiCellSim, kind int, duration model.Micros) {
 	sim := multi.cells[multi.Rand.IntN(len(multi.cells))]
 	from, to := cellNames[multi.Rand.IntN(len(cellNames))], cellNames[multi.Rand.IntN(len(cellNames))]
@@ -25,7 +25,7 @@
 	case 4: // calls arrive a second time, minutes late
 		multi.duplicateRequests = 0.4
 		multi.After(duration, func() { multi.duplicateRequests = 0 })
-	case 5: // the leader is paused for longer than its lease
+	case 5: // the leader is paused, mostly for longer than its session
 		if leader := sim.leader(); leader != nil && !leader.paused {
 			leader.pauseFor(duration + 5*model.Second)
 		}
@@ -37,7 +37,7 @@
 				}
 			}
 		}
-	case 7: // a slow link
+	case 7: // the links are slow
 		multi.extraDelay = 1500 * model.Millisecond
 		multi.After(duration, func() { multi.extraDelay = 0 })
 	}
--- a/internal/controller/cells_failures_test.go
+++ b/internal/controller/cells_failures_test.go
@@ -227,7 +227,7 @@
 	l.user.cancel(nil)
 }
 
-// hangMachines makes the execution cell's machines hang for a while.
+// hangMachines makes the execution cell's machines hang for 15 s.
 func (l *lendingScenario) hangMachines() {
 	for _, worker := range l.executionCell.cloud.Workers() {
 		worker.SetHung(true)
@@ -262,7 +262,7 @@
 				scenario.Run(scenario.Now + 100*model.Second)
 				scenario.requireCleanEnd(t)
 				if scenario.invariants.ReportedEnd(scenario.jobID) == "" {
-					t.Error("users were not told of the job's end")
+					t.Error("the job's end was not reported to users")
 				}
 				// While the leases outlast the fault, finished tasks are not executed again. This is checked
 				// for the brief faults only: a worker with two controllers, one of which does not answer,
@@ -331,16 +331,16 @@
 		scenario.cancelWithoutRenewals()
 		scenario.crashLeader(scenario.executionCell)
 	}},
-	{"renewals are lost while home has room", func(scenario *lendingScenario) {
+	{"renewals are lost while home has capacity", func(scenario *lendingScenario) {
 		scenario.dropRenewals()
 		scenario.freeHomeCell()
 	}},
-	{"renewals are lost while home has room and its leader crashes", func(scenario *lendingScenario) {
+	{"renewals are lost while home has capacity and its leader crashes", func(scenario *lendingScenario) {
 		scenario.dropRenewals()
 		scenario.freeHomeCell()
 		scenario.crashLeader(scenario.home)
 	}},
-	{"home has room and its leader crashes while renewals reach the next one", func(scenario *lendingScenario) {
+	{"home has capacity and its leader crashes while renewals reach the next one", func(scenario *lendingScenario) {
 		scenario.freeHomeCell()
 		scenario.crashLeader(scenario.home)
 	}},
@@ -357,7 +357,7 @@
 			scenario.After(8*model.Second, func() {
 				if leader := scenario.home.leader(); leader != nil {
 					leader.crash()
-					scenario.blockHeartbeats(scenario.home) // so that tasks that run there are not told to stop
+					scenario.blockHeartbeats(scenario.home) // so that tasks that run there get no command to stop
 					for _, n := range scenario.home.nodes {
 						n.intercept = nil
 					}
@@ -397,9 +397,9 @@
 	}
 }
 
-// Injects each worst case, and cuts the execution cell's machines off from their controllers at
-// any moment after it. No task of the job may run in two cells, or for too long after the job's
-// cancellation.
+// Injects each worst case, and cuts the execution cell's machines off from their controllers up
+// to 42 s after it, in steps of a second. No task of the job may run in two cells, or for too
+// long after the job's cancellation.
 func TestWorstCaseLendingFaults(t *testing.T) {
 	for i, fault := range worstCaseFaults {
 		for cutAfter := model.Micros(0); cutAfter <= 42*model.Second; cutAfter += model.Second {
@@ -420,15 +420,15 @@
 }
 
 // The write that lends a job is executed late, with or without an answer to the leader, while
-// home gets room for the job, home's leader crashes or pauses, or the job is cancelled. The job
+// home gets capacity for the job, home's leader crashes or pauses, or the job is cancelled. The job
 // must end and no invariant may be violated.
 func TestLateLendingWrite(t *testing.T) {
 	t.Parallel()
 	for name, inject := range map[string]func(scenario *lendingScenario){
-		"home has room":                 (*lendingScenario).freeHomeCell,
-		"home has room, leader crashes": func(scenario *lendingScenario) { scenario.freeHomeCell(); scenario.crashLeader(scenario.home) },
-		"home has room, leader paused":  func(scenario *lendingScenario) { scenario.freeHomeCell(); scenario.pauseLeader(scenario.home) },
-		"home has room, then its machines are cut off": func(scenario *lendingScenario) {
+		"home has capacity":                 (*lendingScenario).freeHomeCell,
+		"home has capacity, leader crashes": func(scenario *lendingScenario) { scenario.freeHomeCell(); scenario.crashLeader(scenario.home) },
+		"home has capacity, leader paused":  func(scenario *lendingScenario) { scenario.freeHomeCell(); scenario.pauseLeader(scenario.home) },
+		"home has capacity, then its machines are cut off": func(scenario *lendingScenario) {
 			scenario.freeHomeCell()
 			scenario.After(5*model.Second, func() { scenario.blockHeartbeats(scenario.home) })
 		},
@@ -441,15 +441,16 @@
 				scenario.Run(scenario.Now + 150*model.Second)
 				scenario.requireCleanEnd(t)
 				if scenario.invariants.ReportedEnd(scenario.jobID) == "" {
-					t.Errorf("%s, answered %v: users were not told of the job's end", name, answered)
+					t.Errorf("%s, answered %v: the job's end was not reported to users", name, answered)
 				}
 			}
 		}
 	}
 }
 
-// delayLending has the write that lends the job executed six seconds after it was sent. Without
-// answered the leader gets the answer that the write is lost. onSent is called when it is sent.
+// delayLending delays the execution of the write that lends the job by six seconds. If answered is
+// false, the leader gets state.ErrLost instead of the answer. onSent is called when the write is
+// sent.
 func (l *lendingScenario) delayLending(answered bool, onSent func()) {
 	delayed := false
 	for _, n := range l.home.nodes {
--- a/internal/controller/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -22,8 +22,8 @@
 	return users
 }
 
-// A cell without room lends waiting jobs to its idle neighbours, and all jobs are done sooner
-// than without spilling.
+// A full cell lends waiting jobs to its idle neighbours, and all jobs are done sooner than
+// without spilling.
 func TestBurstSpillsToIdleNeighbours(t *testing.T) {
 	t.Parallel()
 	took := map[bool]model.Micros{}
@@ -52,8 +52,8 @@
 	}
 }
 
-// Cells that are all full keep their jobs, and when all have room again at the same time no job
-// is lent back and forth.
+// Cells that are all full keep their jobs, and when all have free capacity again at the same time
+// no job is lent back and forth.
 func TestFullCellsLendEachJobAtMostOnce(t *testing.T) {
 	t.Parallel()
 	multi := newMultiCellSim(t, 6, defaultLeaseS, 1, 1, 1)
@@ -126,7 +126,7 @@
 }
 
 // When a neighbour is removed from the spill file while it runs a job of this cell, the lent job
-// comes to its end and nothing more is lent.
+// ends and nothing more is lent.
 func TestRemovedNeighbourDrains(t *testing.T) {
 	t.Parallel()
 	scenario := newLendingScenario(t, 9, defaultLeaseS, 12)
@@ -185,7 +185,7 @@
 }
 
 // A spill record that can't be read stops spilling. All other jobs are done, and the job that the
-// record may have lent does not run until the record is deleted.
+// record may have lent does not run until the record is deleted. No job is lost.
 func TestUnreadableRecordStopsSpilling(t *testing.T) {
 	t.Parallel()
 	multi := newMultiCellSim(t, 11, defaultLeaseS, 1, 2, 2)
@@ -265,7 +265,7 @@
 }
 
 // An execution cell whose spill file no longer names the home cell (here it has no file at all)
-// stops the jobs that it runs for that cell and forgets them. They run again at home.
+// stops the jobs that it runs for that cell and deletes their records. They run again at home.
 func TestExecutionCellWithoutSpillFileDropsBorrowedJob(t *testing.T) {
 	t.Parallel()
 	scenario := newLendingScenario(t, 14, defaultLeaseS, 40)
--- a/internal/controller/combined_failures_test.go
+++ b/internal/controller/combined_failures_test.go
@@ -8,15 +8,14 @@
 	"woadweir/internal/standin"
 )
 
-// combinedFailures lists combinations of failures and load. The comment of each says what
-// would be wrong if the combination were not handled. Combinations with a leader that the
-// state service refuses are also tested in refused_leader_test.go.
+// combinedFailures lists combinations of failures and load. The comment of each, or of the
+// function that it calls, says which fault in the controllers it would show. Combinations with
+// a leader that the state service refuses are also tested in refused_leader_test.go.
 var combinedFailures = []struct {
 	name string
 	run  func(sc *failureScenario)
 }{
-	// Tasks would outlive their leases, and a cancelled job would run again once controllers
-	// are back.
+	// Tasks would outlive their leases, those of a cancelled job among them.
 	{"all controllers are down for longer than a lease, after a cancellation", func(sc *failureScenario) {
 		long, _, _ := sc.startMixedLoad()
 		long.cancel(nil)
@@ -30,8 +29,8 @@
 		}
 		sc.requireStopped(long)
 	}},
-	// The new leader would start tasks of jobs whose cancellation another controller
-	// confirmed before or during the takeover.
+	// Tasks would go on or start after another controller confirmed the cancellation of their
+	// job before or during the takeover.
 	{"cancellations through other controllers during a leader change", func(sc *failureScenario) {
 		long, gang, _ := sc.startMixedLoad()
 		leader := sc.requireLeader()
@@ -63,7 +62,7 @@
 			sc.t.Fatalf("only %d transactions arrived late, want at least 10", sc.lateWritesArrived)
 		}
 	}},
-	// A node would answer from a state older than what another node has told a user.
+	// A node would answer with an older status than another node has already reported.
 	{"transactions are applied but their responses lost, while all nodes are queried", func(sc *failureScenario) {
 		long, _, _ := sc.startMixedLoad()
 		sc.lateWriteChance, sc.lateWriteDelay = 0.5, sc.shortWriteDelay
@@ -80,7 +79,8 @@
 			sc.t.Fatalf("%d transactions applied without a response, want at least 5; %d queries answered, want at least 50", sc.lateWritesApplied, sc.everyNodeAnswers)
 		}
 	}},
-	// Commands that arrive late would run tasks twice or let teams exceed their limits.
+	// Tasks would run twice, or teams exceed their limits, because heartbeats and responses
+	// arrive late.
 	{"more work than capacity, of different priorities, over slow links", func(sc *failureScenario) {
 		sc.startMixedLoad()
 		sc.heartbeatLag = 1500 * model.Millisecond
@@ -107,7 +107,7 @@
 		})
 		sc.Run(sc.Now + 60*model.Second)
 	}},
-	// The new leader would take replayed heartbeats for the present state of the machines.
+	// The new leader would take old heartbeats for the present state of the machines.
 	{"old heartbeats reach every controller as a new leader takes over", func(sc *failureScenario) {
 		sc.recordsHeartbeats = true
 		long, _, _ := sc.startMixedLoad()
@@ -125,7 +125,7 @@
 			sc.t.Fatalf("%d old heartbeats replayed, want at least 20, and a leader that has taken over", len(oldHeartbeats))
 		}
 	}},
-	// A machine would start or keep tasks of cancelled jobs after it resumes.
+	// Tasks of cancelled jobs would start or go on at a machine that resumes.
 	{"responses take seconds, and machines hang and resume, during cancellations", func(sc *failureScenario) {
 		long, gang, _ := sc.startMixedLoad()
 		sc.heartbeatLag = 3500 * model.Millisecond
@@ -206,7 +206,7 @@
 		}
 	}},
 	{"a team at its limit, with hung and unreachable machines, cancellations and leader changes", func(sc *failureScenario) { cancelAtTeamLimits(sc, "red") }},
-	// The old leader would go on starting tasks of jobs that were cancelled outside its zone.
+	// Tasks in the zone would go on or start after their job was cancelled outside it.
 	{"a zone with workers and the leader is cut off for longer than a lease", func(sc *failureScenario) {
 		long, _, service := sc.startMixedLoad()
 		leader := sc.requireLeader()
@@ -224,8 +224,8 @@
 		}
 		sc.requireStopped(long, service)
 	}},
-	// Tasks in the other zone would outlive their leases, and the cancelled job would run
-	// again when the zones are connected again.
+	// Tasks in the other zone would outlive their leases, tasks of the cancelled job would go
+	// on, or what ended in the other zone would not run again.
 	{"the zone of all controllers is cut off for longer than a lease, right after a cancellation", func(sc *failureScenario) {
 		long, gang, service := sc.startMixedLoad()
 		if sc.tasksInZone("a") == 0 || sc.tasksInZone("b") == 0 {
@@ -255,8 +255,9 @@
 			return sc.tasksOnMachines(service) == 2 && sc.tasksOnMachines(gang) == 3
 		})
 	}},
-	// Completed tasks of jobs that are half done would be lost and run again.
-	{"jobs whose tasks end far apart are half done at leader changes", func(sc *failureScenario) {
+	// A new leader would not know which tasks of a job are done, and the job would be reported
+	// as done too early or never.
+	{"jobs of two or three tasks that end far apart are half done at leader changes", func(sc *failureScenario) {
 		sc.cloud.TaskDuration = func(*model.Job) model.Micros { return sc.Between(2*model.Second, 50*model.Second) }
 		for i := range 8 {
 			sc.submitArray(2+i%2, 20)
@@ -278,8 +279,8 @@
 			sc.t.Fatal("no job was half done at a leader change")
 		}
 	}},
-	// A task would be started elsewhere while it still runs on a machine that the new leader
-	// does not hear from or that gets no responses.
+	// A task would be started elsewhere while it still runs on a machine whose heartbeats do
+	// not arrive or that gets no responses.
 	{"the leader crashes while machines with long tasks are unreachable or get no responses", func(sc *failureScenario) {
 		long, gang, _ := sc.startMixedLoad()
 		unreached, withoutResponses := 0, 0
@@ -308,9 +309,9 @@
 		sc.waitForCancelled(10*model.Second, long, gang)
 		sc.requireStopped(long, gang)
 	}},
-	// The next leader would not know of tasks on a machine that booted before the delayed
-	// transactions were applied, and would start them twice.
-	{"new machines boot at once while transactions are late, and the leader restarts", func(sc *failureScenario) {
+	// The next leader would not know of tasks on machines that booted before the delayed
+	// transactions were applied.
+	{"new machines boot within two seconds while transactions are late, and the leader restarts", func(sc *failureScenario) {
 		sc.cloud.FastBootChance = 1
 		sc.waitForLeader(10 * model.Second)
 		sc.lateWriteChance, sc.lateWriteDelay = 0.5, sc.longWriteDelay
@@ -352,7 +353,7 @@
 		sc.waitForCancelled(60*model.Second, long, gang, service)
 		sc.requireStopped(long, gang, service)
 	}},
-	// The isolated leader would keep running, or start, jobs that its successor cancelled.
+	// Tasks would go on or start after the successor confirmed the cancellation of their job.
 	{"the leader is isolated with its workers and users, cancellations through its successor", func(sc *failureScenario) {
 		long, gang, _ := sc.startMixedLoad()
 		leader := sc.requireLeader()
@@ -387,7 +388,7 @@
 			sc.t.Fatalf("%d old heartbeats replayed, want at least 20; %d tasks run, want 6; %d starts", len(oldHeartbeats), sc.tasksOnMachines(long), sc.invariants.Starts-starts)
 		}
 	}},
-	// Work and grants would be lost or doubled in takeovers that follow on each other.
+	// Accepted jobs would be lost, or tasks run twice, in takeovers in quick succession.
 	{"ten leader changes in two minutes, some during an outage of the state service", func(sc *failureScenario) {
 		sc.startMixedLoad()
 		tokens := map[uint64]bool{}
@@ -417,7 +418,7 @@
 			sc.t.Fatalf("only %d grants, want at least 10", len(tokens))
 		}
 	}},
-	// Cancelled jobs would stay on machines that no controller can tell to stop.
+	// Tasks of cancelled jobs would stay on machines that reach no controller.
 	{"most workers reach no controller, during cancellations and a leader restart", func(sc *failureScenario) {
 		long, gang, _ := sc.startMixedLoad()
 		for i, worker := range sc.cloud.Workers() {
@@ -433,8 +434,8 @@
 		sc.requireStopped(long, gang)
 	}},
 	{"all teams at their limits, with hung and unreachable machines, cancellations and leader changes", func(sc *failureScenario) { cancelAtTeamLimits(sc, "red", "blue") }},
-	// A controller that leads again soon would act on what it knew from its earlier term, or
-	// nobody would lead.
+	// The only controller that is up would not lead within 6 s of the expiry of the last
+	// leader's session.
 	{"leadership changes twice, all controllers crash, and one is back within a second", func(sc *failureScenario) {
 		sc.startMixedLoad()
 		first := sc.requireLeader()
@@ -521,7 +522,7 @@
 }
 
 // cancelAtTeamLimits brings teams to their limits, and then cancels their jobs while machines
-// are hung or unreachable and the leader changes. What is on those machines has to go on
+// are hung or unreachable and the leader changes. The tasks on those machines have to keep
 // counting against the limits.
 func cancelAtTeamLimits(sc *failureScenario, teams ...string) {
 	var cancelled, waiting []*user
--- a/internal/controller/failure_scenario_test.go
+++ b/internal/controller/failure_scenario_test.go
@@ -24,7 +24,7 @@
 type workerTimes struct{ report, lease, cancel float64 }
 
 // scenarioWorkerTimes are the settings under which each scenario runs: a short heartbeat
-// interval, and a long one combined with a cancellation time that is short for it.
+// interval, and a long one with a cancellation time that is short compared to it.
 var scenarioWorkerTimes = []workerTimes{{2.5, 18, 38}, {8, 38, 58}}
 
 func (times workerTimes) settings(name string) *config.Settings {
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// waitForCancelled waits until users have been told that the jobs are withdrawn.
+// waitForCancelled waits until users got the answer that the jobs are cancelled.
 func (sc *failureScenario) waitForCancelled(limit model.Micros, jobs ...*user) {
 	sc.t.Helper()
 	sc.runUntil(limit, "the cancellations are confirmed", func() bool {
@@ -173,8 +173,8 @@
 }
 
 // requireRecovery ends the injected faults and checks that the deployment recovers: every
-// accepted job ends, no job waits while a machine has room for it, new jobs run, and no
-// invariant was violated.
+// accepted job ends, no job waits for long while suitable machines have capacity, new jobs run,
+// and no invariant was violated.
 func (sc *failureScenario) requireRecovery() {
 	sc.t.Helper()
 	sc.endFaults()
@@ -201,7 +201,7 @@
 	}
 }
 
-// allEnded reports whether users have been told the end of every accepted job.
+// allEnded reports whether the end of every accepted job has been reported to users.
 func (sc *failureScenario) allEnded() bool {
 	for _, u := range sc.submitted {
 		if sc.invariants.Accepted[u.submission.ID] && sc.invariants.ReportedEnd(u.submission.ID) == "" {
--- a/internal/controller/fault_tolerance_test.go
+++ b/internal/controller/fault_tolerance_test.go
@@ -11,7 +11,7 @@
 	"woadweir/internal/workerapi"
 )
 
-// waitForRunningTasks waits until at least so many tasks are on machines, and returns a
+// waitForRunningTasks waits until at least that many tasks are on machines, and returns a
 // machine that has some.
 func (sim *simDeployment) waitForRunningTasks(tasks int) *standin.Worker {
 	sim.t.Helper()
--- a/internal/controller/leader_failover_test.go
+++ b/internal/controller/leader_failover_test.go
@@ -8,8 +8,7 @@
 )
 
 // maxFailoverTime returns the longest time until another controller leads and has taken over:
-// the TTL of the former leader's session, the end of that session, which may come late, and the
-// election.
+// the TTL of the former leader's session, its expiry, which may come late, and the election.
 func (sim *simDeployment) maxFailoverTime() model.Micros {
 	return sim.nodes[0].ctl.authority.Times.TTL + 4*model.Second
 }
@@ -55,7 +54,7 @@
 	return users
 }
 
-// requireAllDone checks that users were told of every job that it is done.
+// requireAllDone checks that every job was reported as done.
 func (sim *simDeployment) requireAllDone(users []*user) {
 	sim.t.Helper()
 	for _, u := range users {
@@ -96,7 +95,7 @@
 }
 
 // A leader whose process is paused while its clock goes on is replaced if the pause is longer than
-// its session. When it resumes, it takes itself for the leader until it reads its clock: it must
+// its session. When it resumes, it considers itself the leader until it reads its clock: it must
 // not act on authority that it no longer holds. A short pause must do no harm.
 func TestPausedLeader(t *testing.T) {
 	ttl := newSmallDeployment(t, 1).nodes[0].ctl.authority.Times.TTL
--- a/internal/controller/refused_leader_test.go
+++ b/internal/controller/refused_leader_test.go
@@ -130,7 +130,7 @@
 }
 
 // As TestRefusedLeaderThenOutage, while starts of the cancelled job are still on their way to
-// machines, and with a job that awaits it. That job is withdrawn too and must never start.
+// machines, and with a job that awaits it. That job is cancelled too and must never start.
 func TestRefusedLeaderThenOutageWithStartsInFlight(t *testing.T) {
 	for i, times := range scenarioWorkerTimes {
 		for k, outageAfter := range []model.Micros{model.Second, 5 * model.Second, 10 * model.Second} {
@@ -163,7 +163,7 @@
 				scenario.Run(scenario.Now + 3*model.Second)
 				scenario.waitForCancelled(20*model.Second, dependent)
 				if scenario.tasksOnMachines(dependent) > 0 {
-					t.Error("a job that awaits a withdrawn job runs")
+					t.Error("a job that awaits a cancelled job runs")
 				}
 				scenario.requireRecovery()
 			})
--- a/internal/controller/sim_cells_test.go
+++ b/internal/controller/sim_cells_test.go
@@ -121,7 +121,8 @@
 	}
 }
 
-// sendOverLink calls deliver as the link lets a call or an answer pass.
+// sendOverLink calls deliver, which delivers a call or an answer, after the delay of the link.
+// If the link holds or drops what is sent, deliver is called once it is open, or never.
 func (m *multiCellSim) sendOverLink(from, to string, deliver func()) {
 	link := cellLink{from, to}
 	switch m.linkStates[link] {
@@ -136,9 +137,9 @@
 // simCellCalls sends a controller's calls to other cells.
 type simCellCalls struct{ node *simNode }
 
-// call sends a request to the controllers of a cell, of which only the holder of the shard
-// answers without an error. onAnswer is called once, with spill.ErrUnreachable if there is no
-// answer within cellCallTimeout.
+// call sends a request to all controllers of a cell, of which only the leader, which holds the
+// shard, answers without an error. onAnswer is called once, with spill.ErrUnreachable if there
+// is no answer within cellCallTimeout.
 func (s *simCellCalls) call(cell string, request any, send func(n *simNode, answer func(any, error)), onAnswer func(any, error)) {
 	multi, caller := s.node.sim.cell.multiCell, s.node.sim
 	callee := multi.cellNamed(cell)
@@ -216,7 +217,7 @@
 	}
 }
 
-// crashCell crashes all controllers of a cell, which restart after that time.
+// crashCell crashes all controllers of a cell. Each restarts up to a second after the duration.
 func (m *multiCellSim) crashCell(sim *simDeployment, duration model.Micros) {
 	for _, n := range sim.nodes {
 		if n.alive {
@@ -249,8 +250,8 @@
 	m.duplicateRequests, m.extraDelay, m.onCall = 0, 0, nil
 }
 
-// allEnded reports whether users were told of the end of all jobs that they submitted, except
-// for submissions that were not accepted in time.
+// allEnded reports whether the end of all submitted jobs was reported to users, except for
+// submissions that were not accepted in time.
 func (m *multiCellSim) allEnded() bool {
 	for _, sim := range m.cells {
 		for _, u := range sim.users {
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -333,7 +333,7 @@
 func TestUpgradeUnderFailures(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
-		sim := newDeployment(t, rapid.Uint64().Draw(rt, "seed"), withFDLimit(rapid.SampledFrom([]int{0, 14}).Draw(rt, "sockets"), settingsWithNextLimits), cloudCapacity(4, 2))
+		sim := newDeployment(t, rapid.Uint64().Draw(rt, "seed"), withFDLimit(rapid.SampledFrom([]int{0, 14}).Draw(rt, "FD limit"), settingsWithNextLimits), cloudCapacity(4, 2))
 		sim.restartAllAsProduction()
 		sim.submitDuringUpgrade()
 		interval := sim.Between(3*model.Second, 15*model.Second)
@@ -344,7 +344,7 @@
 			duration := sim.Between(model.Second, 25*model.Second)
 			sim.At(sim.Between(10*model.Second, 130*model.Second), func() { injectFault(sim, kind, duration) })
 		}
-		sim.duplicateHeartbeatChance = rapid.SampledFrom([]float64{0, 0.05}).Draw(rt, "copies")
+		sim.duplicateHeartbeatChance = rapid.SampledFrom([]float64{0, 0.05}).Draw(rt, "duplicate heartbeat chance")
 		sim.At(160*model.Second, func() {
 			for _, n := range sim.nodes {
 				n.setStateLink(linkOpen)
