--- a/internal/controller/awaits_test.go
+++ b/internal/controller/awaits_test.go
@@ -12,10 +12,10 @@
 )
 
 // requestAndWait sends a request to a node and runs the simulation until the answer arrives.
-func (n *simNode) requestAndWait(msg func(chan<- userapi.Answer) any) userapi.Answer {
+func (n *simNode) requestAndWait(newMessage func(chan<- userapi.Answer) any) userapi.Answer {
 	n.sim.t.Helper()
 	reply := make(chan userapi.Answer, 1)
-	n.send(msg(reply), nil)
+	n.send(newMessage(reply), nil)
 	n.sim.runUntil(10*model.Second, "an answer", func() bool { return len(reply) == 1 })
 	return <-reply
 }
@@ -278,7 +278,7 @@
 	sim.waitForLeader(10 * model.Second)
 	sim.Run(sim.Now + 3*model.Second)
 	violated := func(name string) bool {
-		return slices.ContainsFunc(sim.invariants.Violations, func(b string) bool { return strings.Contains(b, name) })
+		return slices.ContainsFunc(sim.invariants.Violations, func(violation string) bool { return strings.Contains(violation, name) })
 	}
 	// Only the invariant checker knows that the second job awaits the first.
 	first, second := arrayJob(0, 2, 60), arrayJob(1, 2, 60)
--- a/internal/controller/duties_test.go
+++ b/internal/controller/duties_test.go
@@ -103,9 +103,9 @@
 func (sim *simDeployment) requireAllEndBy(deadline model.Micros) {
 	sim.t.Helper()
 	sim.Run(deadline)
-	for ref := range sim.invariants.Accepted {
-		if sim.invariants.ReportedEnd(ref) == "" {
-			sim.t.Errorf("%s has not ended; %s", ref, sim.describe())
+	for jobID := range sim.invariants.Accepted {
+		if sim.invariants.ReportedEnd(jobID) == "" {
+			sim.t.Errorf("%s has not ended; %s", jobID, sim.describe())
 		}
 	}
 	if len(sim.invariants.Accepted) == 0 {
@@ -571,9 +571,9 @@
 		if violations := append(sim.invariants.Violations, sim.dutyViolations()...); len(violations) > 0 {
 			rt.Fatalf("%d violations: %v", len(violations), violations[:min(4, len(violations))])
 		}
-		for ref := range sim.invariants.Accepted {
-			if sim.invariants.ReportedEnd(ref) == "" {
-				rt.Fatalf("%s has not ended; %s", ref, sim.describe())
+		for jobID := range sim.invariants.Accepted {
+			if sim.invariants.ReportedEnd(jobID) == "" {
+				rt.Fatalf("%s has not ended; %s", jobID, sim.describe())
 			}
 		}
 		dutyRecords += sim.state.KeyCount("duty/")
--- a/internal/controller/edge_case_requests_test.go
+++ b/internal/controller/edge_case_requests_test.go
@@ -24,8 +24,8 @@
 		{"beyond the team's limit", submitModified(func(s *model.Submission) { s.Team, s.GPUs, s.Kind, s.Tasks = "blue", 1, "gang", 5 }), 422},
 		{"unknown machine type", submitModified(func(s *model.Submission) { s.MachineTypes = []string{"none"} }), 422},
 		{"missing fields", func(r chan<- userapi.Answer) any {
-			_, ref, err := model.ParseSubmission([]byte(`{"ref":"j-000901","pieces":1}`))
-			return msgSubmit{ref, nil, err, r}
+			_, jobID, err := model.ParseSubmission([]byte(`{"ref":"j-000901","pieces":1}`))
+			return msgSubmit{jobID, nil, err, r}
 		}, 400},
 		{"status of a job that was never submitted", func(r chan<- userapi.Answer) any { return msgStatusRequest{"j-000999", r} }, 404},
 		{"cancellation of a job that was never submitted", func(r chan<- userapi.Answer) any { return msgCancel{"j-000999", r} }, 404},
@@ -43,9 +43,9 @@
 	return func(r chan<- userapi.Answer) any { return msgSubmit{s.ID, s, nil, r} }
 }
 
-// requestAndWait sends a user's request to a node and returns the answer after two seconds, with
-// code 0 if there is none.
-func (sc *failureScenario) requestAndWait(n *simNode, newMessage func(chan<- userapi.Answer) any) userapi.Answer {
+// requestWithTimeout sends a user's request to a node and returns the answer after two seconds,
+// with code 0 if there is none.
+func (sc *failureScenario) requestWithTimeout(n *simNode, newMessage func(chan<- userapi.Answer) any) userapi.Answer {
 	var got userapi.Answer
 	sc.sendUserRequest(n, 2*model.Second, newMessage, func(a userapi.Answer) { got = a })
 	sc.Run(sc.Now + 2*model.Second)
@@ -73,7 +73,7 @@
 	}
 	for _, request := range requests {
 		for _, n := range sc.nodes {
-			if a := sc.requestAndWait(n, request.newMessage); a.Code != request.wantCode {
+			if a := sc.requestWithTimeout(n, request.newMessage); a.Code != request.wantCode {
 				t.Errorf("%s: %s answers %d %s, want %d", request.name, n.name, a.Code, a.Body, request.wantCode)
 			}
 		}
@@ -85,7 +85,7 @@
 	sc.Run(sc.Now + 3*model.Second)
 	for _, request := range requests {
 		for _, n := range sc.nodes {
-			a := sc.requestAndWait(n, request.newMessage)
+			a := sc.requestWithTimeout(n, request.newMessage)
 			if ended := request.wantCode == 200; ended != (a.Code == 200) || !ended && (a.Code != 503 || a.RetryAfter == 0) {
 				t.Errorf("%s, in an outage: %s answers %d %s, want 200 if the job has ended, else 503 with Retry-After", request.name, n.name, a.Code, a.Body)
 			}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -218,10 +218,10 @@
 
 // requireImmediateAnswer sends a node a request that it can't serve, and fails the test if the
 // node holds the request instead of answering at once.
-func (n *simNode) requireImmediateAnswer(msg func(chan<- userapi.Answer) any) userapi.Answer {
+func (n *simNode) requireImmediateAnswer(newMessage func(chan<- userapi.Answer) any) userapi.Answer {
 	n.sim.t.Helper()
 	reply := make(chan userapi.Answer, 1)
-	n.send(msg(reply), nil)
+	n.send(newMessage(reply), nil)
 	if len(reply) != 1 {
 		n.sim.t.Fatal("a request that can't be served gets no immediate answer")
 	}
@@ -337,9 +337,9 @@
 	if got, want := node.ctl.view.Revision, sim.nodes[1].ctl.view.Revision; got+50 < want {
 		t.Fatalf("the view is at revision %d, want at most 50 behind another node's %d", got, want)
 	}
-	for ref := range sim.invariants.Accepted {
-		if _, _, _, known := node.ctl.view.Status(ref); !known {
-			t.Errorf("the node does not know job %s", ref)
+	for jobID := range sim.invariants.Accepted {
+		if _, _, _, known := node.ctl.view.Status(jobID); !known {
+			t.Errorf("the node does not know job %s", jobID)
 		}
 	}
 }
--- a/internal/controller/guest_team_test.go
+++ b/internal/controller/guest_team_test.go
@@ -18,8 +18,8 @@
 
 // guestJob returns an array job of the guest team. Large and small ones alike have priority idle
 // and save checkpoints.
-func guestJob(i, tasks int, cores, guess float64) *model.Submission {
-	s := arrayJob(i, tasks, guess)
+func guestJob(i, tasks int, cores, estimateS float64) *model.Submission {
+	s := arrayJob(i, tasks, estimateS)
 	s.Team, s.Priority, s.Cores, s.CheckpointS, s.SaveS = "guest", "idle", cores, 5, 1
 	return s
 }
@@ -31,9 +31,9 @@
 	var check func()
 	check = func() {
 		if leader := sim.leader(); leader != nil && leader.ctl.leading.ready {
-			for ref, job := range leader.ctl.leading.shard.Jobs {
-				if job.HasRun && startTimes[ref] == 0 {
-					startTimes[ref] = sim.Now
+			for jobID, job := range leader.ctl.leading.shard.Jobs {
+				if job.HasRun && startTimes[jobID] == 0 {
+					startTimes[jobID] = sim.Now
 				}
 			}
 		}
@@ -85,9 +85,9 @@
 		t.Errorf("%d of %d jobs within the guarantee started more than 30 s after submission, want at most a tenth", late, len(guaranteed))
 	}
 	for _, u := range guests {
-		ref := u.submission.ID
-		if at := startTimes[ref]; at == 0 || at-submitted[ref] > 240*model.Second {
-			t.Errorf("guest job %s, submitted at %.0f s, started at %.0f s, want within 240 s", ref, submitted[ref].Seconds(), at.Seconds())
+		jobID := u.submission.ID
+		if at := startTimes[jobID]; at == 0 || at-submitted[jobID] > 240*model.Second {
+			t.Errorf("guest job %s, submitted at %.0f s, started at %.0f s, want within 240 s", jobID, submitted[jobID].Seconds(), at.Seconds())
 		}
 	}
 	sim.runUntil(900*model.Second, "all jobs of the guest are done", func() bool {
--- a/internal/controller/sim_effects_test.go
+++ b/internal/controller/sim_effects_test.go
@@ -92,13 +92,13 @@
 }
 
 func (n *simNode) listMachines() {
-	sent := n.ctl.clock()
+	sentAt := n.ctl.clock()
 	n.cloudCall(func() any {
 		machines, err := n.sim.cloud.List()
 		if n.cloudUnavailable {
 			err = cloud.ErrUnavailable
 		}
-		return msgListed{sent, machines, err}
+		return msgListed{sentAt, machines, err}
 	})
 }
 
--- a/internal/controller/sim_users_test.go
+++ b/internal/controller/sim_users_test.go
@@ -44,7 +44,7 @@
 
 // sendUserRequest sends a request to a node, or to a random one if to is nil, and follows
 // one forwarding. onAnswer is called with code 0 if no answer arrives before the timeout.
-func (sim *simDeployment) sendUserRequest(to *simNode, timeout model.Micros, msg func(chan<- userapi.Answer) any, onAnswer func(userapi.Answer)) {
+func (sim *simDeployment) sendUserRequest(to *simNode, timeout model.Micros, newMessage func(chan<- userapi.Answer) any, onAnswer func(userapi.Answer)) {
 	answered := false
 	finish := func(a userapi.Answer) {
 		if !answered {
@@ -62,7 +62,7 @@
 			return
 		}
 		reply := make(chan userapi.Answer, 1)
-		n.send(msg(reply), func() bool {
+		n.send(newMessage(reply), func() bool {
 			select {
 			case a := <-reply:
 				sim.After(model.Millisecond, func() {
@@ -161,7 +161,7 @@
 	altered := *u.submission
 	altered.Team, altered.Tasks = "nobody", altered.Tasks+1
 	for _, n := range sim.nodes {
-		for _, msg := range []func(r chan<- userapi.Answer) any{
+		for _, newMessage := range []func(r chan<- userapi.Answer) any{
 			func(r chan<- userapi.Answer) any { return msgStatusRequest{jobID, r} },
 			func(r chan<- userapi.Answer) any { same := *u.submission; return msgSubmit{jobID, &same, nil, r} },
 			func(r chan<- userapi.Answer) any { return msgSubmit{jobID, &altered, nil, r} },
@@ -169,7 +169,7 @@
 		} {
 			sim.After(sim.Between(0, 5*model.Millisecond), func() {
 				sentAt := sim.Now
-				sim.sendUserRequest(n, 2*model.Second, msg, func(a userapi.Answer) {
+				sim.sendUserRequest(n, 2*model.Second, newMessage, func(a userapi.Answer) {
 					sim.invariants.CheckAnswer(jobID, a.Code, a.Body, sentAt)
 					if a.Code == 200 {
 						sim.everyNodeAnswers++
--- a/internal/controller/status_reads_test.go
+++ b/internal/controller/status_reads_test.go
@@ -213,10 +213,10 @@
 	b.ResetTimer()
 	histograms := make([]*hdrhistogram.Histogram, users)
 	var next atomic.Int64
-	var askers errgroup.Group
+	var readers errgroup.Group
 	for u := range users {
 		histograms[u] = hdrhistogram.New(1, 10_000_000, 3)
-		askers.Go(func() error {
+		readers.Go(func() error {
 			for {
 				i := next.Add(1)
 				if i > int64(b.N) {
@@ -232,7 +232,7 @@
 			}
 		})
 	}
-	if err := askers.Wait(); err != nil {
+	if err := readers.Wait(); err != nil {
 		b.Fatal(err)
 	}
 	b.StopTimer()
