--- a/internal/controller/sim_users_test.go
+++ b/internal/controller/sim_users_test.go
@@ -16,7 +16,7 @@
 	reportedEnd     string
 	cancelAt        model.Micros // 0: never
 	cancelRequested bool
-	deadline        model.Micros // the end of repeated submissions
+	deadline        model.Micros // the submission is not repeated after this time
 	onAccepted      func()       // called once, when the job is accepted; may be nil
 	cancelVia       *simNode     // the node that gets the cancellation; nil: a random one
 }
@@ -44,7 +44,7 @@
 
 // sendUserRequest sends a request to a node, or to a random one if to is nil, and follows
 // one forwarding. onAnswer is called with code 0 if no answer arrives before the timeout.
-func (sim *simDeployment) sendUserRequest(to *simNode, timeout model.Micros, msg func(chan<- userapi.Answer) any, onAnswer func(userapi.Answer)) {
+func (sim *simDeployment) sendUserRequest(to *simNode, timeout model.Micros, newMessage func(chan<- userapi.Answer) any, onAnswer func(userapi.Answer)) {
 	answered := false
 	finish := func(a userapi.Answer) {
 		if !answered {
@@ -62,7 +62,7 @@
 			return
 		}
 		reply := make(chan userapi.Answer, 1)
-		n.send(msg(reply), func() bool {
+		n.send(newMessage(reply), func() bool {
 			select {
 			case a := <-reply:
 				sim.After(model.Millisecond, func() {
@@ -81,8 +81,8 @@
 	sim.After(model.Millisecond, func() { send(to, false) })
 }
 
-// sendSubmission submits the job, and again after a second until it is accepted or the
-// deadline is over.
+// sendSubmission submits the job. It submits it again one second after each failure, until the
+// job is accepted or the deadline has passed.
 func (u *user) sendSubmission() {
 	sentAt := u.sim.Now
 	u.sim.sendUserRequest(nil, 5*model.Second, func(r chan<- userapi.Answer) any {
@@ -107,8 +107,8 @@
 	})
 }
 
-// poll requests the job's status until its end is reported, and with a chance of one half
-// goes on after that.
+// poll requests the job's status until its end is reported; after that, each further request is
+// sent with a probability of one half. It also cancels the job when it is time to.
 func (u *user) poll() {
 	if u.cancelAt > 0 && u.sim.Now >= u.cancelAt {
 		u.cancel(nil)
@@ -125,8 +125,8 @@
 	})
 }
 
-// sendCancel sends a cancellation, and again after a second until it is answered with code
-// 200.
+// sendCancel sends a cancellation. It sends it again one second after each failure, until it is
+// answered with code 200.
 func (u *user) sendCancel() {
 	sentAt := u.sim.Now
 	u.sim.sendUserRequest(u.cancelVia, 5*model.Second, func(r chan<- userapi.Answer) any { return msgCancel{u.submission.ID, r} }, func(a userapi.Answer) {
@@ -161,7 +161,7 @@
 	altered := *u.submission
 	altered.Team, altered.Tasks = "nobody", altered.Tasks+1
 	for _, n := range sim.nodes {
-		for _, msg := range []func(r chan<- userapi.Answer) any{
+		for _, newMessage := range []func(r chan<- userapi.Answer) any{
 			func(r chan<- userapi.Answer) any { return msgStatusRequest{jobID, r} },
 			func(r chan<- userapi.Answer) any { same := *u.submission; return msgSubmit{jobID, &same, nil, r} },
 			func(r chan<- userapi.Answer) any { return msgSubmit{jobID, &altered, nil, r} },
@@ -169,7 +169,7 @@
 		} {
 			sim.After(sim.Between(0, 5*model.Millisecond), func() {
 				sentAt := sim.Now
-				sim.sendUserRequest(n, 2*model.Second, msg, func(a userapi.Answer) {
+				sim.sendUserRequest(n, 2*model.Second, newMessage, func(a userapi.Answer) {
 					sim.invariants.CheckAnswer(jobID, a.Code, a.Body, sentAt)
 					if a.Code == 200 {
 						sim.everyNodeAnswers++
--- a/internal/controller/status_reads_test.go
+++ b/internal/controller/status_reads_test.go
@@ -113,7 +113,7 @@
 }
 
 // With a slow state service, status requests wait for its answers. Those beyond the limit of
-// waiting requests are refused at once, so that connections are left for workers, and no
+// waiting requests are refused immediately, so that connections are left for workers, and no
 // answer arrives after the user's timeout.
 func TestStatusReadsWithSlowStateService(t *testing.T) {
 	sim := newDeployment(t, 45, withFDLimit(400, simSettings), cloudCapacity(4, 2))
@@ -213,10 +213,10 @@
 	b.ResetTimer()
 	histograms := make([]*hdrhistogram.Histogram, users)
 	var next atomic.Int64
-	var askers errgroup.Group
+	var readers errgroup.Group
 	for u := range users {
 		histograms[u] = hdrhistogram.New(1, 10_000_000, 3)
-		askers.Go(func() error {
+		readers.Go(func() error {
 			for {
 				i := next.Add(1)
 				if i > int64(b.N) {
@@ -232,7 +232,7 @@
 			}
 		})
 	}
-	if err := askers.Wait(); err != nil {
+	if err := readers.Wait(); err != nil {
 		b.Fatal(err)
 	}
 	b.StopTimer()
