--- a/internal/controller/failure_scenario_test.go
+++ b/internal/controller/failure_scenario_test.go
@@ -9,8 +9,8 @@
 
 // Most invariant violations in schedulers like this one occurred when two failures
 // coincided. Each test here makes failures coincide, asserts that they did, and then asserts
-// that the invariants held and that the accepted jobs ended. docs/meetings.md explains which
-// points of the safety argument cover the combinations.
+// that the invariants held and that the accepted jobs ended. docs/combined-failures.md
+// explains which points of the safety argument cover the combinations.
 
 // failureScenario is a simulated deployment in which failures coincide.
 type failureScenario struct {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -19,9 +19,8 @@
 
 // isHealthy reports whether the load balancer should send users' requests to this
 // controller. A controller that is the only one without the state service can forward them
-// to siblings.
-// If no controller reaches the state service, removing this one from the load balancer would
-// only delay its return.
+// to siblings. If no controller reaches the state service, removing this one from the load
+// balancer would only delay its return.
 func (c *controller) isHealthy() bool {
 	if !c.viewLoaded {
 		return false
--- a/internal/controller/view_sync.go
+++ b/internal/controller/view_sync.go
@@ -164,7 +164,7 @@
 	slog.Debug("synchronization with the state service failed", "err", err)
 	switch {
 	case errors.Is(err, state.ErrLayout):
-		// A newer version may have written jobs or bindings that this version would miss.
+		// Another version may have written jobs or bindings that this version would miss.
 		slog.Error("the state service contains records that this version cannot read; not serving requests", "err", err)
 		c.viewLoaded, c.sync.needsList, c.sync.failed = false, true, true
 		c.sync.notBefore = c.now + unreadableSyncPause
--- a/internal/core/autoscaler/offers.go
+++ b/internal/core/autoscaler/offers.go
@@ -39,9 +39,9 @@
 // cheapest returns a machine of the offer that runs the tasks at the lowest price per
 // task, or nil if there is none. A round makes one request for each machine type and kind
 // (spot or on-demand), so a type that the round has already chosen is only requested in
-// the same zone. Spot and on-demand machines are requested separately: with one request
-// for both, spot-tolerant work would get on-demand machines whenever other work rents
-// these in the same round.
+// the same zone. Spot and on-demand machines are requested separately, because the cloud has
+// separate stocks of them, and with one request for both, spot-tolerant work would get
+// on-demand machines whenever other work rents these in the same round.
 func (p *Provisioner) cheapest(in *Input, toRent []*candidateMachine, need rentalNeed) *candidateMachine {
 	search := offerSearch{provisioner: p, now: in.Now, need: need, lowestPrice: math.Inf(1)}
 	for _, name := range slices.Sorted(maps.Keys(in.MachineTypes)) {
