--- a/cmd/woadweir/main.go
+++ b/cmd/woadweir/main.go
@@ -32,12 +32,12 @@
 	Spill    string `placeholder:"PATH" help:"Which other cells jobs are lent to and taken from (XML). Without it, none."`
 }
 
-func (f *files) load() (*config.Settings, *config.Operator, error) {
+func (f *files) load() (*config.Settings, *config.OperatorSettings, error) {
 	s, err := config.Load(f.Config)
 	if err != nil {
 		return nil, nil, err
 	}
-	o, err := config.LoadOperator(f.Operator)
+	o, err := config.LoadOperatorSettings(f.Operator)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/cellrpc/cellrpc.go
+++ b/internal/cellrpc/cellrpc.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, "spec: "+err.Error())
 	}
-	if !model.IsSetOf(r.GetDone(), spec.Tasks) {
+	if !model.ValidTaskSet(r.GetDone(), spec.Tasks) {
 		return nil, status.Error(codes.InvalidArgument, "done: a task that the job does not have")
 	}
 	answer, err := s.handler.Offer(&spill.Offer{Home: r.GetHome(), Token: r.GetToken(), Spec: spec, Done: r.GetDone(), Trace: r.GetTrace()})
@@ -80,7 +80,7 @@
 	if err := check(r); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	renewal := &spill.Renewal{Guest: r.GetGuest(), WorkerLease: model.Micros(r.GetWorkerLeaseUs())}
+	renewal := &spill.Renewal{ExecutionCell: r.GetGuest(), WorkerLease: model.Micros(r.GetWorkerLeaseUs())}
 	for _, report := range r.GetJobs() {
 		renewal.Jobs = append(renewal.Jobs, spill.JobReport{
 			Job:      report.GetJob(),
@@ -200,7 +200,7 @@
 
 // Renew asks the cell for the right to run what it has lent.
 func (c *Client) Renew(ctx context.Context, r *spill.Renewal) (*spill.RenewalAnswer, error) {
-	request := &RenewRequest{Guest: r.Guest, WorkerLeaseUs: int64(r.WorkerLease)}
+	request := &RenewRequest{Guest: r.ExecutionCell, WorkerLeaseUs: int64(r.WorkerLease)}
 	for _, report := range r.Jobs {
 		request.Jobs = append(request.Jobs, &JobReport{
 			Job:      report.Job,
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -15,9 +15,9 @@
 
 // Errors of the cloud.
 var (
-	ErrNoCapacity = errors.New("cloud: no capacity")
-	ErrTrouble    = errors.New("cloud: trouble")
-	ErrBusy       = errors.New("cloud: too many requests")
+	ErrNoCapacity  = errors.New("cloud: no capacity")
+	ErrUnavailable = errors.New("cloud: trouble")
+	ErrBusy        = errors.New("cloud: too many requests")
 )
 
 // StatusError reports an HTTP status that the cloud's protocol does not provide for.
@@ -111,7 +111,7 @@
 	if json.Unmarshal(body, &reason) == nil && reason.Error == noCapacityText {
 		return ErrNoCapacity
 	}
-	return ErrTrouble
+	return ErrUnavailable
 }
 
 // MachineTypes reads the machine types with their current prices.
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -22,17 +22,17 @@
 
 // fieldRange is a field's value with the range that it must be in.
 type fieldRange struct {
-	field     string
-	value     float64
-	low, high float64
-	allowLow  bool // the value low itself is in the range
+	field       string
+	value       float64
+	low, high   float64
+	includesLow bool // the value low itself is in the range
 }
 
 func (r *fieldRange) contains() bool {
 	if math.IsNaN(r.value) || r.value > r.high || r.value < r.low {
 		return false
 	}
-	return r.allowLow || r.value != r.low
+	return r.includesLow || r.value != r.low
 }
 
 func checkRanges(ranges []fieldRange) error {
@@ -72,7 +72,7 @@
 	type address struct{ field, value string }
 	addresses := []address{
 		{"serve_on", s.ServeOn},
-		{"back", s.Back},
+		{"back", s.PeerAddress},
 		{"services.cloud", s.Services.Cloud},
 		{"services.state", s.Services.State},
 	}
--- a/internal/config/duties.go
+++ b/internal/config/duties.go
@@ -11,7 +11,7 @@
 
 // LoadDuties reads and checks the duties file against the deployment's settings; an
 // empty path gives nil: the leader does everything itself.
-func LoadDuties(path string, s *Settings, o *Operator) (*duty.Policy, error) {
+func LoadDuties(path string, s *Settings, o *OperatorSettings) (*duty.Policy, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -32,7 +32,7 @@
 
 // LeaseTimes are the times of the controller's session lease that follow from the
 // settings. The duties file may shorten the session.
-func (s *Settings) LeaseTimes(o *Operator) leadership.LeaseTimes {
+func (s *Settings) LeaseTimes(o *OperatorSettings) leadership.LeaseTimes {
 	workers := &s.Params.Workers
 	longest := model.Seconds(float64(o.BlockLeaseS))
 	if o.Duties != nil && o.Duties.Lease != 0 {
--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -15,20 +15,22 @@
 	objectiveGuarantee = "guarantee" // work within a team's guarantee starts within a time
 )
 
-// Waits gives, by class, the times within which its tasks are to start, ascending.
-func (s *Settings) Waits() map[string][]model.Micros { return s.timesByClass(objectiveWait) }
+// StartObjectives gives, by class, the times within which its tasks are to start, ascending.
+func (s *Settings) StartObjectives() map[string][]model.Micros { return s.timesByClass(objectiveWait) }
 
-// Finish gives, by class, the times within which its jobs are to be done, ascending.
-func (s *Settings) Finish() map[string][]model.Micros { return s.timesByClass(objectiveFinished) }
+// FinishObjectives gives, by class, the times within which its jobs are to be done, ascending.
+func (s *Settings) FinishObjectives() map[string][]model.Micros {
+	return s.timesByClass(objectiveFinished)
+}
 
 func (s *Settings) timesByClass(kind string) map[string][]model.Micros {
 	return targetsByClass(s, kind, func(o *Objective) model.Micros { return model.Seconds(o.WithinS) })
 }
 
-// Deadlines gives, by class, the multiples of their deadline by which its jobs are to be
+// DeadlineObjectives gives, by class, the multiples of their deadline by which its jobs are to be
 // done, ascending.
-func (s *Settings) Deadlines() map[string][]float64 {
-	return targetsByClass(s, objectiveDeadline, func(o *Objective) float64 { return o.Times })
+func (s *Settings) DeadlineObjectives() map[string][]float64 {
+	return targetsByClass(s, objectiveDeadline, func(o *Objective) float64 { return o.DeadlineMultiple })
 }
 
 // targetsByClass collects the positive targets that the objectives of a kind set for each
@@ -51,9 +53,9 @@
 	return targets
 }
 
-// Guarantee is the time within which work within a team's guarantee is to start, 0 if no
+// GuaranteeObjective is the time within which work within a team's guarantee is to start, 0 if no
 // objective says so.
-func (s *Settings) Guarantee() model.Micros {
+func (s *Settings) GuaranteeObjective() model.Micros {
 	for _, objective := range s.Params.Objectives {
 		if objective.Kind == objectiveGuarantee && objective.WithinS > 0 {
 			return model.Seconds(objective.WithinS)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,8 +11,8 @@
 	"woadweir/internal/spill"
 )
 
-// Operator is the operators' own file, with the policies of the files beside it.
-type Operator struct {
+// OperatorSettings is the operators' own file, with the policies of the files beside it.
+type OperatorSettings struct {
 	XMLName           xml.Name `xml:"woadweir"`
 	ExtraCapacityRate Number   `xml:"extra-capacity-rate"`
 	LoopPeriodS       Number   `xml:"loop-period-s"`
@@ -43,9 +43,9 @@
 	return nil
 }
 
-// DefaultOperator is what holds where the operators' file says nothing.
-func DefaultOperator() *Operator {
-	return &Operator{
+// DefaultOperatorSettings is what holds where the operators' file says nothing.
+func DefaultOperatorSettings() *OperatorSettings {
+	return &OperatorSettings{
 		ExtraCapacityRate: 0.1,
 		LoopPeriodS:       10,
 		Granularity:       5,
@@ -54,9 +54,9 @@
 	}
 }
 
-// LoadOperator reads and checks the operators' file; an empty path gives the defaults.
-func LoadOperator(path string) (*Operator, error) {
-	operator := DefaultOperator()
+// LoadOperatorSettings reads and checks the operators' file; an empty path gives the defaults.
+func LoadOperatorSettings(path string) (*OperatorSettings, error) {
+	operator := DefaultOperatorSettings()
 	if path == "" {
 		return operator, nil
 	}
@@ -73,7 +73,7 @@
 	return operator, nil
 }
 
-func (o *Operator) check() error {
+func (o *OperatorSettings) check() error {
 	err := checkRanges([]fieldRange{
 		{"extra-capacity-rate", float64(o.ExtraCapacityRate), 0, 1, true},
 		{"loop-period-s", float64(o.LoopPeriodS), 0.1, 600, true},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,13 +13,13 @@
 
 // Settings is the platform's file. Fields it does not name are ignored.
 type Settings struct {
-	NodeName string    `toml:"node_name"`
-	Area     string    `toml:"area"`
-	ServeOn  string    `toml:"serve_on"` // address for users and workers
-	Back     string    `toml:"back"`     // address for the other controllers
-	Siblings []Sibling `toml:"siblings"`
-	Services Services  `toml:"services"`
-	Params   Params    `toml:"params"`
+	NodeName    string    `toml:"node_name"`
+	Area        string    `toml:"area"`
+	ServeOn     string    `toml:"serve_on"` // address for users and workers
+	PeerAddress string    `toml:"back"`     // address for the other controllers
+	Siblings    []Sibling `toml:"siblings"`
+	Services    Services  `toml:"services"`
+	Params      Params    `toml:"params"`
 }
 
 // Sibling is another controller of this deployment.
@@ -58,11 +58,11 @@
 
 // Objective is a service level objective for the jobs of a class.
 type Objective struct {
-	Kind    string  `toml:"kind"` // one of the objective kinds below
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"` // of the job's deadline
+	Kind             string  `toml:"kind"` // one of the objective kinds below
+	Class            string  `toml:"class"`
+	WithinS          float64 `toml:"within_s"`
+	Share            float64 `toml:"share"`
+	DeadlineMultiple float64 `toml:"times"` // of the job's deadline
 }
 
 // Workers are the times of the protocol with the workers.
@@ -128,14 +128,14 @@
 func Parse(raw []byte) (*Settings, error) {
 	settings := new(Settings)
 	if err := toml.Unmarshal(raw, settings); err != nil {
-		return nil, nameField(err)
+		return nil, addFieldPath(err)
 	}
 	return settings, settings.check()
 }
 
-// nameField adds the path of the field to an error of the TOML decoder, which names the
+// addFieldPath adds the path of the field to an error of the TOML decoder, which names the
 // Go type instead.
-func nameField(err error) error {
+func addFieldPath(err error) error {
 	var decodeError *toml.DecodeError
 	if !errors.As(err, &decodeError) || len(decodeError.Key()) == 0 {
 		return err
--- a/internal/controller/bindings.go
+++ b/internal/controller/bindings.go
@@ -14,22 +14,22 @@
 
 // writeBindings makes the scheduler's changes durable, one transaction at a time.
 func (l *leader) writeBindings() {
-	c := l.c
-	if !c.lanes.free(laneBindings, c.now) || l.resync || l.shard.Queued() == 0 {
+	c := l.controller
+	if !c.lanes.isFree(laneBindings, c.now) || l.resync || l.shard.PendingWrites() == 0 {
 		return
 	}
-	limit := min(c.limits.TxnOps, c.budget.Left(c.now))
+	limit := min(c.limits.TxnOps, c.writeBudget.Left(c.now))
 	if limit < 1 {
 		return
 	}
-	l.shard.Params.Dense = c.dense()
+	l.shard.Params.DenseBundles = c.usesDenseLayout()
 	writes := l.shard.Writes(limit, maxTxnBytes)
 	if len(writes) == 0 {
 		return
 	}
 	for i := range writes {
 		if end, ok := writes[i].Value.(shard.JobRecord); ok {
-			end.AtMs = c.wall()
+			end.EndedMs = c.wallClockMs()
 			writes[i].Value = end
 		}
 	}
@@ -46,7 +46,7 @@
 		if key == "" {
 			key = state.BundleKey(shardName, w.Slot)
 		}
-		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: l.c.view.Revisions[key]})
+		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: l.controller.view.Revisions[key]})
 		txn.Then = append(txn.Then, state.Op{Set: key, Value: w.Value})
 	}
 	return txn
@@ -54,15 +54,15 @@
 
 // bindingsCommitted handles the outcome of a transaction of the scheduler's writes.
 func (l *leader) bindingsCommitted(m msgCommitted) {
-	c := l.c
+	c := l.controller
 	switch {
 	case m.err != nil:
 		l.bindingsFailed(m)
-	case m.res.OK:
-		c.view.Apply(m.txn, m.res.Revision)
+	case m.result.OK:
+		c.view.Apply(m.txn, m.result.Revision)
 		l.shard.Committed(m.writes, c.now)
 	default:
-		slog.Info("conflict", "keys", m.res.Failed)
+		slog.Info("conflict", "keys", m.result.Failed)
 		if m.lostGrant() {
 			c.stepDown(reasonGrantLost)
 			return
@@ -77,13 +77,13 @@
 func (l *leader) bindingsFailed(m msgCommitted) {
 	slog.Debug("commit", "err", m.err)
 	if errors.Is(m.err, state.ErrTooBig) {
-		l.c.lowerStateLimits(m.err)
-		l.shard.Params.MaxValue = l.c.maxValue()
+		l.controller.lowerStateLimits(m.err)
+		l.shard.Params.MaxValue = l.controller.maxValueBytes()
 		l.shard.RetryTooLarge(m.writes)
 	} else {
 		l.shard.Retry(m.writes, !state.NotExecuted(m.err))
 	}
-	if l.c.writeFailed(m) {
+	if l.controller.writeFailed(m) {
 		l.needSync()
 	}
 }
--- /dev/null
+++ b/internal/controller/borrowing_offers.go
@@ -0,0 +1,164 @@
+package controller
+
+import (
+	"go.opentelemetry.io/otel/attribute"
+
+	"woadweir/internal/core/autoscaler"
+	"woadweir/internal/core/model"
+	"woadweir/internal/spill"
+)
+
+// Limits of the jobs that are taken in.
+const (
+	maxNotStarted     = 4                 // jobs taken in the hope of machines, not yet begun
+	ownJobMaxWait     = 5 * model.Second  // own work that waits for so long keeps others' out
+	offerRetryPause   = 10 * model.Second // after which a refused cell may ask again
+	cloudRefusalPause = 60 * model.Second // a cloud that refused so long ago may have machines again
+)
+
+// Numbers that take as many digits as any that a record may hold.
+const (
+	longestToken  = 1 << 62
+	longestTimeMs = 1 << 50
+)
+
+// answerOffer answers another cell that asks whether a job is taken, or lends it.
+func (s *spillManager) answerOffer(offer *spill.Offer) *spill.OfferAnswer {
+	answer := &spill.OfferAnswer{WorkerLease: model.Seconds(s.leader.controller.settings.Params.Workers.LeaseS)}
+	answer.Refusal, answer.Detail = s.refusal(offer)
+	if s.policy != nil {
+		answer.Cell = s.policy.Cell
+	}
+	if answer.Refusal != spill.NotRefused {
+		answer.RetryAfter = offerRetryPause
+		return answer
+	}
+	key := spill.InKey(offer.Home, offer.Spec.ID)
+	if _, pending := s.pendingChanges[key]; offer.Token == 0 || s.hasBorrowed(key, offer.Token) || pending {
+		return answer
+	}
+	trace := recordSpan(offer.Trace, "take in", offer.Spec.ID, attribute.String("home", offer.Home), attribute.Int64("token", int64(offer.Token)))
+	s.queueChange(key, spillChange{value: spill.InRecord{
+		Home:    offer.Home,
+		Token:   offer.Token,
+		State:   spill.Accepted,
+		Spec:    offer.Spec,
+		Done:    offer.Done,
+		SinceMs: s.leader.controller.wallClockMs(),
+		Trace:   trace,
+	}})
+	return answer
+}
+
+// hasBorrowed tells whether a job is known as lent under a token.
+func (s *spillManager) hasBorrowed(key string, token uint64) bool {
+	hosting := s.borrowedJobs[key]
+	return hosting != nil && hosting.Token == token
+}
+
+// refusal tells why a job is not taken, and more about it for logs.
+func (s *spillManager) refusal(offer *spill.Offer) (spill.Refusal, string) {
+	c, jobID := s.leader.controller, offer.Spec.ID
+	key := spill.InKey(offer.Home, jobID)
+	if !s.isEnabled() || !s.policy.HasNeighbour(offer.Home) {
+		return spill.Disabled, "not set up to take jobs of " + offer.Home
+	}
+	if offer.Token != 0 && s.hasBorrowed(key, offer.Token) {
+		return spill.NotRefused, ""
+	}
+	if s.isStale(key, offer.Token) {
+		return spill.Stale, ""
+	}
+	if c.view.Known(jobID) {
+		return spill.OwnJob, ""
+	}
+	if s.isBorrowed(jobID) {
+		return spill.Stale, "lent by another cell"
+	}
+	spec := offer.Spec.Job(0)
+	if why := spec.InfeasibleReason(c.teams, c.view.MachineTypes); why != "" {
+		return spill.CannotRun, why
+	}
+	if spec.Kind == model.Service || len(offer.Spec.Awaits) > 0 || !c.fitsValue(largestRecord(offer, spec)) {
+		return spill.CannotRun, "its kind or its record's size"
+	}
+	if at, unknown := s.unknownJobs[key]; unknown && c.now-at < unknownJobPause {
+		return spill.CannotRun, "the workers do not know it"
+	}
+	if offer.Token != 0 {
+		return spill.NotRefused, "" // it was asked before
+	}
+	if s.leader.shard.OwnWorkWaits(ownJobMaxWait, c.now) {
+		return spill.Busy, ""
+	}
+	if !s.canRun(offer, spec) {
+		return spill.NoRoom, ""
+	}
+	return spill.NotRefused, ""
+}
+
+// largestRecord is a guest's record of a job, with the longest numbers and all tasks done.
+func largestRecord(offer *spill.Offer, spec *model.Job) spill.InRecord {
+	return spill.InRecord{Home: offer.Home, Token: longestToken, State: spill.Accepted, Spec: offer.Spec, Done: make([]byte, spec.Tasks/8+1), SinceMs: longestTimeMs}
+}
+
+// isStale tells that an earlier lending of a job is not gone yet, or that a later one than
+// that under the token is known.
+func (s *spillManager) isStale(key string, token uint64) bool {
+	if job := s.leader.shard.Jobs[borrowedJobID(key)]; job != nil && job.HomeCell != "" {
+		return true
+	}
+	hosting := s.borrowedJobs[key]
+	if hosting == nil {
+		return false
+	}
+	gone := hosting.IsReturned() || hosting.IsLendingOver()
+	return !gone || token != 0 && token < hosting.Token
+}
+
+// canRun tells whether a job would begin soon: beside room that is left beyond this
+// cell's own headroom, or on machines that the cloud may have.
+func (s *spillManager) canRun(offer *spill.Offer, spec *model.Job) bool {
+	c := s.leader.controller
+	done := model.TaskSetFromBytes(offer.Done)
+	job := &model.JobState{Job: spec, Done: done}
+	minTasks := 1
+	if spec.Kind == model.Gang {
+		minTasks = spec.Tasks
+	}
+	if !s.leader.shard.WithinLimit(spec, minTasks) {
+		return false
+	}
+	unbegun := 0
+	for _, hosting := range s.borrowedJobs {
+		if !hosting.HasStarted() && !hosting.IsLendingOver() {
+			unbegun++
+		}
+	}
+	if unbegun >= maxNotStarted {
+		return false
+	}
+	if s.leader.shard.HasRoomFor(spec, s.minTasksPlaced(job), float64(c.operator.ExtraCapacityRate)) {
+		return true
+	}
+	return s.leader.cloudHealth.isHealthy() && s.mayRentFor(spec)
+}
+
+// mayRentFor tells whether the cloud may have a machine for a job: it has not refused all
+// that fit a moment ago.
+func (s *spillManager) mayRentFor(spec *model.Job) bool {
+	for name, machineType := range s.leader.shard.MachineTypes {
+		if !spec.Request.Fits(machineType.Size()) {
+			continue
+		}
+		for _, zone := range machineType.Zones {
+			for _, spot := range []bool{false, true} {
+				at, refused := s.refusedOffers[autoscaler.Offer{MachineType: name, Zone: zone, Spot: spot}]
+				if spec.Allows(name, zone, spot) && (!refused || s.leader.controller.now-at > cloudRefusalPause) {
+					return true
+				}
+			}
+		}
+	}
+	return false
+}
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -11,7 +11,7 @@
 // cancel answers a cancellation, or queues it to be made durable. Cancelling an ended
 // job changes nothing.
 func (c *controller) cancel(m msgCancel) {
-	if end, ended := c.view.Final(m.jobID); ended {
+	if end, ended := c.view.EffectiveEnd(m.jobID); ended {
 		m.reply <- userapi.Accepted(http.StatusOK, m.jobID, end)
 		return
 	}
@@ -21,7 +21,7 @@
 // enqueueCancellation queues a cancellation after the read barrier, before all waiting
 // submissions: a cancellation frees capacity.
 func (c *controller) enqueueCancellation(m msgCancel) {
-	if end, ended := c.view.Final(m.jobID); ended {
+	if end, ended := c.view.EffectiveEnd(m.jobID); ended {
 		m.reply <- userapi.Accepted(http.StatusOK, m.jobID, end)
 		return
 	}
@@ -37,7 +37,7 @@
 // the limit was larger at its acceptance, the other fields are left out.
 func (c *controller) cancelledRecord(submission *model.Submission) shard.JobRecord {
 	record := shard.JobRecord{Spec: submission, End: model.JobCancelled}
-	if !c.fits(record) {
+	if !c.fitsValue(record) {
 		reduced := *submission
 		reduced.Class, reduced.Image, reduced.MachineTypes, reduced.Awaits = "-", "-", nil, nil
 		record.Spec = &reduced
--- a/internal/controller/cells.go
+++ b/internal/controller/cells.go
@@ -25,8 +25,8 @@
 		offer     *spill.Offer
 		answer    *spill.OfferAnswer
 		err       error
-		sent      model.Micros
-		term      uint64
+		sentAt    model.Micros
+		token     uint64
 	}
 	// msgRenewed is the end of a question for the right to run lent jobs.
 	msgRenewed struct {
@@ -34,8 +34,8 @@
 		renewal *spill.Renewal
 		answer  *spill.RenewalAnswer
 		err     error
-		sent    model.Micros
-		term    uint64
+		sentAt  model.Micros
+		token   uint64
 	}
 	// msgOffer and msgRenewal are other cells' calls.
 	msgOffer struct {
@@ -58,16 +58,16 @@
 	err    error
 }
 
-// cellTimeout is how long a call to another cell may take.
-const cellTimeout = 2 * time.Second
+// cellCallTimeout is how long a call to another cell may take.
+const cellCallTimeout = 2 * time.Second
 
 // cellIO sends the calls to other cells, each in a goroutine of its own.
 type cellIO struct {
-	io      *inputOutput
+	io      *asyncEffects
 	clients map[string]*cellrpc.Client
 }
 
-func newCellIO(io *inputOutput, policy *spill.Policy) (*cellIO, error) {
+func newCellIO(io *asyncEffects, policy *spill.Policy) (*cellIO, error) {
 	cells := &cellIO{io: io, clients: map[string]*cellrpc.Client{}}
 	for i := range policy.Neighbours {
 		neighbour := &policy.Neighbours[i]
@@ -82,7 +82,7 @@
 
 func (x *cellIO) offer(m msgOffered) {
 	go func() {
-		ctx, cancel := context.WithTimeout(x.io.ctx, cellTimeout)
+		ctx, cancel := context.WithTimeout(x.io.ctx, cellCallTimeout)
 		defer cancel()
 		m.err = spill.ErrUnreachable
 		if client := x.clients[m.cell]; client != nil {
@@ -97,7 +97,7 @@
 
 func (x *cellIO) renew(m msgRenewed) {
 	go func() {
-		ctx, cancel := context.WithTimeout(x.io.ctx, cellTimeout)
+		ctx, cancel := context.WithTimeout(x.io.ctx, cellCallTimeout)
 		defer cancel()
 		m.err = spill.ErrUnreachable
 		if client := x.clients[m.home]; client != nil {
@@ -113,7 +113,7 @@
 // Offer answers another cell's offer.
 func (f *frontend) Offer(offer *spill.Offer) (*spill.OfferAnswer, error) {
 	reply := make(chan offerReply, 1)
-	answered, got := ask(f.mail, msgOffer{offer, reply}, reply, cellAnswerTimeout)
+	answered, got := ask(f.mailbox, msgOffer{offer, reply}, reply, cellAnswerTimeout)
 	if !got {
 		return nil, spill.ErrUnreachable
 	}
@@ -123,39 +123,39 @@
 // Renew answers another cell's question for the right to run.
 func (f *frontend) Renew(renewal *spill.Renewal) (*spill.RenewalAnswer, error) {
 	reply := make(chan renewalReply, 1)
-	answered, got := ask(f.mail, msgRenewal{renewal, reply}, reply, cellAnswerTimeout)
+	answered, got := ask(f.mailbox, msgRenewal{renewal, reply}, reply, cellAnswerTimeout)
 	if !got {
 		return nil, spill.ErrUnreachable
 	}
 	return answered.answer, answered.err
 }
 
-// takeCellMessage takes a message from or about another cell. Only a holder with authority answers other
+// handleCellMessage takes a message from or about another cell. Only a holder with authority answers other
 // cells.
-func (c *controller) takeCellMessage(m any) {
+func (c *controller) handleCellMessage(m any) {
 	l := c.leading
-	holds := l != nil && l.ready && c.auth.IsValid(c.now)
+	holds := l != nil && l.ready && c.authority.IsValid(c.now)
 	switch m := m.(type) {
 	case msgOffer:
 		if !holds {
 			m.reply <- offerReply{nil, spill.ErrNotHolder}
 			return
 		}
-		m.reply <- offerReply{l.spill.takeOffer(m.offer), nil}
+		m.reply <- offerReply{l.spill.answerOffer(m.offer), nil}
 	case msgRenewal:
 		if !holds {
 			m.reply <- renewalReply{nil, spill.ErrNotHolder}
 			return
 		}
-		answer, err := l.spill.renewal(m.renewal)
+		answer, err := l.spill.answerRenewal(m.renewal)
 		m.reply <- renewalReply{answer, err}
 	case msgOffered:
-		if l != nil && l.ready && l.token == m.term {
-			l.spill.offered(m)
+		if l != nil && l.ready && l.token == m.token {
+			l.spill.offerAnswered(m)
 		}
 	case msgRenewed:
-		if l != nil && l.ready && l.token == m.term {
-			l.spill.renewed(m)
+		if l != nil && l.ready && l.token == m.token {
+			l.spill.renewalAnswered(m)
 		}
 	}
 }
--- a/internal/controller/cloud_health.go
+++ b/internal/controller/cloud_health.go
@@ -10,8 +10,8 @@
 func (h *cloudHealth) failed(now model.Micros)    { h.lastFailure = now }
 func (h *cloudHealth) succeeded(now model.Micros) { h.lastSuccess = now }
 
-// healthy reports whether the latest call to the cloud succeeded.
-func (h *cloudHealth) healthy() bool { return h.lastSuccess > h.lastFailure }
+// isHealthy reports whether the latest call to the cloud succeeded.
+func (h *cloudHealth) isHealthy() bool { return h.lastSuccess > h.lastFailure }
 
 // failedWithin reports whether a call to the cloud failed less than that long ago.
 func (h *cloudHealth) failedWithin(span, now model.Micros) bool {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -19,30 +19,30 @@
 // goroutine of run only. The concerns that need little of each other are kept in structs
 // of their own.
 type controller struct {
-	set   *config.Settings
-	op    *config.Operator
-	teams map[string]*model.Team
+	settings *config.Settings
+	operator *config.OperatorSettings
+	teams    map[string]*model.Team
 
 	// What reaches the world outside the actor.
-	clock  Clock
-	wall   func() int64   // the time of day in ms
-	jitter func() float64 // random numbers from 0 to 1
-	io     effects
-	cells  cellCalls // nil: there are no other cells
+	clock       Clock
+	wallClockMs func() int64   // the time of day in ms
+	jitter      func() float64 // random numbers from 0 to 1
+	io          effects
+	cells       cellCalls // nil: there are no other cells
 
 	// now is when the present message or step was begun.
 	now model.Micros
 
 	// The view of the state service's records, and what its records allow to rely on.
-	view    *state.View
-	loaded  bool // the view has been listed
-	sync    viewSync
-	layouts map[string]int // by controller: the newest layout of records that it was seen to read
+	view       *state.View
+	viewLoaded bool // the view has been listed
+	sync       viewSync
+	layouts    map[string]int // by controller: the newest layout of records that it was seen to read
 
 	// Writes to the state service.
-	limits config.Limits // of the state service
-	budget *state.Budget
-	lanes  transactionLanes
+	limits      config.Limits // of the state service
+	writeBudget *state.Budget
+	lanes       transactionLanes
 
 	// Users' requests.
 	userWrites   userWriteQueue
@@ -53,32 +53,32 @@
 	relay    heartbeatRelay
 
 	// Leadership and duties.
-	auth     leadership.Authority
-	session  uint64  // 0: none
-	resigned uint64  // the session given up last, whatever is heard of it later
-	leading  *leader // nil: this controller does not lead
-	duties   *dutyHolder
+	authority       leadership.Authority
+	session         uint64  // 0: none
+	resignedSession uint64  // the session given up last, whatever is heard of it later
+	leading         *leader // nil: this controller does not lead
+	duties          *dutyManager
 }
 
-func newController(set *config.Settings, op *config.Operator, leaseTimes leadership.LeaseTimes, clock Clock, io effects) *controller {
+func newController(set *config.Settings, op *config.OperatorSettings, leaseTimes leadership.LeaseTimes, clock Clock, io effects) *controller {
 	limits := set.StateLimits()
 	c := &controller{
-		set:     set,
-		op:      op,
-		teams:   set.Teams(),
-		clock:   clock,
-		wall:    func() int64 { return time.Now().UnixMilli() },
-		jitter:  rand.Float64,
-		io:      io,
-		view:    state.NewView(),
-		sync:    newViewSync(len(set.Siblings)+1, limits.RPS),
-		layouts: map[string]int{},
-		limits:  limits,
-		relay:   newHeartbeatRelay(set),
-		auth:    leadership.Authority{Times: leaseTimes},
+		settings:    set,
+		operator:    op,
+		teams:       set.Teams(),
+		clock:       clock,
+		wallClockMs: func() int64 { return time.Now().UnixMilli() },
+		jitter:      rand.Float64,
+		io:          io,
+		view:        state.NewView(),
+		sync:        newViewSync(len(set.Siblings)+1, limits.RPS),
+		layouts:     map[string]int{},
+		limits:      limits,
+		relay:       newHeartbeatRelay(set),
+		authority:   leadership.Authority{Times: leaseTimes},
 	}
-	c.budget = state.NewBudget(c.writeShare(false))
-	c.duties = newDutyHolder(c, op.Duties)
+	c.writeBudget = state.NewBudget(c.writeShare(false))
+	c.duties = newDutyManager(c, op.Duties)
 	return c
 }
 
@@ -89,35 +89,35 @@
 		case <-ctx.Done():
 			return nil
 		case m := <-mail:
-			c.take(m)
-			c.takeWaiting(mail)
+			c.handle(m)
+			c.handleQueued(mail)
 		}
 		c.step()
 	}
 }
 
-// takeWaiting takes the messages that wait already, up to a batch.
-func (c *controller) takeWaiting(mail <-chan any) {
+// handleQueued takes the messages that wait already, up to a batch.
+func (c *controller) handleQueued(mail <-chan any) {
 	for range messageBatch {
 		select {
 		case m := <-mail:
-			c.take(m)
+			c.handle(m)
 		default:
 			return
 		}
 	}
 }
 
-// take handles a message.
-func (c *controller) take(m any) {
+// handle handles a message.
+func (c *controller) handle(m any) {
 	c.now = c.clock()
-	if !c.takeRequest(m) && !c.takeOutcome(m) {
+	if !c.handleRequest(m) && !c.handleOutcome(m) {
 		panic("node: unknown message")
 	}
 }
 
-// takeRequest handles a message if it asks this controller for something.
-func (c *controller) takeRequest(m any) bool {
+// handleRequest handles a message if it asks this controller for something.
+func (c *controller) handleRequest(m any) bool {
 	switch m := m.(type) {
 	case msgTick:
 		c.duties.lag.ticked(c.now)
@@ -128,22 +128,22 @@
 	case msgCancel:
 		c.cancel(m)
 	case msgHealthCheck:
-		m.reply <- c.healthy()
+		m.reply <- c.isHealthy()
 	case msgPing:
-		m.reply <- pingReply{stateReached: c.loaded && !c.sync.suspect(c.now), workers: c.relay.directWorkers(c.now)}
+		m.reply <- pingReply{stateReached: c.viewLoaded && !c.sync.suspectsOutage(c.now), workers: c.relay.directWorkers(c.now)}
 	case msgHeartbeat:
 		c.handleHeartbeat(m)
 	case msgOffer, msgRenewal:
-		c.takeCellMessage(m)
+		c.handleCellMessage(m)
 	default:
 		return false
 	}
 	return true
 }
 
-// takeOutcome handles a message if it is the outcome of what this controller has asked
+// handleOutcome handles a message if it is the outcome of what this controller has asked
 // for.
-func (c *controller) takeOutcome(m any) bool {
+func (c *controller) handleOutcome(m any) bool {
 	switch m := m.(type) {
 	case msgSynced:
 		c.synced(m)
@@ -156,7 +156,7 @@
 	case msgRelayFailed:
 		c.relay.relayFailed(c.now)
 	case msgMachineTypes:
-		c.gotMachineTypes(m)
+		c.machineTypesFetched(m)
 	case msgListed:
 		c.listed(m)
 	case msgRented:
@@ -164,7 +164,7 @@
 	case msgDeleted:
 		c.deleted(m)
 	case msgOffered, msgRenewed:
-		c.takeCellMessage(m)
+		c.handleCellMessage(m)
 	default:
 		return false
 	}
@@ -179,7 +179,7 @@
 	c.startProbe()
 	c.elect()
 	c.duties.step()
-	c.writeUserChanges()
+	c.sendUserWrites()
 	if c.leading != nil {
 		c.lead()
 	}
--- a/internal/controller/duty_cleanup.go
+++ b/internal/controller/duty_cleanup.go
@@ -11,15 +11,15 @@
 // cleanupPeriod is how often the holder of the cleanup duty looks for unneeded keys.
 const cleanupPeriod = 5 * model.Second
 
-// clean removes keys that nobody needs, if this controller holds that duty.
-func (d *dutyHolder) clean(s *duty.Situation) {
-	c := d.c
+// cleanUp removes keys that nobody needs, if this controller holds that duty.
+func (d *dutyManager) cleanUp(s *duty.Snapshot) {
+	c := d.controller
 	token, mine := s.Holds(duty.Cleanup)
-	if !mine || c.now-d.cleanAt < cleanupPeriod {
+	if !mine || c.now-d.lastCleanupAt < cleanupPeriod {
 		return
 	}
-	d.cleanAt = c.now
-	removals := d.cleaner.Plan(c.now, d.unneeded(), min(c.limits.TxnOps, c.budget.Left(c.now)))
+	d.lastCleanupAt = c.now
+	removals := d.cleaner.Plan(c.now, d.unneeded(), min(c.limits.TxnOps, c.writeBudget.Left(c.now)))
 	if len(removals) == 0 {
 		return
 	}
@@ -33,9 +33,9 @@
 }
 
 // unneeded lists what could be removed were it to stay as it is.
-func (d *dutyHolder) unneeded() []duty.Unneeded {
-	v := d.c.view
-	var list []duty.Unneeded
+func (d *dutyManager) unneeded() []duty.UnneededKey {
+	v := d.controller.view
+	var list []duty.UnneededKey
 	for key, intent := range v.Rentals {
 		if intent.State != duty.Open {
 			list = append(list, duty.UnneededIntent(key, v.Revisions[key]))
--- a/internal/controller/duty_cloud.go
+++ b/internal/controller/duty_cloud.go
@@ -13,26 +13,26 @@
 const cloudProbePeriod = 4 * model.Second
 
 // probeCloud asks the cloud for something if a duty is held that needs it.
-func (d *dutyHolder) probeCloud(s *duty.Situation) {
+func (d *dutyManager) probeCloud(s *duty.Snapshot) {
 	_, rents := d.held[duty.Renting]
 	_, returns := d.held[duty.Returning]
 	switch {
 	case !rents && !returns:
 		d.cloudFailingSince = 0
-	case d.c.leading == nil && s.Now-d.cloudAskedAt >= cloudProbePeriod: // a leader reads the machine list anyway
-		d.cloudAskedAt = s.Now
-		d.c.io.fetchMachineTypes()
+	case d.controller.leading == nil && s.Now-d.cloudCalledAt >= cloudProbePeriod: // a leader reads the machine list anyway
+		d.cloudCalledAt = s.Now
+		d.controller.io.fetchMachineTypes()
 	}
 }
 
 // cloudAnswered takes note of whether the cloud has answered a call. That it is asked too
 // often, or has no capacity, is an answer.
-func (d *dutyHolder) cloudAnswered(err error) {
-	d.cloudAskedAt = d.c.now
+func (d *dutyManager) cloudAnswered(err error) {
+	d.cloudCalledAt = d.controller.now
 	switch {
 	case err == nil, errors.Is(err, cloud.ErrBusy), errors.Is(err, cloud.ErrNoCapacity):
 		d.cloudFailingSince = 0
 	case d.cloudFailingSince == 0:
-		d.cloudFailingSince = d.c.now
+		d.cloudFailingSince = d.controller.now
 	}
 }
--- a/internal/controller/duty_leases.go
+++ b/internal/controller/duty_leases.go
@@ -17,30 +17,30 @@
 	span tracing.Span
 }
 
-// noteHeld logs which duties this controller has acquired, and which it has lost and why.
-func (d *dutyHolder) noteHeld(s *duty.Situation) {
-	leader := d.c.view.Leader
+// updateHeld logs which duties this controller has acquired, and which it has lost and why.
+func (d *dutyManager) updateHeld(s *duty.Snapshot) {
+	leader := d.controller.view.Leader
 	for _, name := range duty.Movable {
 		token, mine := s.Holds(name)
 		before := d.held[name]
 		lease := s.Leases[name]
 		if before != 0 && before != token {
 			delete(d.held, name)
-			slog.Info("duty lost", "duty", name, "token", before, "why", d.whyLost(s, lease))
+			slog.Info("duty lost", "duty", name, "token", before, "why", d.lossReason(s, lease))
 		}
 		if mine && before != token {
 			d.held[name] = token
-			d.vacancies.ended(name, s.Now)
+			d.vacancies.acquired(name, s.Now)
 			slog.Info("duty held", "duty", name, "token", token, "previous", lease.Previous, "previous_token", lease.PreviousToken, "why", lease.Why)
 		}
-		d.vacancies.observe(name, lease.Token == 0 && leader != nil && leader.Duties, s.Now)
+		d.vacancies.observe(name, lease.Token == 0 && leader != nil && leader.UsesIntents, s.Now)
 	}
 }
 
-// whyLost is why this controller does not hold a duty any more, for the log.
-func (d *dutyHolder) whyLost(s *duty.Situation, lease duty.Held) string {
+// lossReason is why this controller does not hold a duty any more, for the log.
+func (d *dutyManager) lossReason(s *duty.Snapshot, lease duty.StoredLease) string {
 	switch {
-	case d.c.session == 0:
+	case d.controller.session == 0:
 		return "the session is over"
 	case s.Session == 0:
 		return "no authority: the state service was not reached in time"
@@ -52,13 +52,13 @@
 }
 
 // writeLease acquires a duty or hands it over.
-func (d *dutyHolder) writeLease(action duty.Action) {
-	c := d.c
+func (d *dutyManager) writeLease(action duty.Action) {
+	c := d.controller
 	step := "acquire"
 	if action.Kind == duty.HandOver {
 		step = "hand over"
 	}
-	span := tracing.Start(c.traceOf(action.Name), step, attribute.String("duty", string(action.Name)), attribute.String("holder", action.Lease.Holder))
+	span := tracing.Start(c.leaseTrace(action.Name), step, attribute.String("duty", string(action.Name)), attribute.String("holder", action.Lease.Holder))
 	action.Lease.Trace = span.Context()
 	key := action.Name.Key()
 	txn := &state.Txn{
@@ -68,12 +68,12 @@
 	if action.Kind == duty.HandOver {
 		txn.Conditions = append(txn.Conditions, state.Condition{Path: state.NodeKey(action.Successor.Name), Revision: action.Successor.Revision})
 	}
-	d.writing = &leaseWrite{action, span}
+	d.pendingLease = &leaseWrite{action, span}
 	c.send(laneDuty, msgCommitted{txn: txn, token: action.Token})
 }
 
-// traceOf is the trace context of a duty's present lease.
-func (c *controller) traceOf(name duty.Name) string {
+// leaseTrace is the trace context of a duty's present lease.
+func (c *controller) leaseTrace(name duty.Name) string {
 	if lease := c.view.Duties[name]; lease != nil {
 		return lease.Trace
 	}
@@ -81,10 +81,10 @@
 }
 
 // committed takes the end of a write to a lease, of outcomes or of removals.
-func (d *dutyHolder) committed(m msgCommitted) {
-	c := d.c
-	written := d.writing
-	d.writing = nil
+func (d *dutyManager) committed(m msgCommitted) {
+	c := d.controller
+	written := d.pendingLease
+	d.pendingLease = nil
 	failure := ""
 	switch {
 	case m.err != nil:
@@ -92,11 +92,11 @@
 		if c.writeFailed(m) {
 			d.needSync()
 		}
-	case m.res.OK:
-		c.view.Apply(m.txn, m.res.Revision)
+	case m.result.OK:
+		c.view.Apply(m.txn, m.result.Revision)
 	default:
 		failure = "refused"
-		d.refused(m)
+		d.logRefusedWrite(m)
 		if c.writeFailed(m) {
 			d.needSync()
 		}
@@ -109,16 +109,16 @@
 	}
 }
 
-// refused reports a write that the state service refused as another holds the duty.
-func (d *dutyHolder) refused(m msgCommitted) {
+// logRefusedWrite reports a write that the state service refused as another holds the duty.
+func (d *dutyManager) logRefusedWrite(m msgCommitted) {
 	for _, name := range duty.Movable {
-		if m.token != 0 && slices.Contains(m.res.Failed, name.Key()) {
-			slog.Info("fenced write refused", "duty", name, "token", m.token, "keys", m.res.Failed)
-			tracing.Start(d.c.traceOf(name), "refusal", attribute.String("duty", string(name)), attribute.Int64("token", int64(m.token))).End("held by another")
+		if m.token != 0 && slices.Contains(m.result.Failed, name.Key()) {
+			slog.Info("fenced write refused", "duty", name, "token", m.token, "keys", m.result.Failed)
+			tracing.Start(d.controller.leaseTrace(name), "refusal", attribute.String("duty", string(name)), attribute.Int64("token", int64(m.token))).End("held by another")
 		}
 	}
 }
 
-func (d *dutyHolder) needSync() {
-	d.c.needSync(&d.resync)
+func (d *dutyManager) needSync() {
+	d.controller.needSync(&d.resync)
 }
--- /dev/null
+++ b/internal/controller/duty_manager.go
@@ -0,0 +1,157 @@
+package controller
+
+import (
+	"woadweir/internal/core/model"
+	"woadweir/internal/duty"
+	"woadweir/internal/state"
+)
+
+// dutyStepPeriod is how often a controller looks at its duties.
+const dutyStepPeriod = 20 * model.Millisecond
+
+// enableRetryPeriod is how long after a write that enables intents the next may follow.
+const enableRetryPeriod = model.Second
+
+// dutyManager is a controller's part in single-holder duties: it acquires leases, carries
+// intents out and cleans up. It is part of the controller actor.
+type dutyManager struct {
+	controller    *controller
+	mayHoldDuties bool // it may hold duties without leading
+	keeper        *duty.LeasePlanner
+	cleaner       *duty.Cleaner
+	nodes         map[string]duty.Node // live controllers, by name
+	held          map[duty.Name]uint64 // fencing tokens of the duties that are held
+	vacancies     vacancyTimes
+	lag           lagDetector
+	resync        bool                   // a write failed: no further one before a catch-up
+	pendingLease  *leaseWrite            // the lease write in flight, nil: none
+	calls         map[string]*intentCall // by the intent's key
+
+	lastStepAt        model.Micros
+	lastCleanupAt     model.Micros
+	outcomesWrittenAt model.Micros // when outcomes were last written
+	cloudCalledAt     model.Micros
+	cloudFailingSince model.Micros // 0: the cloud answers, or is not needed
+}
+
+func newDutyManager(c *controller, policy *duty.Policy) *dutyManager {
+	d := &dutyManager{
+		controller:    c,
+		mayHoldDuties: policy != nil,
+		cleaner:       duty.NewCleaner(),
+		nodes:         map[string]duty.Node{},
+		held:          map[duty.Name]uint64{},
+		vacancies:     newVacancyTimes(),
+		calls:         map[string]*intentCall{},
+	}
+	if policy == nil {
+		policy = duty.LeaderOnly()
+	}
+	d.keeper = duty.NewLeasePlanner(policy)
+	return d
+}
+
+// hasRecords tells that the state service holds records of duties, so that every
+// controller has to respect them.
+func (d *dutyManager) hasRecords() bool {
+	v := d.controller.view
+	return v.Leader != nil && v.Leader.UsesIntents || len(v.Duties)+len(v.Rentals)+len(v.Returns) > 0
+}
+
+// shouldUseIntents tells whether a leader is to rent and return through intents: somebody has
+// begun to, or the operators want it and every controller understands the records.
+func (d *dutyManager) shouldUseIntents() bool {
+	return d.hasRecords() || d.mayHoldDuties && d.allReadDutyRecords()
+}
+
+// allReadDutyRecords tells whether every controller reads the records of duties, by the version
+// that each has run last: one may have gone back to the version before in the middle of
+// an upgrade, and would stop at them.
+func (d *dutyManager) allReadDutyRecords() bool {
+	return d.controller.allControllersHave(d.controller.view.Layouts, state.LayoutDuties)
+}
+
+// step does what is due.
+func (d *dutyManager) step() {
+	c := d.controller
+	if !c.viewLoaded || c.now-d.lastStepAt < dutyStepPeriod || !d.mayHoldDuties && !d.hasRecords() {
+		return
+	}
+	d.lastStepAt = c.now
+	d.enableIntents()
+	s := d.situation()
+	d.updateHeld(&s)
+	d.probeCloud(&s)
+	d.executeIntents(&s)
+	if !c.lanes.isFree(laneDuty, c.now) || d.resync || s.Session == 0 {
+		return
+	}
+	if l := c.view.Leader; l != nil && l.UsesIntents {
+		if action, ok := d.keeper.Decide(&s); ok {
+			d.writeLease(action)
+			return
+		}
+	}
+	if !d.writeOutcomes(&s, duty.Renting) && !d.writeOutcomes(&s, duty.Returning) {
+		d.cleanUp(&s)
+	}
+}
+
+// enableIntents has a leader that was elected before all controllers understood the records
+// say that it acts through intents from now on.
+func (d *dutyManager) enableIntents() {
+	c := d.controller
+	l := c.leading
+	if l == nil || !l.ready || c.usesIntents() || !d.shouldUseIntents() || !c.lanes.isFree(laneMisc, c.now) || !c.authority.IsValid(c.now) {
+		return
+	}
+	grant := grantKey
+	c.lanes.pauseUntil(laneMisc, c.now+enableRetryPeriod)
+	c.send(laneMisc, msgCommitted{token: l.token, txn: &state.Txn{
+		Conditions: []state.Condition{{Path: state.LeaderKey, Revision: c.view.Revisions[state.LeaderKey]}, {Path: grant, Revision: l.token}},
+		Then:       []state.Op{{Set: state.LeaderKey, Value: c.leaderRecord(), LeaseID: c.session}},
+	}})
+}
+
+// situation is what the keeper looks at.
+func (d *dutyManager) situation() duty.Snapshot {
+	c := d.controller
+	s := duty.Snapshot{
+		Now:               c.now,
+		WallMs:            c.wallClockMs(),
+		Self:              c.settings.NodeName,
+		Overloaded:        d.lag.isOverloaded(c.now),
+		CloudFailingSince: d.cloudFailingSince,
+		Nodes:             d.liveNodes(),
+		Leases:            map[duty.Name]duty.StoredLease{},
+	}
+	if c.session != 0 && c.authority.IsValid(c.now) {
+		s.Session = c.session
+	}
+	if c.view.Leader != nil {
+		s.Leader = c.view.Leader.Node
+	}
+	for name, lease := range c.view.Duties {
+		s.Leases[name] = duty.StoredLease{Lease: *lease, Token: c.view.Revisions[name.Key()]}
+	}
+	return s
+}
+
+// liveNodes are the controllers whose sessions stand, with since when.
+func (d *dutyManager) liveNodes() map[string]duty.Node {
+	v := d.controller.view
+	for name := range d.nodes {
+		if v.Nodes[name] == nil {
+			delete(d.nodes, name)
+		}
+	}
+	for name, rec := range v.Nodes {
+		node, known := d.nodes[name]
+		if !known || node.Session != rec.Session {
+			node = duty.Node{Name: name, Session: rec.Session, Since: d.controller.now}
+		}
+		node.Candidate, node.Revision = rec.MayHoldDuties, v.Revisions[state.NodeKey(name)]
+		d.nodes[name] = node
+	}
+	return d.nodes
+}
--- a/internal/controller/duty_vacancies.go
+++ b/internal/controller/duty_vacancies.go
@@ -16,28 +16,28 @@
 	medianPercent = 50
 )
 
-// vacancyLog measures for how long duties are vacant before this controller holds them.
-type vacancyLog struct {
-	since     map[duty.Name]model.Micros
-	histogram *hdrhistogram.Histogram // of duties that this controller acquired
+// vacancyTimes measures for how long duties are vacant before this controller holds them.
+type vacancyTimes struct {
+	vacantSince map[duty.Name]model.Micros
+	histogram   *hdrhistogram.Histogram // of duties that this controller acquired
 }
 
-func newVacancyLog() vacancyLog {
-	return vacancyLog{since: map[duty.Name]model.Micros{}, histogram: hdrhistogram.New(1, maxVacancyMs, vacancyDigits)}
+func newVacancyTimes() vacancyTimes {
+	return vacancyTimes{vacantSince: map[duty.Name]model.Micros{}, histogram: hdrhistogram.New(1, maxVacancyMs, vacancyDigits)}
 }
 
 // observe records whether a duty is vacant now.
-func (v *vacancyLog) observe(name duty.Name, vacant bool, now model.Micros) {
+func (v *vacancyTimes) observe(name duty.Name, vacant bool, now model.Micros) {
 	if !vacant {
-		delete(v.since, name)
-	} else if _, known := v.since[name]; !known {
-		v.since[name] = now
+		delete(v.vacantSince, name)
+	} else if _, known := v.vacantSince[name]; !known {
+		v.vacantSince[name] = now
 	}
 }
 
-// ended records that this controller holds a duty from now on.
-func (v *vacancyLog) ended(name duty.Name, now model.Micros) {
-	since, known := v.since[name]
+// acquired records that this controller holds a duty from now on.
+func (v *vacancyTimes) acquired(name duty.Name, now model.Micros) {
+	since, known := v.vacantSince[name]
 	if !known {
 		return
 	}
--- a/internal/controller/io.go
+++ b/internal/controller/effects.go
@@ -50,30 +50,30 @@
 // errTooLate means that a call was not sent, as its authority was over.
 var errTooLate = errors.New("the authority for this call is over")
 
-// inputOutput executes the effects, each in a goroutine of its own.
-type inputOutput struct {
-	mail  chan<- any
-	clock Clock
-	state *state.Client
-	cloud *cloud.Client
-	peers []*peer.Client
-	name  string
-	ctx   context.Context
+// asyncEffects executes the effects, each in a goroutine of its own.
+type asyncEffects struct {
+	mailbox chan<- any
+	clock   Clock
+	state   *state.Client
+	cloud   *cloud.Client
+	peers   []*peer.Client
+	name    string
+	ctx     context.Context
 	// abandon tells the session actor of sessions that are given up.
 	abandon chan<- uint64
 }
 
 // send sends the outcome of an effect to the controller actor.
-func (io *inputOutput) send(m any) {
+func (io *asyncEffects) send(m any) {
 	select {
-	case io.mail <- m:
+	case io.mailbox <- m:
 	case <-io.ctx.Done():
 	}
 }
 
-func (io *inputOutput) sync(from uint64, list bool) {
+func (io *asyncEffects) sync(from uint64, list bool) {
 	go func() {
-		m := msgSynced{sent: io.clock()}
+		m := msgSynced{sentAt: io.clock()}
 		if list {
 			v := state.NewView()
 			m.view = v
@@ -88,21 +88,21 @@
 	}()
 }
 
-func (io *inputOutput) commit(m msgCommitted) {
+func (io *asyncEffects) commit(m msgCommitted) {
 	go func() {
-		m.res, m.err = io.state.Commit(m.txn, commitTimeout)
+		m.result, m.err = io.state.Commit(m.txn, commitTimeout)
 		io.send(m)
 	}()
 }
 
-func (io *inputOutput) fetchMachineTypes() {
+func (io *asyncEffects) fetchMachineTypes() {
 	go func() {
 		machineTypes, err := io.cloud.MachineTypes(cloudTimeout)
 		io.send(msgMachineTypes{machineTypes, err})
 	}()
 }
 
-func (io *inputOutput) listMachines() {
+func (io *asyncEffects) listMachines() {
 	go func() {
 		sent := io.clock()
 		machines, err := io.cloud.List(cloudTimeout)
@@ -111,24 +111,24 @@
 }
 
 // tooLate reports whether a call must not be sent any more.
-func (io *inputOutput) tooLate(call carryOut) bool {
-	return call.intent != "" && io.clock() >= call.until
+func (io *asyncEffects) tooLate(call intentRef) bool {
+	return call.intentKey != "" && io.clock() >= call.sendBefore
 }
 
 // rentMachines repeats a rental without an answer under its own name, which rents
 // nothing twice. A rental that carries out an intent is repeated by whoever holds it.
-func (io *inputOutput) rentMachines(m msgRented) {
+func (io *asyncEffects) rentMachines(m msgRented) {
 	go func() {
 		for attempt := 1; ; attempt++ {
-			if io.tooLate(m.carryOut) {
+			if io.tooLate(m.intentRef) {
 				m.err = errTooLate
 				break
 			}
 			m.machines, m.err = io.cloud.Rent(&m.rental, cloudTimeout)
-			if m.err == nil || errors.Is(m.err, cloud.ErrNoCapacity) || attempt == rentAttempts || m.intent != "" {
+			if m.err == nil || errors.Is(m.err, cloud.ErrNoCapacity) || attempt == rentAttempts || m.intentKey != "" {
 				break
 			}
-			if !pause(io.ctx, rentRetryPause) {
+			if !sleep(io.ctx, rentRetryPause) {
 				break
 			}
 		}
@@ -136,9 +136,9 @@
 	}()
 }
 
-func (io *inputOutput) deleteMachines(m msgDeleted) {
+func (io *asyncEffects) deleteMachines(m msgDeleted) {
 	go func() {
-		if m.err = errTooLate; !io.tooLate(m.carryOut) {
+		if m.err = errTooLate; !io.tooLate(m.intentRef) {
 			m.err = io.cloud.Delete(m.machineIDs, cloudTimeout)
 		}
 		io.send(m)
@@ -152,7 +152,7 @@
 	peer.Status
 }
 
-func (io *inputOutput) ping() {
+func (io *asyncEffects) ping() {
 	go func() {
 		ctx, cancel := context.WithTimeout(io.ctx, pingTimeout.Duration())
 		defer cancel()
@@ -180,7 +180,7 @@
 		if r.ReachesState {
 			m.serving = append(m.serving, r.name)
 		}
-		if r.RelaysReports {
+		if r.RelaysHeartbeats {
 			m.relays = append(m.relays, r.name)
 			workers[r.name] = r.Workers
 		}
@@ -189,7 +189,7 @@
 	return m
 }
 
-func (io *inputOutput) resign(session uint64, sibling string) {
+func (io *asyncEffects) resign(session uint64, sibling string) {
 	select {
 	case io.abandon <- session:
 	default: // too many wait to be ended; they expire
@@ -206,7 +206,7 @@
 }
 
 // resignThrough has a sibling end a session.
-func (io *inputOutput) resignThrough(session uint64, sibling string) {
+func (io *asyncEffects) resignThrough(session uint64, sibling string) {
 	ctx, cancel := context.WithTimeout(io.ctx, resignCallTimeout)
 	defer cancel()
 	for _, p := range io.peers {
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -10,10 +10,10 @@
 const (
 	electionPause = 300 * model.Millisecond // after an attempt
 	resignedPause = 5 * model.Second        // after resigning
-	// unreachedBeforeResigning is how long the state service has to be out of reach.
-	unreachedBeforeResigning = 2 * model.Second
-	// resignVotesNeeded is how many rounds of pings in a row have to speak for resigning.
-	resignVotesNeeded = 2
+	// minUnreachableBeforeResigning is how long the state service has to be out of reach.
+	minUnreachableBeforeResigning = 2 * model.Second
+	// resignRoundsNeeded is how many rounds of pings in a row have to speak for resigning.
+	resignRoundsNeeded = 2
 )
 
 // stepDownReason is why a controller stops leading, as the log has it.
@@ -31,26 +31,26 @@
 // sessionChanged handles a new session, the renewal of the present one, or its end.
 func (c *controller) sessionChanged(m msgSession) {
 	if m.id == 0 {
-		c.auth.Revoke()
+		c.authority.Revoke()
 		c.session = 0
 		c.stepDown(reasonSessionOver)
 		return
 	}
-	if m.id == c.resigned {
+	if m.id == c.resignedSession {
 		return
 	}
 	if m.id != c.session && c.session != 0 {
 		c.stepDown(reasonNewSession)
 	}
 	c.session = m.id
-	c.auth.Renewed(m.sent)
+	c.authority.Renewed(m.sentAt)
 }
 
 // elect tries to become the leader when there is none. When an earlier attempt was
 // executed but its answer was lost, the leader's key is there under our own session: then
 // only the grant is written, anew, as at any takeover.
 func (c *controller) elect() {
-	if c.leading != nil || c.session == 0 || !c.lanes.free(laneElection, c.now) || !c.auth.IsValid(c.now) {
+	if c.leading != nil || c.session == 0 || !c.lanes.isFree(laneElection, c.now) || !c.authority.IsValid(c.now) {
 		return
 	}
 	ours := c.view.Leader != nil && c.view.Leader.Session == c.session
@@ -62,8 +62,8 @@
 
 // electionTxn writes the grant, and the leader's key unless that is ours already.
 func (c *controller) electionTxn(leaderKeyOurs bool) *state.Txn {
-	grant := state.GrantRecord{Holder: c.set.NodeName, Session: c.session, Credit: c.fullCredit()}
-	if !c.fits(grant) {
+	grant := state.GrantRecord{Holder: c.settings.NodeName, Session: c.session, Credit: c.fullCredit()}
+	if !c.fitsValue(grant) {
 		grant.Credit = nil // which means every team's whole limit as well
 	}
 	txn := &state.Txn{
@@ -77,7 +77,7 @@
 
 // leaderRecord is what this controller writes as the leader.
 func (c *controller) leaderRecord() state.LeaderRecord {
-	return state.LeaderRecord{Node: c.set.NodeName, Session: c.session, Duties: c.duties.wanted()}
+	return state.LeaderRecord{Node: c.settings.NodeName, Session: c.session, UsesIntents: c.duties.shouldUseIntents()}
 }
 
 // fullCredit is each team's whole limit: the leader owns the only shard.
@@ -89,20 +89,20 @@
 	return credit
 }
 
-// elected handles the outcome of an election's transaction.
-func (c *controller) elected(m msgCommitted) {
+// electionCommitted handles the outcome of an election's transaction.
+func (c *controller) electionCommitted(m msgCommitted) {
 	c.lanes.pauseUntil(laneElection, c.now+electionPause)
-	if m.err != nil || !m.res.OK {
+	if m.err != nil || !m.result.OK {
 		return
 	}
 	if m.session != c.session {
 		// The session that the leader's key was bound to is over, and so is the key.
 		return
 	}
-	c.view.Apply(m.txn, m.res.Revision)
-	slog.Info("leader", "token", m.res.Revision)
+	c.view.Apply(m.txn, m.result.Revision)
+	slog.Info("leader", "token", m.result.Revision)
 	c.setWriteShare(true)
-	c.leading = newLeader(c, m.res.Revision)
+	c.leading = newLeader(c, m.result.Revision)
 }
 
 // stepDown stops leading. Workers whose responses wait are sent to the next leader.
@@ -137,17 +137,17 @@
 // considerResigning resigns when a sibling reaches what this controller does not: the
 // state service or the workers.
 func (c *controller) considerResigning(m msgPinged) {
-	stateLost := c.sync.suspect(c.now) && c.now-c.sync.succeededAt > unreachedBeforeResigning && len(m.serving) > 0
+	stateLost := c.sync.suspectsOutage(c.now) && c.now-c.sync.succeededAt > minUnreachableBeforeResigning && len(m.serving) > 0
 	workersLost := c.hasNoHeartbeats() && m.workers > 0
 	holds := c.leading != nil || len(c.duties.held) > 0
 	if !holds || c.session == 0 || !stateLost && !workersLost {
-		c.siblings.resignVotes = 0
+		c.siblings.resignRounds = 0
 		return
 	}
-	if c.siblings.resignVotes++; c.siblings.resignVotes < resignVotesNeeded {
+	if c.siblings.resignRounds++; c.siblings.resignRounds < resignRoundsNeeded {
 		return
 	}
-	c.siblings.resignVotes = 0
+	c.siblings.resignRounds = 0
 	sibling := "" // this controller ends the session itself
 	if stateLost {
 		sibling = m.serving[0]
@@ -160,8 +160,8 @@
 // and nobody has to wait until it expires.
 func (c *controller) resign(sibling string) {
 	session := c.session
-	c.auth.Revoke()
-	c.session, c.resigned = 0, session
+	c.authority.Revoke()
+	c.session, c.resignedSession = 0, session
 	c.lanes.pauseUntil(laneElection, c.now+resignedPause)
 	c.stepDown(reasonResigned)
 	c.io.resign(session, sibling)
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -34,10 +34,10 @@
 // frontend serves HTTP to users and workers, and calls of the other controllers. It
 // turns requests into messages to the controller actor, and its answers into responses.
 type frontend struct {
-	mail  chan<- any
-	peers []*peer.Client
-	state *state.Client
-	ctx   context.Context
+	mailbox chan<- any
+	peers   []*peer.Client
+	state   *state.Client
+	ctx     context.Context
 }
 
 // serve handles an HTTP request.
@@ -49,7 +49,7 @@
 		return
 	}
 	a := f.User(method, path, rc.PostBody())
-	if a.Helper != "" {
+	if a.ForwardTo != "" {
 		a = f.forward(a, method, path, rc.PostBody())
 	}
 	writeAnswer(rc, a)
@@ -57,7 +57,7 @@
 
 // forward has a sibling answer a user's request. Without its answer, ours stands.
 func (f *frontend) forward(ours userapi.Answer, method, path string, body []byte) userapi.Answer {
-	sibling := f.peer(ours.Helper)
+	sibling := f.findPeer(ours.ForwardTo)
 	if sibling == nil {
 		return ours
 	}
@@ -70,8 +70,8 @@
 	return theirs
 }
 
-// peer finds a sibling by its name; nil if there is none.
-func (f *frontend) peer(name string) *peer.Client {
+// findPeer finds a sibling by its name; nil if there is none.
+func (f *frontend) findPeer(name string) *peer.Client {
 	for _, p := range f.peers {
 		if p.Name == name {
 			return p
@@ -83,7 +83,7 @@
 // Ping answers a sibling's ping.
 func (f *frontend) Ping() (stateReached bool, workers int) {
 	reply := make(chan pingReply, 1)
-	p, _ := ask(f.mail, msgPing{reply}, reply, healthCheckTimeout)
+	p, _ := ask(f.mailbox, msgPing{reply}, reply, healthCheckTimeout)
 	return p.stateReached, p.workers
 }
 
@@ -102,18 +102,18 @@
 	}
 	reply := make(chan userapi.Answer, 1)
 	switch route {
-	case userapi.Up:
+	case userapi.HealthCheck:
 		return f.healthCheck()
 	case userapi.Submit:
 		submission, jobID, err := model.ParseSubmission(body)
 		if err != nil && jobID == "" {
 			return userapi.Error(http.StatusBadRequest, err.Error(), 0)
 		}
-		return askUser(f.mail, msgSubmit{jobID, submission, err, reply}, reply, userWriteTimeout)
+		return askUser(f.mailbox, msgSubmit{jobID, submission, err, reply}, reply, userWriteTimeout)
 	case userapi.Poll:
-		return askUser(f.mail, msgStatusRequest{jobID, reply}, reply, statusTimeout)
+		return askUser(f.mailbox, msgStatusRequest{jobID, reply}, reply, statusTimeout)
 	case userapi.Cancel:
-		return askUser(f.mail, msgCancel{jobID, reply}, reply, userWriteTimeout)
+		return askUser(f.mailbox, msgCancel{jobID, reply}, reply, userWriteTimeout)
 	}
 	return userapi.Error(http.StatusNotFound, "no such page", 0)
 }
@@ -121,7 +121,7 @@
 // healthCheck answers the load balancer.
 func (f *frontend) healthCheck() userapi.Answer {
 	reply := make(chan bool, 1)
-	if healthy, ok := ask(f.mail, msgHealthCheck{reply}, reply, healthCheckTimeout); !ok || !healthy {
+	if healthy, ok := ask(f.mailbox, msgHealthCheck{reply}, reply, healthCheckTimeout); !ok || !healthy {
 		return userapi.Error(http.StatusServiceUnavailable, "not ready", 1)
 	}
 	return userapi.Answer{Code: http.StatusOK, Body: []byte("{}")}
@@ -136,12 +136,12 @@
 		return
 	}
 	reply := make(chan workerAnswer, 1)
-	a, ok := ask(f.mail, msgHeartbeat{heartbeat: heartbeat, reply: reply}, reply, heartbeatTimeout)
+	a, ok := ask(f.mailbox, msgHeartbeat{heartbeat: heartbeat, reply: reply}, reply, heartbeatTimeout)
 	if !ok {
 		writeAnswer(rc, userapi.Error(http.StatusServiceUnavailable, "busy", 1))
 		return
 	}
-	if a.relay != "" {
+	if a.relayTo != "" {
 		a = f.relay(a, body)
 	}
 	rc.SetStatusCode(a.code)
@@ -150,7 +150,7 @@
 
 // relay passes a heartbeat to the leader. Without its answer, ours stands.
 func (f *frontend) relay(ours workerAnswer, body []byte) workerAnswer {
-	if leader := f.peer(ours.relay); leader != nil {
+	if leader := f.findPeer(ours.relayTo); leader != nil {
 		ctx, cancel := context.WithTimeout(f.ctx, relayTimeout)
 		defer cancel()
 		if code, answer, err := leader.Report(ctx, body); err == nil {
@@ -158,7 +158,7 @@
 		}
 	}
 	select {
-	case f.mail <- msgRelayFailed{}:
+	case f.mailbox <- msgRelayFailed{}:
 	default: // the next failure will tell
 	}
 	return ours
--- a/internal/controller/intent_calls.go
+++ b/internal/controller/intent_calls.go
@@ -22,77 +22,77 @@
 
 // intentCall is an open intent that this controller carries out.
 type intentCall struct {
-	stamp   uint64 // the intent's revision
-	name    duty.Name
-	busy    bool         // a request is on its way
-	retryAt model.Micros // after a failure
-	outcome any          // the record to be written, nil: none yet
+	revision uint64 // the intent's revision
+	duty     duty.Name
+	inFlight bool         // a request is on its way
+	retryAt  model.Micros // after a failure
+	outcome  any          // the record to be written, nil: none yet
 	// answeredAt is when the outcome was known, and reported tells that it has waited
 	// for long to be written, which was logged.
 	answeredAt model.Micros
-	reported   bool
+	slowLogged bool
 	span       tracing.Span
 }
 
-// carryOut sends the requests of open intents under the duties that this controller
+// executeIntents sends the requests of open intents under the duties that this controller
 // holds, and forgets what has become of those it holds no more.
-func (d *dutyHolder) carryOut(s *duty.Situation) {
-	v := d.c.view
+func (d *dutyManager) executeIntents(s *duty.Snapshot) {
+	v := d.controller.view
 	for key, call := range d.calls {
-		_, mine := s.Holds(call.name)
-		if !call.busy && (!mine || v.Revisions[key] != call.stamp) {
+		_, mine := s.Holds(call.duty)
+		if !call.inFlight && (!mine || v.Revisions[key] != call.revision) {
 			call.span.End("")
 			delete(d.calls, key)
 		}
 	}
 	if _, mine := s.Holds(duty.Renting); mine {
 		for _, key := range slices.Sorted(maps.Keys(v.Rentals)) {
-			if rental := v.Rentals[key]; rental.State == duty.Open && d.mayCall(key, duty.Renting) {
-				d.callRent(key, rental)
+			if rental := v.Rentals[key]; rental.State == duty.Open && d.mayExecute(key, duty.Renting) {
+				d.executeRental(key, rental)
 			}
 		}
 	}
 	if _, mine := s.Holds(duty.Returning); mine {
 		for _, key := range slices.Sorted(maps.Keys(v.Returns)) {
-			if ret := v.Returns[key]; ret.State == duty.Open && d.mayCall(key, duty.Returning) {
-				d.callDelete(key, ret)
+			if ret := v.Returns[key]; ret.State == duty.Open && d.mayExecute(key, duty.Returning) {
+				d.executeReturn(key, ret)
 			}
 		}
 	}
 }
 
-// mayCall tells whether the request of an open intent is to be sent now.
-func (d *dutyHolder) mayCall(key string, name duty.Name) bool {
+// mayExecute tells whether the request of an open intent is to be sent now.
+func (d *dutyManager) mayExecute(key string, name duty.Name) bool {
 	if call := d.calls[key]; call != nil {
-		return !call.busy && call.outcome == nil && d.c.now >= call.retryAt
+		return !call.inFlight && call.outcome == nil && d.controller.now >= call.retryAt
 	}
 	busy := 0
 	for _, call := range d.calls {
-		if call.name == name && call.busy {
+		if call.duty == name && call.inFlight {
 			busy++
 		}
 	}
 	return busy < maxCallsInFlight
 }
 
-// begin records that the request of an intent is sent, and returns what it depends on.
-func (d *dutyHolder) begin(key string, name duty.Name, trace string) carryOut {
+// startCall records that the request of an intent is sent, and returns what it depends on.
+func (d *dutyManager) startCall(key string, name duty.Name, trace string) intentRef {
 	call := d.calls[key]
 	if call == nil {
-		call = &intentCall{stamp: d.c.view.Revisions[key], name: name,
+		call = &intentCall{revision: d.controller.view.Revisions[key], duty: name,
 			span: tracing.Start(trace, "call", attribute.String("duty", string(name)), attribute.String("intent", key), attribute.Int64("token", int64(d.held[name])))}
 		d.calls[key] = call
 	}
-	call.busy = true
-	return carryOut{intent: key, stamp: call.stamp, until: d.c.auth.ExpiresAt()}
+	call.inFlight = true
+	return intentRef{intentKey: key, intentRevision: call.revision, sendBefore: d.controller.authority.ExpiresAt()}
 }
 
-func (d *dutyHolder) callRent(key string, rental *duty.Rental) {
-	d.c.io.rentMachines(msgRented{rental: requestOf(rental), carryOut: d.begin(key, duty.Renting, rental.Trace)})
+func (d *dutyManager) executeRental(key string, rental *duty.Rental) {
+	d.controller.io.rentMachines(msgRented{rental: requestOf(rental), intentRef: d.startCall(key, duty.Renting, rental.Trace)})
 }
 
-func (d *dutyHolder) callDelete(key string, ret *duty.Return) {
-	d.c.io.deleteMachines(msgDeleted{machineIDs: ret.Machines, carryOut: d.begin(key, duty.Returning, ret.Trace)})
+func (d *dutyManager) executeReturn(key string, ret *duty.Return) {
+	d.controller.io.deleteMachines(msgDeleted{machineIDs: ret.Machines, intentRef: d.startCall(key, duty.Returning, ret.Trace)})
 }
 
 // requestOf is the request by which a rental intent is carried out.
@@ -100,32 +100,32 @@
 	return cloud.Rental{RequestID: rental.Request, MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot, Count: rental.Count}
 }
 
-// answered takes the end of a request. It returns the intent's call if an outcome is
+// callEnded takes the end of a request. It returns the intent's call if an outcome is
 // still to be written.
-func (d *dutyHolder) answered(m carryOut, err error) *intentCall {
-	call := d.calls[m.intent]
-	if call == nil || call.stamp != m.stamp {
+func (d *dutyManager) callEnded(m intentRef, err error) *intentCall {
+	call := d.calls[m.intentKey]
+	if call == nil || call.revision != m.intentRevision {
 		return nil
 	}
-	call.busy, call.answeredAt = false, d.c.now
+	call.inFlight, call.answeredAt = false, d.controller.now
 	switch {
 	case err == nil || errors.Is(err, cloud.ErrNoCapacity):
 		d.cloudAnswered(err)
 		return call
 	case errors.Is(err, errTooLate):
-		call.retryAt = d.c.now
+		call.retryAt = d.controller.now
 	default:
-		slog.Debug("intent", "key", m.intent, "err", err)
-		call.retryAt = d.c.now + callRetryDelay
+		slog.Debug("intent", "key", m.intentKey, "err", err)
+		call.retryAt = d.controller.now + callRetryDelay
 		d.cloudAnswered(err)
 	}
 	return nil
 }
 
 // rented takes the cloud's answer to the request of a rental intent.
-func (d *dutyHolder) rented(m msgRented) {
-	call := d.answered(m.carryOut, m.err)
-	rental := d.c.view.Rentals[m.intent]
+func (d *dutyManager) rented(m msgRented) {
+	call := d.callEnded(m.intentRef, m.err)
+	rental := d.controller.view.Rentals[m.intentKey]
 	if call == nil || rental == nil || rental.Request != m.rental.RequestID {
 		return
 	}
@@ -138,9 +138,9 @@
 }
 
 // deleted takes the cloud's answer to the request of a return intent.
-func (d *dutyHolder) deleted(m msgDeleted) {
-	call := d.answered(m.carryOut, m.err)
-	ret := d.c.view.Returns[m.intent]
+func (d *dutyManager) deleted(m msgDeleted) {
+	call := d.callEnded(m.intentRef, m.err)
+	ret := d.controller.view.Returns[m.intentKey]
 	if call == nil || ret == nil {
 		return
 	}
--- a/internal/controller/intent_outcomes.go
+++ b/internal/controller/intent_outcomes.go
@@ -10,14 +10,14 @@
 	"woadweir/internal/state"
 )
 
-// slowOutcome is how long an outcome may wait to be written before that is logged.
-const slowOutcome = 5 * model.Second
+// slowOutcomeDelay is how long an outcome may wait to be written before that is logged.
+const slowOutcomeDelay = 5 * model.Second
 
 // Intents and outcomes may be written this often, so many of a second's changes each
 // time, whatever else is to be written.
 const (
 	intentWritePeriod = model.Second / 4
-	intentShare       = 0.1
+	intentWriteShare  = 0.1
 )
 
 // maxTxnMachines keeps a transaction of intents or outcomes within the state service's
@@ -26,49 +26,49 @@
 
 // writeOutcomes makes the outcomes of a duty's intents durable, some at a time, under the
 // duty's token. It tells whether it sent a write.
-func (d *dutyHolder) writeOutcomes(s *duty.Situation, name duty.Name) bool {
-	c := d.c
+func (d *dutyManager) writeOutcomes(s *duty.Snapshot, name duty.Name) bool {
+	c := d.controller
 	token, mine := s.Holds(name)
 	if !mine {
 		return false
 	}
 	txn := &state.Txn{Conditions: []state.Condition{{Path: name.Key(), Revision: token}}}
-	limit, machines := min(c.limits.TxnOps, d.intentsAtMost(d.outcomesAt)), 0
+	limit, machines := min(c.limits.TxnOps, d.maxIntentWrites(d.outcomesWrittenAt)), 0
 	for _, key := range slices.Sorted(maps.Keys(d.calls)) {
 		call := d.calls[key]
-		if call.name != name || call.outcome == nil || c.view.Revisions[key] != call.stamp {
+		if call.duty != name || call.outcome == nil || c.view.Revisions[key] != call.revision {
 			continue
 		}
-		d.reportSlowOutcome(key, call)
+		d.logSlowOutcome(key, call)
 		if len(txn.Then) >= limit || machines > maxTxnMachines {
 			continue
 		}
-		outcome, count := outcomeUnder(token, call.outcome)
+		outcome, count := outcomeWithToken(token, call.outcome)
 		machines += count
-		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: call.stamp})
+		txn.Conditions = append(txn.Conditions, state.Condition{Path: key, Revision: call.revision})
 		txn.Then = append(txn.Then, state.Op{Set: key, Value: outcome})
 	}
 	if len(txn.Then) == 0 {
 		return false
 	}
-	d.outcomesAt = c.now
+	d.outcomesWrittenAt = c.now
 	c.send(laneDuty, msgCommitted{txn: txn, token: token})
 	return true
 }
 
-// reportSlowOutcome logs, once, that an outcome has waited for long to be written.
-func (d *dutyHolder) reportSlowOutcome(key string, call *intentCall) {
-	waited := d.c.now - call.answeredAt
-	if call.reported || waited <= slowOutcome {
+// logSlowOutcome logs, once, that an outcome has waited for long to be written.
+func (d *dutyManager) logSlowOutcome(key string, call *intentCall) {
+	waited := d.controller.now - call.answeredAt
+	if call.slowLogged || waited <= slowOutcomeDelay {
 		return
 	}
-	call.reported = true
-	slog.Info("an outcome waits to be written", "duty", call.name, "intent", key, "s", waited.Seconds())
+	call.slowLogged = true
+	slog.Info("an outcome waits to be written", "duty", call.duty, "intent", key, "s", waited.Seconds())
 }
 
-// outcomeUnder is an outcome with the token of the duty under which it is written, and the
+// outcomeWithToken is an outcome with the token of the duty under which it is written, and the
 // number of its machines.
-func outcomeUnder(token uint64, outcome any) (_ any, machines int) {
+func outcomeWithToken(token uint64, outcome any) (_ any, machines int) {
 	switch outcome := outcome.(type) {
 	case duty.Rental:
 		outcome.Token = token
@@ -80,15 +80,15 @@
 	return outcome, 0
 }
 
-// intentsAtMost is how many intents, or outcomes of them, may be written now, where the
+// maxIntentWrites is how many intents, or outcomes of them, may be written now, where the
 // last were written at that time. A few are written also if bindings and users' changes
 // take the whole budget, which then waits for them: there are few, and what waits for
 // machines waits for both.
-func (d *dutyHolder) intentsAtMost(last model.Micros) int {
-	c := d.c
-	limit := c.budget.Left(c.now)
+func (d *dutyManager) maxIntentWrites(last model.Micros) int {
+	c := d.controller
+	limit := c.writeBudget.Left(c.now)
 	if c.now-last >= intentWritePeriod {
-		limit = max(limit, 1, int(c.budget.Rate()*intentShare))
+		limit = max(limit, 1, int(c.writeBudget.Rate()*intentWriteShare))
 	}
 	return limit
 }
--- a/internal/controller/intent_results.go
+++ b/internal/controller/intent_results.go
@@ -11,10 +11,10 @@
 // takeOverIntents takes over what former leaders have decided: nothing more can be written
 // under their grants.
 func (l *leader) takeOverIntents() {
-	for key, ret := range l.c.view.Returns {
+	for key, ret := range l.controller.view.Returns {
 		l.takeOverReturn(key, ret)
 	}
-	for key, rental := range l.c.view.Rentals {
+	for key, rental := range l.controller.view.Rentals {
 		l.takeOverRental(key, rental)
 	}
 }
@@ -32,7 +32,7 @@
 			machine.Deleting = true
 		} else {
 			// Nothing is bound to it, and nothing may be: its reports are not answered.
-			l.inventory.deletedAt[machineID] = l.c.now
+			l.inventory.deletedAt[machineID] = l.controller.now
 		}
 	}
 	l.intents.returns[key] = ret.Machines
@@ -47,7 +47,7 @@
 	if rental.State == duty.Filled {
 		l.addRentedMachines(rental.Machines, offerOf(rental))
 	}
-	l.intents.finishedAt[key] = l.c.now
+	l.intents.finishedAt[key] = l.controller.now
 }
 
 // offerOf is what a rental intent rents.
@@ -55,39 +55,39 @@
 	return autoscaler.Offer{MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot}
 }
 
-// takeOutcomes takes the outcomes that the view shows of the leader's open intents.
-func (l *leader) takeOutcomes() {
-	view := l.c.view
+// applyOutcomes takes the outcomes that the view shows of the leader's open intents.
+func (l *leader) applyOutcomes() {
+	view := l.controller.view
 	for request, key := range l.intents.rentals {
 		rental := view.Rentals[key]
 		if rental != nil && rental.Request == request && rental.State != duty.Open {
-			l.takeRental(key, rental)
+			l.applyRental(key, rental)
 		}
 	}
 	for key, machineIDs := range l.intents.returns {
 		ret := view.Returns[key]
 		if ret != nil && ret.State != duty.Open && slices.Equal(ret.Machines, machineIDs) {
-			l.takeReturn(key, ret)
+			l.applyReturn(key, ret)
 		}
 	}
 }
 
-func (l *leader) takeRental(key string, rental *duty.Rental) {
+func (l *leader) applyRental(key string, rental *duty.Rental) {
 	delete(l.intents.rentals, rental.Request)
 	delete(l.inventory.pendingRentals, rental.Request)
-	l.intents.finishedAt[key] = l.c.now
-	l.schedule.runSoon()
+	l.intents.finishedAt[key] = l.controller.now
+	l.provisioning.runSoon()
 	slog.Info("rented", "request", rental.Request, "state", rental.State, "type", rental.MachineType, "zone", rental.Zone, "spot", rental.Spot, "machines", rental.Machines)
 	if rental.State == duty.Refused || len(rental.Machines) < rental.Count {
-		l.refuseOffer(offerOf(rental))
+		l.offerRefused(offerOf(rental))
 	}
 	l.addRentedMachines(rental.Machines, offerOf(rental))
 }
 
-func (l *leader) takeReturn(key string, ret *duty.Return) {
+func (l *leader) applyReturn(key string, ret *duty.Return) {
 	delete(l.intents.returns, key)
 	for _, machineID := range ret.Machines {
 		l.machineDeleted(machineID)
 	}
-	l.schedule.runSoon()
+	l.provisioning.runSoon()
 }
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -14,10 +14,10 @@
 
 // intentDraft is a decision of the leader that is not known to be durable yet.
 type intentDraft struct {
-	key    string // its slot, "": not chosen yet
-	rental *duty.Rental
-	ret    *duty.Return
-	span   tracing.Span
+	slotKey string // its slot, "": not chosen yet
+	rental  *duty.Rental
+	ret     *duty.Return
+	span    tracing.Span
 }
 
 // intentLog is the leader's side of intents: what it has decided, and which outcomes it
@@ -35,16 +35,16 @@
 	return intentLog{rentals: map[string]string{}, returns: map[string][]string{}, finishedAt: map[string]model.Micros{}}
 }
 
-// actsThroughIntents tells whether this controller, as the leader, rents and returns
+// usesIntents tells whether this controller, as the leader, rents and returns
 // through intents. It then never calls the cloud for that as the leader.
-func (c *controller) actsThroughIntents() bool {
+func (c *controller) usesIntents() bool {
 	l := c.view.Leader
-	return l != nil && l.Session == c.session && l.Duties
+	return l != nil && l.Session == c.session && l.UsesIntents
 }
 
-// decideRental has machines rented through an intent. Until its outcome is known they
+// queueRental has machines rented through an intent. Until its outcome is known they
 // count as under way.
-func (l *leader) decideRental(rental cloud.Rental) {
+func (l *leader) queueRental(rental cloud.Rental) {
 	span := tracing.Start("", "intent", attribute.String("request", rental.RequestID), attribute.Int("count", rental.Count))
 	l.intents.queue = append(l.intents.queue, &intentDraft{span: span, rental: &duty.Rental{
 		Request:     rental.RequestID,
@@ -58,12 +58,12 @@
 	}})
 }
 
-// extendRental adds machines to a rental that is decided, but was not written yet, if
+// extendQueuedRental adds machines to a rental that is decided, but was not written yet, if
 // there is one of the same kind. Else the requests would pile up, one each round, where
 // the state service bears few changes.
-func (l *leader) extendRental(rental autoscaler.Rental, count int) bool {
+func (l *leader) extendQueuedRental(rental autoscaler.Rental, count int) bool {
 	for _, draft := range l.intents.queue {
-		if draft.rental == nil || draft.key != "" || !sameOffer(draft.rental, rental) || draft.rental.Count+count > duty.RentAtMost(l.c.maxValue()) {
+		if draft.rental == nil || draft.slotKey != "" || !sameOffer(draft.rental, rental) || draft.rental.Count+count > duty.RentAtMost(l.controller.maxValueBytes()) {
 			continue
 		}
 		draft.rental.Count += count
@@ -80,12 +80,12 @@
 	return intent.MachineType == rental.MachineType && intent.Zone == rental.Zone && intent.Spot == rental.Spot
 }
 
-// decideReturn has machines returned through intents, if possible with those that were
+// queueReturn has machines returned through intents, if possible with those that were
 // decided before and not written yet.
-func (l *leader) decideReturn(machineIDs []string) {
-	limit := duty.ReturnAtMost(l.c.maxValue())
+func (l *leader) queueReturn(machineIDs []string) {
+	limit := duty.ReturnAtMost(l.controller.maxValueBytes())
 	for _, draft := range l.intents.queue {
-		if draft.ret != nil && draft.key == "" {
+		if draft.ret != nil && draft.slotKey == "" {
 			fit := max(0, min(len(machineIDs), limit-len(draft.ret.Machines)))
 			draft.ret.Machines = append(draft.ret.Machines, machineIDs[:fit]...)
 			machineIDs = machineIDs[fit:]
@@ -99,26 +99,26 @@
 	}
 }
 
-// recorded tells that the view shows a draft as carried out.
-func (l *leader) recorded(draft *intentDraft) bool {
-	if draft.key == "" {
+// isStored tells that the view shows a draft as carried out.
+func (l *leader) isStored(draft *intentDraft) bool {
+	if draft.slotKey == "" {
 		return false
 	}
 	if draft.rental != nil {
-		rental := l.c.view.Rentals[draft.key]
+		rental := l.controller.view.Rentals[draft.slotKey]
 		return rental != nil && rental.Request == draft.rental.Request
 	}
-	ret := l.c.view.Returns[draft.key]
+	ret := l.controller.view.Returns[draft.slotKey]
 	return ret != nil && ret.Grant == l.token && slices.Equal(ret.Machines, draft.ret.Machines)
 }
 
-// open notes that a draft is durable: its outcome is waited for.
-func (l *leader) open(draft *intentDraft) {
+// awaitOutcome notes that a draft is durable: its outcome is waited for.
+func (l *leader) awaitOutcome(draft *intentDraft) {
 	draft.span.End("")
 	if draft.rental != nil {
-		l.intents.rentals[draft.rental.Request] = draft.key
-		delete(l.intents.finishedAt, draft.key)
+		l.intents.rentals[draft.rental.Request] = draft.slotKey
+		delete(l.intents.finishedAt, draft.slotKey)
 		return
 	}
-	l.intents.returns[draft.key] = draft.ret.Machines
+	l.intents.returns[draft.slotKey] = draft.ret.Machines
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -12,23 +12,23 @@
 // provisioner of machines, and what spills to other cells. It is part of the controller
 // actor.
 type leader struct {
-	c      *controller
-	token  uint64 // the fencing token: the revision of the leader's grant
-	ready  bool   // it has taken over what former leaders wrote
-	resync bool   // a transaction failed: none before a synchronization of the view
+	controller *controller
+	token      uint64 // the fencing token: the revision of the leader's grant
+	ready      bool   // it has taken over what former leaders wrote
+	resync     bool   // a transaction failed: none before a synchronization of the view
 
 	// Scheduling.
 	shard            *shard.State // the scheduler
 	placement        placementRounds
 	pendingResponses []pendingResponse
-	sweepAt          model.Micros // when timeouts were last looked for
-	spill            *spiller
+	lastSweepAt      model.Micros // when timeouts were last looked for
+	spill            *spillManager
 
 	// Provisioning.
-	provisioner *autoscaler.Provisioner
-	schedule    provisioningSchedule
-	recentSizes recentTaskSizes
-	intents     intentLog
+	provisioner  *autoscaler.Provisioner
+	provisioning provisioningSchedule
+	recentSizes  recentTaskSizes
+	intents      intentLog
 
 	// The cloud's machines, and whether it answers.
 	inventory   machineInventory
@@ -38,25 +38,25 @@
 
 func newLeader(c *controller, token uint64) *leader {
 	params := autoscaler.Defaults()
-	params.ExtraCapacityRate = float64(c.op.ExtraCapacityRate)
-	params.Granularity = int(c.op.Granularity)
-	params.RefusedPause = model.Seconds(float64(c.op.RefusedPauseS))
+	params.ExtraCapacityRate = float64(c.operator.ExtraCapacityRate)
+	params.Granularity = int(c.operator.Granularity)
+	params.RefusedPause = model.Seconds(float64(c.operator.RefusedPauseS))
 	l := &leader{
-		c:           c,
+		controller:  c,
 		token:       token,
 		provisioner: autoscaler.New(params),
 		recentSizes: recentTaskSizes{},
 		intents:     newIntentLog(),
 		inventory:   newMachineInventory(),
 	}
-	l.spill = newSpiller(l, c.op.Spill)
+	l.spill = newSpillManager(l, c.operator.Spill)
 	return l
 }
 
 // takeOver builds the scheduler from a view that has everything that former leaders
 // wrote: the new grant has fenced off their transactions.
 func (l *leader) takeOver() {
-	c := l.c
+	c := l.controller
 	l.shard = shard.New(l.schedulerParams(), l.token)
 	l.shard.Log = logEvent
 	l.shard.SetMachineTypes(c.view.MachineTypes)
@@ -67,36 +67,36 @@
 	c.view.Machines(l.restoreMachine)
 	slots, names := c.view.Bundles(shardName)
 	for i, slot := range slots {
-		l.shard.LoadSlot(slot, names[i])
+		l.shard.SetSlotEntries(slot, names[i])
 	}
 	l.shard.StopSuperseded()
-	l.spill.afterRestore()
+	l.spill.suspendRestored()
 	l.takeOverIntents()
 	l.ready = true
 	slog.Info("took over", "token", l.token, "machines", len(l.shard.Machines), "jobs", len(l.shard.Jobs))
 }
 
 func (l *leader) schedulerParams() shard.Params {
-	c := l.c
-	workers := c.set.Params.Workers
+	c := l.controller
+	workers := c.settings.Params.Workers
 	return shard.Params{
-		Teams:     c.teams,
-		Report:    model.Seconds(workers.ReportS),
-		Lease:     model.Seconds(workers.LeaseS),
-		GangWait:  model.Seconds(workers.GangWaitS),
-		Margin:    model.Second,
-		MaxValue:  c.maxValue(),
-		Dense:     c.dense(),
-		Waits:     c.set.Waits(),
-		Finish:    c.set.Finish(),
-		Deadlines: c.set.Deadlines(),
-		Guarantee: c.set.Guarantee(),
+		Teams:              c.teams,
+		HeartbeatInterval:  model.Seconds(workers.ReportS),
+		WorkerLease:        model.Seconds(workers.LeaseS),
+		GangWait:           model.Seconds(workers.GangWaitS),
+		LeaseMargin:        model.Second,
+		MaxValue:           c.maxValueBytes(),
+		DenseBundles:       c.usesDenseLayout(),
+		StartObjectives:    c.settings.StartObjectives(),
+		FinishObjectives:   c.settings.FinishObjectives(),
+		DeadlineObjectives: c.settings.DeadlineObjectives(),
+		GuaranteeObjective: c.settings.GuaranteeObjective(),
 	}
 }
 
 // restoreMachine adds a machine with the tasks bound to it from its record.
 func (l *leader) restoreMachine(machineID string, record *shard.MachineRecord) {
-	machine := l.shard.AddMachine(machineID, record.MachineType, record.Zone, record.Spot, l.c.now)
+	machine := l.shard.AddMachine(machineID, record.MachineType, record.Zone, record.Spot, l.controller.now)
 	machine.Stored = true
 	for jobID, tasks := range record.Tasks {
 		job := l.shard.Jobs[jobID]
@@ -114,7 +114,7 @@
 	if !l.ready {
 		return
 	}
-	for jobID := range l.c.view.Jobs {
+	for jobID := range l.controller.view.Jobs {
 		l.jobChanged(jobID)
 	}
 	l.spill.reload()
@@ -122,13 +122,13 @@
 
 // jobChanged tells the scheduler what the view says of a job.
 func (l *leader) jobChanged(jobID string) {
-	job := l.c.view.Jobs[jobID]
-	if job == nil || l.spill.isGuest(jobID) {
+	job := l.controller.view.Jobs[jobID]
+	if job == nil || l.spill.isBorrowed(jobID) {
 		return // unknown, or it begins once the job of that name lent by another cell is gone
 	}
 	if scheduled := l.shard.Jobs[jobID]; scheduled != nil {
 		if job.End != "" {
-			l.shard.EndJob(jobID, job.End, l.c.now)
+			l.shard.EndJob(jobID, job.End, l.controller.now)
 		} else {
 			scheduled.Priority, scheduled.Deadline = job.EffectivePriority()
 		}
@@ -138,41 +138,41 @@
 		// No task of a job that has ended, or not begun, is on any machine.
 		return
 	}
-	age := model.Micros(max(0, l.c.wall()-job.ReadyMs())) * model.Millisecond
-	l.shard.AddJob(job.Job(), l.c.view.Done(jobID), job.End, l.c.now, age)
-	l.spill.jobAdded(jobID)
-	l.schedule.runSoon()
+	age := model.Micros(max(0, l.controller.wallClockMs()-job.ReadyMs())) * model.Millisecond
+	l.shard.AddJob(job.Job(), l.controller.view.Done(jobID), job.End, l.controller.now, age)
+	l.spill.suspendIfLent(jobID)
+	l.provisioning.runSoon()
 }
 
 // due reports whether something is to be done again, and notes that it is done now.
 func (l *leader) due(at *model.Micros, interval model.Micros) bool {
-	if *at != 0 && l.c.now-*at < interval {
+	if *at != 0 && l.controller.now-*at < interval {
 		return false
 	}
-	*at = l.c.now
+	*at = l.controller.now
 	return true
 }
 
 // lead does what is due for a leader.
 func (c *controller) lead() {
 	l := c.leading
-	if !l.ready || !c.auth.IsValid(c.now) {
+	if !l.ready || !c.authority.IsValid(c.now) {
 		l.answerPending(true)
 		return
 	}
-	if l.due(&l.sweepAt, sweepGap) {
+	if l.due(&l.lastSweepAt, sweepInterval) {
 		l.shard.Tick(c.now)
 		l.releaseUnusableMachines()
 	}
-	l.takeOutcomes()
-	l.spill.applyRights()
+	l.applyOutcomes()
+	l.spill.applyExecutionLeases()
 	l.spill.step()
 	l.place()
 	l.writeIntents()
 	l.writeBindings()
 	l.answerPending(false)
 	l.pollCloud()
-	if l.schedule.due(c.now) {
+	if l.provisioning.isDue(c.now) {
 		l.provision()
 	}
 }
@@ -181,8 +181,8 @@
 func (l *leader) committed(m msgCommitted) {
 	switch m.lane {
 	case laneMisc:
-		if m.err == nil && m.res.OK {
-			l.c.view.Apply(m.txn, m.res.Revision)
+		if m.err == nil && m.result.OK {
+			l.controller.view.Apply(m.txn, m.result.Revision)
 		}
 	case laneIntent:
 		l.intentsCommitted(m)
@@ -195,5 +195,5 @@
 
 // needSync keeps the leader from writing until the view has been synchronized.
 func (l *leader) needSync() {
-	l.c.needSync(&l.resync)
+	l.controller.needSync(&l.resync)
 }
--- a/internal/controller/lending_renewals.go
+++ b/internal/controller/lending_renewals.go
@@ -5,9 +5,9 @@
 	"woadweir/internal/spill"
 )
 
-// renewal answers a guest's question for the right to run.
-func (s *spiller) renewal(r *spill.Renewal) (*spill.RenewalAnswer, error) {
-	c := s.l.c
+// answerRenewal answers a guest's question for the right to run.
+func (s *spillManager) answerRenewal(r *spill.Renewal) (*spill.RenewalAnswer, error) {
+	c := s.leader.controller
 	if s.policy == nil {
 		return nil, spill.ErrNotHolder
 	}
@@ -19,25 +19,25 @@
 }
 
 // verdict answers a question about one job, and takes in what the guest tells of it.
-func (s *spiller) verdict(r *spill.Renewal, report *spill.JobReport) spill.Verdict {
-	c := s.l.c
+func (s *spillManager) verdict(r *spill.Renewal, report *spill.JobReport) spill.Verdict {
+	c := s.leader.controller
 	verdict := spill.Verdict{Job: report.Job, Token: report.Token}
-	if end, ended := c.view.Final(report.Job); ended {
+	if end, ended := c.view.EffectiveEnd(report.Job); ended {
 		verdict.Kind, verdict.End = spill.Ended, end
-		if lending := s.lendings[report.Job]; lending != nil {
-			lending.AnswerEnded(r.Guest, report)
+		if lending := s.lentJobs[report.Job]; lending != nil {
+			lending.RecordReportAfterEnd(r.ExecutionCell, report)
 		}
 		return verdict
 	}
-	record, lending, job := c.view.LentOut[report.Job], s.lendings[report.Job], s.l.shard.Jobs[report.Job]
+	record, lending, job := c.view.LentJobs[report.Job], s.lentJobs[report.Job], s.leader.shard.Jobs[report.Job]
 	if job != nil && job.HomeCell == "" {
-		s.l.shard.CompleteElsewhere(job, report.Done, report.Complete, c.now)
-		verdict.Confirmed = s.l.shard.StoredDone(job)
+		s.leader.shard.RecordRemoteCompletions(job, report.Done, report.Complete, c.now)
+		verdict.Confirmed = s.leader.shard.DurableCompletions(job)
 	}
 	switch {
 	case record != nil && record.State == spill.Unreadable:
 	case lending != nil && lending.Record.State == spill.Lent && lending.Record.Token == report.Token:
-		verdict.Kind = lending.Answer(r.Guest, report, r.WorkerLease, model.Seconds(c.set.Params.Workers.CancelS), c.now)
+		verdict.Kind = lending.AnswerRenewal(r.ExecutionCell, report, r.WorkerLease, model.Seconds(c.settings.Params.Workers.CancelS), c.now)
 		verdict.Lease = lending.Record.Lease()
 	default:
 		verdict.Kind = spill.Revoked
--- a/internal/controller/lending_search.go
+++ b/internal/controller/lending_search.go
@@ -10,40 +10,40 @@
 
 // Limits of the search for a job to be lent.
 const (
-	candidatePeriod = 500 * model.Millisecond
-	maxUnheard      = 8 // jobs lent to a cell that it has not asked for yet
-	minLeasesLeft   = 2 // leases of the right that have to fit in before a job's deadline
+	probePeriod    = 500 * model.Millisecond
+	maxUnconfirmed = 8 // jobs lent to a cell that it has not asked for yet
+	minLeasesLeft  = 2 // leases of the right that have to fit in before a job's deadline
 )
 
-// findCandidate asks a neighbour whether it takes the job that has waited longest.
-func (s *spiller) findCandidate() {
-	c := s.l.c
-	if !s.enabled() || c.now-s.candidateAt < candidatePeriod || len(s.lendings) >= s.policy.MostLent || c.cells == nil {
+// probeNeighbour asks a neighbour whether it takes the job that has waited longest.
+func (s *spillManager) probeNeighbour() {
+	c := s.leader.controller
+	if !s.isEnabled() || c.now-s.lastProbeAt < probePeriod || len(s.lentJobs) >= s.policy.MaxLent || c.cells == nil {
 		return
 	}
-	s.candidateAt = c.now
+	s.lastProbeAt = c.now
 	neighbour := s.nextNeighbour()
 	if neighbour == "" {
 		return
 	}
 	if jobID := s.oldestWithoutRoom(); jobID != "" {
-		s.probing[neighbour] = true
-		s.offer(jobID, neighbour, 0)
+		s.probed[neighbour] = true
+		s.sendOffer(jobID, neighbour, 0)
 	}
 }
 
 // oldestWithoutRoom is the oldest job that may be lent and finds no room here, "" if there
 // is none among the oldest few.
-func (s *spiller) oldestWithoutRoom() string {
+func (s *spillManager) oldestWithoutRoom() string {
 	var jobs []*model.JobState
-	for _, job := range s.l.shard.Jobs {
+	for _, job := range s.leader.shard.Jobs {
 		if s.mayLend(job) {
 			jobs = append(jobs, job)
 		}
 	}
 	slices.SortFunc(jobs, func(a, b *model.JobState) int { return cmp.Compare(a.AcceptedRevision, b.AcceptedRevision) })
 	for _, job := range jobs[:min(len(jobs), maxJobsSearched)] {
-		if !s.l.shard.RoomSoonFor(job.Job, s.roomWanted(job), s.l.c.now) {
+		if !s.leader.shard.HasRoomSoonFor(job.Job, s.minTasksPlaced(job), s.leader.controller.now) {
 			return job.ID
 		}
 	}
@@ -52,11 +52,11 @@
 
 // nextNeighbour is a neighbour that may be asked now, "" if there is none. One after the
 // other is tried, those last that were asked last.
-func (s *spiller) nextNeighbour() string {
+func (s *spillManager) nextNeighbour() string {
 	for range s.policy.Neighbours {
-		s.nextCell++
-		cell := s.policy.Neighbours[s.nextCell%len(s.policy.Neighbours)].Cell
-		if !s.probing[cell] && s.contact(cell).Ready(s.l.c.now) && s.unheard(cell) < maxUnheard {
+		s.neighbourIndex++
+		cell := s.policy.Neighbours[s.neighbourIndex%len(s.policy.Neighbours)].Cell
+		if !s.probed[cell] && s.contact(cell).Ready(s.leader.controller.now) && s.unconfirmed(cell) < maxUnconfirmed {
 			return cell
 		}
 	}
@@ -64,17 +64,17 @@
 }
 
 // contact paces the offers to a cell.
-func (s *spiller) contact(cell string) *spill.Contact {
+func (s *spillManager) contact(cell string) *spill.OfferPacer {
 	if s.contacts[cell] == nil {
-		s.contacts[cell] = &spill.Contact{}
+		s.contacts[cell] = &spill.OfferPacer{}
 	}
 	return s.contacts[cell]
 }
 
-// unheard is how many jobs were lent to a cell that it has not asked for yet.
-func (s *spiller) unheard(cell string) (n int) {
-	for _, lending := range s.lendings {
-		if lending.Record.Cell == cell && !lending.Heard() {
+// unconfirmed is how many jobs were lent to a cell that it has not asked for yet.
+func (s *spillManager) unconfirmed(cell string) (n int) {
+	for _, lending := range s.lentJobs {
+		if lending.Record.Cell == cell && !lending.RenewalReceived() {
 			n++
 		}
 	}
@@ -85,26 +85,26 @@
 // bound, that has waited long enough and has not come back a moment ago, that no other
 // job awaits, that has time, and that its team's limit leaves room for here, so that the
 // team stays within it wherever the job runs.
-func (s *spiller) mayLend(job *model.JobState) bool {
-	c := s.l.c
+func (s *spillManager) mayLend(job *model.JobState) bool {
+	c := s.leader.controller
 	view := c.view.Jobs[job.ID]
 	switch {
-	case job.HomeCell != "" || job.Suspended || job.Ended != "" || job.EndPending || job.Kind == model.Service:
+	case job.HomeCell != "" || job.Suspended || job.FinalStatus != "" || job.EndPending || job.Kind == model.Service:
 		return false
 	case len(job.Bindings) > 0 || len(job.Waiting) == 0 || c.now < job.NotBefore:
 		return false
-	case c.now-max(job.ReadySince, job.IdleSince) < s.policy.Wait:
+	case c.now-max(job.ReadySince, job.IdleSince) < s.policy.MinWait:
 		return false
 	case view == nil || view.Submission == nil || view.End != "" || !view.IsIndependent():
 		return false
 	case job.Deadline > 0 && job.ReadySince+job.Deadline < c.now+minLeasesLeft*s.policy.Lease:
 		return false
-	case !s.l.shard.WithinLimit(job.Job, job.Tasks):
+	case !s.leader.shard.WithinLimit(job.Job, job.Tasks):
 		return false
 	}
-	if _, pending := s.changes[spill.OutKey(job.ID)]; pending {
+	if _, pending := s.pendingChanges[spill.OutKey(job.ID)]; pending {
 		return false
 	}
-	record := c.view.LentOut[job.ID]
-	return record == nil || record.State == spill.Home && model.Micros(c.wall()-record.SinceMs)*model.Millisecond >= s.policy.Stay
+	record := c.view.LentJobs[job.ID]
+	return record == nil || record.State == spill.Home && model.Micros(c.wallClockMs()-record.SinceMs)*model.Millisecond >= s.policy.MinStay
 }
--- a/internal/controller/machine_inventory.go
+++ b/internal/controller/machine_inventory.go
@@ -25,7 +25,7 @@
 	pendingDeletions map[string]model.Micros // by machine ID: deletionDue, deletionSent or the time of a retry
 	deletedAt        map[string]model.Micros // by machine ID: when the deletion was confirmed
 	listMisses       map[string]int          // by machine ID: lists in a row that lacked the machine
-	listsSeen        int
+	listsReceived    int
 	requestCount     int // rental requests named so far
 }
 
--- a/internal/controller/machine_list.go
+++ b/internal/controller/machine_list.go
@@ -16,7 +16,7 @@
 const (
 	missesUntilGone      = 1
 	missesUntilYoungGone = 2
-	youngForListLags     = 5 // a machine is young for this many times the list's lag
+	youngListLags        = 5 // a machine is young for this many times the list's lag
 )
 
 // listed takes the cloud's answer to a request for the machine list.
@@ -32,24 +32,24 @@
 		return
 	}
 	l.cloudHealth.succeeded(c.now)
-	l.inventory.listsSeen++
+	l.inventory.listsReceived++
 	listed := make(map[string]bool, len(m.machines))
 	for i := range m.machines {
 		entry := &m.machines[i]
 		listed[entry.ID] = true
 		if !l.inventory.isDeleted(entry.ID) {
-			l.noteListed(entry, m.sent)
+			l.recordListed(entry, m.sentAt)
 		}
 	}
 	l.inventory.countMisses(l.shard.Machines, listed)
 }
 
-// noteListed takes one machine of a list that was requested at that time. It adds one to
+// recordListed takes one machine of a list that was requested at that time. It adds one to
 // the fleet whose rental got no answer.
-func (l *leader) noteListed(entry *cloud.Machine, requested model.Micros) {
+func (l *leader) recordListed(entry *cloud.Machine, requested model.Micros) {
 	machine := l.shard.Machines[entry.ID]
 	if machine == nil {
-		machine = l.shard.AddMachine(entry.ID, entry.MachineType, entry.Zone, entry.Spot, l.c.now)
+		machine = l.shard.AddMachine(entry.ID, entry.MachineType, entry.Zone, entry.Spot, l.controller.now)
 		machine.RentedAt = requested - model.Seconds(entry.HeldS)
 		slog.Info("listed", "machine", entry.ID, "type", entry.MachineType, "status", entry.Status)
 	}
@@ -63,7 +63,7 @@
 // goneFromLists reports whether so many lists lacked a machine that it counts as gone.
 func (l *leader) goneFromLists(machine *model.Machine) bool {
 	enough := missesUntilYoungGone
-	if l.c.now-machine.RentedAt > youngForListLags*model.Seconds(l.c.set.Params.Cloud.ListLagS) {
+	if l.controller.now-machine.RentedAt > youngListLags*model.Seconds(l.controller.settings.Params.Cloud.ListLagS) {
 		enough = missesUntilGone
 	}
 	return l.inventory.listMisses[machine.ID] >= enough
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -7,16 +7,16 @@
 	"woadweir/internal/state"
 )
 
-// gotMachineTypes takes the cloud's answer to a request for its machine types.
-func (c *controller) gotMachineTypes(m msgMachineTypes) {
+// machineTypesFetched takes the cloud's answer to a request for its machine types.
+func (c *controller) machineTypesFetched(m msgMachineTypes) {
 	c.duties.cloudAnswered(m.err)
 	if c.leading != nil {
-		c.leading.gotMachineTypes(m)
+		c.leading.machineTypesFetched(m)
 	}
 }
 
-func (l *leader) gotMachineTypes(m msgMachineTypes) {
-	c := l.c
+func (l *leader) machineTypesFetched(m msgMachineTypes) {
+	c := l.controller
 	l.polling.machineTypesInFlight = false
 	if m.err != nil || len(m.machineTypes) == 0 {
 		slog.Debug("machine types", "err", m.err)
@@ -30,7 +30,7 @@
 	}
 	if l.ready {
 		l.shard.SetMachineTypes(m.machineTypes)
-		l.schedule.runSoon()
+		l.provisioning.runSoon()
 	}
 }
 
@@ -51,9 +51,9 @@
 // can hold: after an outage of the cloud a controller that knows some of them can still
 // tell of most submissions that they can run.
 func (l *leader) writeMachineTypes(machineTypes []model.MachineType) {
-	c := l.c
+	c := l.controller
 	record := state.MachineTypesRecord{MachineTypes: machineTypes}
-	for len(record.MachineTypes) > 0 && !c.fits(record) {
+	for len(record.MachineTypes) > 0 && !c.fitsValue(record) {
 		record.MachineTypes = record.MachineTypes[:len(record.MachineTypes)-1]
 	}
 	txn := &state.Txn{
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -50,24 +50,24 @@
 	msgRelayFailed struct{}
 	// msgSession tells of the session: a new one, a renewal, or its end (id 0).
 	msgSession struct {
-		id   uint64
-		sent model.Micros
+		id     uint64
+		sentAt model.Micros
 	}
 	// msgSynced is the end of a synchronization of the view.
 	msgSynced struct {
-		sent    model.Micros
+		sentAt  model.Micros
 		changes *state.Changes
 		view    *state.View // after a listing
 		err     error
 	}
 	// msgCommitted is the outcome of a transaction.
 	msgCommitted struct {
-		lane   lane
-		txn    *state.Txn
-		res    *state.Result
-		err    error
-		writes []shard.Write // of the leader's scheduler
-		users  []userWrite   // in the order of the transaction's operations
+		lane       lane
+		txn        *state.Txn
+		result     *state.Result
+		err        error
+		writes     []shard.Write // of the leader's scheduler
+		userWrites []userWrite   // in the order of the transaction's operations
 		// token is the fencing token that the transaction was sent under: the revision of
 		// the leader's grant or of a duty's lease.
 		token uint64
@@ -81,7 +81,7 @@
 	}
 	// msgListed has the cloud's list of machines.
 	msgListed struct {
-		sent     model.Micros
+		sentAt   model.Micros
 		machines []cloud.Machine
 		err      error
 	}
@@ -92,14 +92,14 @@
 		machines []string
 		err      error
 		token    uint64 // the leader's fencing token
-		carryOut
+		intentRef
 	}
 	// msgDeleted is the outcome of a deletion of machines.
 	msgDeleted struct {
 		machineIDs []string
 		err        error
 		token      uint64 // the leader's fencing token
-		carryOut
+		intentRef
 	}
 	// msgPinged has the answers to a round of pings.
 	msgPinged struct {
@@ -119,16 +119,16 @@
 // workerAnswer is a response to a worker. If relay is set, the heartbeat may be relayed
 // to that sibling, which leads: its answer then replaces this one.
 type workerAnswer struct {
-	code  int
-	body  []byte
-	relay string
+	code    int
+	body    []byte
+	relayTo string
 }
 
-// carryOut marks a call of the cloud that carries out an intent.
-type carryOut struct {
-	intent string // its key, "": none
-	stamp  uint64 // its revision
-	// until is when the call must not be sent any more: the authority that it rests on
+// intentRef marks a call of the cloud that carries out an intent.
+type intentRef struct {
+	intentKey      string // its key, "": none
+	intentRevision uint64 // its revision
+	// sendBefore is when the call must not be sent any more: the authority that it rests on
 	// is over then.
-	until model.Micros
+	sendBefore model.Micros
 }
--- a/internal/controller/placement_rounds.go
+++ b/internal/controller/placement_rounds.go
@@ -20,8 +20,8 @@
 	preemptionInterval model.Micros // until the next round that may preempt work
 }
 
-// took sets the interval until the next round of its kind from how long one has taken.
-func (p *placementRounds) took(duration model.Micros, preempted bool, cores float64) {
+// recordDuration sets the interval until the next round of its kind from how long one has taken.
+func (p *placementRounds) recordDuration(duration model.Micros, preempted bool, cores float64) {
 	if preempted {
 		p.preemptionInterval = min(intervalFor(duration, preemptionCPUShare, cores), maxPreemptionInterval)
 		return
@@ -41,13 +41,13 @@
 // place runs a placement round if one is due. On a large fleet heartbeats come much
 // faster than rounds can be run: a round then serves many of them.
 func (l *leader) place() {
-	c, rounds := l.c, &l.placement
+	c, rounds := l.controller, &l.placement
 	if !l.shard.NeedsPlacement || !l.due(&rounds.lastAt, rounds.interval) {
 		return
 	}
 	preempt := l.due(&rounds.lastPreemptionAt, rounds.preemptionInterval)
 	start := c.clock()
 	l.shard.Place(c.now, preempt)
-	rounds.took(c.clock()-start, preempt, c.set.Params.Quota.Cores)
-	l.schedule.runSoon()
+	rounds.recordDuration(c.clock()-start, preempt, c.settings.Params.Quota.Cores)
+	l.provisioning.runSoon()
 }
--- a/internal/controller/probing.go
+++ b/internal/controller/probing.go
@@ -18,22 +18,22 @@
 	alive      int          // siblings that answered
 	serving    []string     // siblings that reach the state service, and so can serve in our place
 	relays     []string     // siblings that relay heartbeats
-	// resignVotes counts the rounds in a row that spoke for resigning.
-	resignVotes int
+	// resignRounds counts the rounds in a row that spoke for resigning.
+	resignRounds int
 }
 
-// fresh reports whether the answers of the last round are recent.
-func (p *siblingProbe) fresh(now model.Micros) bool { return now-p.answeredAt < probeFreshness }
+// isFresh reports whether the answers of the last round are recent.
+func (p *siblingProbe) isFresh(now model.Micros) bool { return now-p.answeredAt < probeFreshness }
 
 // pickServing returns a sibling that can serve users, or "" if none is known to.
 func (p *siblingProbe) pickServing(now model.Micros) string {
-	if len(p.serving) == 0 || !p.fresh(now) {
+	if len(p.serving) == 0 || !p.isFresh(now) {
 		return ""
 	}
 	return p.serving[int(now)%len(p.serving)]
 }
 
-func (p *siblingProbe) answered(m msgPinged, now model.Micros) {
+func (p *siblingProbe) recordAnswers(m msgPinged, now model.Micros) {
 	p.inProgress, p.answeredAt = false, now
 	p.alive, p.serving, p.relays = m.alive, m.serving, m.relays
 }
@@ -44,11 +44,11 @@
 // connections run short.
 func (c *controller) startProbe() {
 	p := &c.siblings
-	if p.inProgress || len(c.set.Siblings) == 0 || p.startedAt != 0 && c.now-p.startedAt < probeInterval {
+	if p.inProgress || len(c.settings.Siblings) == 0 || p.startedAt != 0 && c.now-p.startedAt < probeInterval {
 		return
 	}
 	needsRelays := c.leading != nil && c.now-p.startedAt >= relayProbeInterval && c.relay.connectionLoad(c.now) >= relayProbeWatermark
-	if !needsRelays && !c.sync.suspect(c.now) && !c.hasNoHeartbeats() {
+	if !needsRelays && !c.sync.suspectsOutage(c.now) && !c.hasNoHeartbeats() {
 		return
 	}
 	p.inProgress, p.startedAt = true, c.now
@@ -57,6 +57,6 @@
 
 // siblingsProbed handles the answers to a round of pings.
 func (c *controller) siblingsProbed(m msgPinged) {
-	c.siblings.answered(m, c.now)
+	c.siblings.recordAnswers(m, c.now)
 	c.considerResigning(m)
 }
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -14,16 +14,16 @@
 
 // provision runs a round of the autoscaler and carries out what it decides.
 func (l *leader) provision() {
-	c := l.c
-	l.schedule.started(c.now, model.Seconds(float64(c.op.LoopPeriodS)))
-	if len(l.shard.MachineTypes) == 0 || l.inventory.listsSeen == 0 {
+	c := l.controller
+	l.provisioning.started(c.now, model.Seconds(float64(c.operator.LoopPeriodS)))
+	if len(l.shard.MachineTypes) == 0 || l.inventory.listsReceived == 0 {
 		// Before the first list it may seem that nothing is rented.
-		l.schedule.runSoon()
+		l.provisioning.runSoon()
 		return
 	}
 	out := l.provisioner.Round(l.provisioningInput())
 	l.markSurplus(out.Surplus)
-	if l.cloudHealth.healthy() || !l.cloudHealth.failedWithin(cloudFailurePause, c.now) {
+	if l.cloudHealth.isHealthy() || !l.cloudHealth.failedWithin(cloudFailurePause, c.now) {
 		for _, rental := range out.Rent {
 			l.rent(rental, out.Unplaced)
 		}
@@ -35,7 +35,7 @@
 		l.shard.Drain(machine, c.now)
 	}
 	if out.Unplaced > 0 {
-		l.schedule.runSoon()
+		l.provisioning.runSoon()
 	}
 }
 
@@ -51,14 +51,14 @@
 
 // provisioningInput collects what a round of the autoscaler looks at.
 func (l *leader) provisioningInput() *autoscaler.Input {
-	world := l.shard.World(l.c.now)
+	world := l.shard.PlacementInput(l.controller.now)
 	world.Sort()
 	in := &autoscaler.Input{
-		Now:              l.c.now,
+		Now:              l.controller.now,
 		Machines:         world.Machines,
 		MachineTypes:     l.shard.MachineTypes,
-		CloudOK:          l.cloudHealth.healthy(),
-		OrdinaryPriority: model.ProductionPriority,
+		CloudOK:          l.cloudHealth.isHealthy(),
+		OnDemandPriority: model.ProductionPriority,
 	}
 	l.addPendingRentals(in)
 	l.addWaitingWork(in, world)
@@ -77,25 +77,25 @@
 				Zone:        rental.Zone,
 				Spot:        rental.Spot,
 				Size:        l.shard.MachineTypes[rental.MachineType].Size(),
-				RentedAt:    l.c.now,
-				EmptySince:  l.c.now,
+				RentedAt:    l.controller.now,
+				EmptySince:  l.controller.now,
 			})
 		}
 	}
 }
 
 // addWaitingWork adds the waiting tasks that their teams' limits allow to start.
-func (l *leader) addWaitingWork(in *autoscaler.Input, world *placement.World) {
-	now := l.c.now
+func (l *leader) addWaitingWork(in *autoscaler.Input, world *placement.Round) {
+	now := l.controller.now
 	room := map[string]model.Resources{}
-	for _, team := range l.c.teams {
+	for _, team := range l.controller.teams {
 		room[team.Name] = team.Limit.Minus(world.Used[team.Name])
 	}
 	for _, job := range world.Jobs {
-		l.recentSizes.note(job, now)
+		l.recentSizes.record(job, now)
 		if !job.AllowsSpot {
-			in.OrdinaryPriority = min(in.OrdinaryPriority, job.Priority)
-			in.OrdinaryMaxWait = max(in.OrdinaryMaxWait, world.Estimates.MaxWait(job))
+			in.OnDemandPriority = min(in.OnDemandPriority, job.Priority)
+			in.OnDemandMaxWait = max(in.OnDemandMaxWait, world.Estimates.MaxWait(job))
 			in.Spread = in.Spread || job.Spread
 		}
 		if len(job.Waiting) == 0 || now < job.NotBefore {
@@ -115,7 +115,7 @@
 	need = job.Request
 	need.Mem = 0
 	// Nothing is rented for a job that fails everywhere beyond the task that is retried.
-	count = job.TasksAtOnce(need.Count(room, len(job.Waiting)))
+	count = job.BindableTasks(need.FitCount(room, len(job.Waiting)))
 	if job.Kind == model.Gang && count < len(job.Waiting) {
 		return 0, need
 	}
--- a/internal/controller/provisioning_schedule.go
+++ b/internal/controller/provisioning_schedule.go
@@ -2,8 +2,8 @@
 
 import "woadweir/internal/core/model"
 
-// minProvisioningGap is the shortest time between two rounds of the autoscaler.
-const minProvisioningGap = 500 * model.Millisecond
+// minProvisioningInterval is the shortest time between two rounds of the autoscaler.
+const minProvisioningInterval = 500 * model.Millisecond
 
 // provisioningSchedule tells when the autoscaler's next round is due: after a full
 // period, or sooner if something changed that it looks at.
@@ -20,7 +20,7 @@
 	s.last, s.next, s.soon = now, now+period, false
 }
 
-// due reports whether a round is due.
-func (s *provisioningSchedule) due(now model.Micros) bool {
-	return now >= s.next || s.soon && now-s.last >= minProvisioningGap
+// isDue reports whether a round is due.
+func (s *provisioningSchedule) isDue(now model.Micros) bool {
+	return now >= s.next || s.soon && now-s.last >= minProvisioningInterval
 }
--- a/internal/controller/recent_sizes.go
+++ b/internal/controller/recent_task_sizes.go
@@ -17,8 +17,8 @@
 // recentTaskSizes are the sizes of tasks that were requested lately, with the time.
 type recentTaskSizes map[taskSize]model.Micros
 
-// note records that tasks of a job's size are requested now.
-func (r recentTaskSizes) note(job *model.JobState, now model.Micros) {
+// record records that tasks of a job's size are requested now.
+func (r recentTaskSizes) record(job *model.JobState, now model.Micros) {
 	r[taskSize{job.Request, job.AllowsSpot}] = now
 }
 
@@ -31,9 +31,9 @@
 		}
 		in.Sizes = append(in.Sizes, size.request)
 		if size.allowsSpot {
-			in.FlexibleSizes = append(in.FlexibleSizes, size.request)
+			in.SpotTolerantSizes = append(in.SpotTolerantSizes, size.request)
 		} else {
-			in.OrdinarySizes = append(in.OrdinarySizes, size.request)
+			in.OnDemandSizes = append(in.OnDemandSizes, size.request)
 		}
 	}
 }
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -31,9 +31,9 @@
 // ago, or was asked to, can't reach the leader. It is not redirected to and fro, or its
 // lease would expire.
 const (
-	directLately  = 15 * model.Second
-	askedLately   = 20 * model.Second
-	routeLifetime = 60 * model.Second
+	recentlyDirect = 15 * model.Second
+	recentlyAsked  = 20 * model.Second
+	routeLifetime  = 60 * model.Second
 )
 
 // route is how a worker's heartbeats reach this leader.
@@ -47,13 +47,13 @@
 type heartbeatRelay struct {
 	connectionLimit int // 0: no limit
 	// freshFor is how long a worker counts as connected after a heartbeat.
-	freshFor  model.Micros
-	directAt  map[string]model.Micros // by machine: the last heartbeat that came itself
-	routes    map[string]route        // by machine, while this controller leads
-	prunedAt  model.Micros
-	askedFrom model.Micros // when the window of asked began
-	asked     int          // workers asked to return in this window
-	nextRelay int
+	freshFor       model.Micros
+	directAt       map[string]model.Micros // by machine: the last heartbeat that came itself
+	routes         map[string]route        // by machine, while this controller leads
+	prunedAt       model.Micros
+	askWindowStart model.Micros // when the window of asked began
+	askedInWindow  int          // workers asked to return in this window
+	nextRelay      int
 	// retryAt is before when no heartbeat is relayed to the leader.
 	retryAt model.Micros
 }
@@ -63,8 +63,8 @@
 		directAt: map[string]model.Micros{}, routes: map[string]route{}}
 }
 
-// received notes a heartbeat that a worker sent to this controller itself.
-func (r *heartbeatRelay) received(machineID string, leads bool, now model.Micros) {
+// recordDirect notes a heartbeat that a worker sent to this controller itself.
+func (r *heartbeatRelay) recordDirect(machineID string, leads bool, now model.Micros) {
 	r.directAt[machineID] = now
 	if leads {
 		known := r.routes[machineID]
@@ -108,26 +108,26 @@
 
 // askToReturn decides whether a relayed worker is asked to come itself, and notes it.
 func (r *heartbeatRelay) askToReturn(machineID string, now model.Micros) bool {
-	if now-r.askedFrom >= returnWindow {
-		r.askedFrom, r.asked = now, 0
+	if now-r.askWindowStart >= returnWindow {
+		r.askWindowStart, r.askedInWindow = now, 0
 	}
 	// Those asked a moment ago are still on their way.
-	if r.connectionLimit > 0 && float64(r.directWorkers(now)+r.asked) >= relayLowWatermark*float64(r.connectionLimit) {
+	if r.connectionLimit > 0 && float64(r.directWorkers(now)+r.askedInWindow) >= relayLowWatermark*float64(r.connectionLimit) {
 		return false
 	}
 	known := r.routes[machineID]
-	if known.directAt != 0 && now-known.directAt < directLately || known.askedAt != 0 && now-known.askedAt < askedLately {
+	if known.directAt != 0 && now-known.directAt < recentlyDirect || known.askedAt != 0 && now-known.askedAt < recentlyAsked {
 		return false
 	}
 	known.askedAt = now
 	r.routes[machineID] = known
-	r.asked++
+	r.askedInWindow++
 	return true
 }
 
-// target returns the sibling to which a worker that comes anew is redirected, or "" if
+// redirectTarget returns the sibling to which a worker that comes anew is redirected, or "" if
 // it may stay.
-func (r *heartbeatRelay) target(machineID string, siblings *siblingProbe, now model.Micros) string {
+func (r *heartbeatRelay) redirectTarget(machineID string, siblings *siblingProbe, now model.Micros) string {
 	if _, known := r.directAt[machineID]; known {
 		return ""
 	}
@@ -145,7 +145,7 @@
 // redirectTo is a response that sends a worker to another controller, or to any if none
 // is named.
 func redirectTo(node string) workerAnswer {
-	return workerAnswer{code: http.StatusMisdirectedRequest, body: workerapi.Elsewhere(node)}
+	return workerAnswer{code: http.StatusMisdirectedRequest, body: workerapi.Redirect(node)}
 }
 
 // workerUnavailable is a response that has a worker try again.
@@ -157,12 +157,12 @@
 // heartbeat relayed there.
 func (c *controller) redirectToLeader() workerAnswer {
 	l := c.view.Leader
-	if l == nil || l.Node == c.set.NodeName || !c.auth.IsViewFresh(c.now) {
+	if l == nil || l.Node == c.settings.NodeName || !c.authority.IsViewFresh(c.now) {
 		return redirectTo("")
 	}
 	a := redirectTo(l.Node)
 	if c.now >= c.relay.retryAt {
-		a.relay = l.Node
+		a.relayTo = l.Node
 	}
 	return a
 }
@@ -172,25 +172,25 @@
 	leads := c.leading != nil
 	machineID := m.heartbeat.Machine
 	if leads && !m.relayed {
-		if sibling := c.relay.target(machineID, &c.siblings, c.now); sibling != "" {
+		if sibling := c.relay.redirectTarget(machineID, &c.siblings, c.now); sibling != "" {
 			m.reply <- redirectTo(sibling)
 			return
 		}
 	}
 	if !m.relayed {
-		c.relay.received(machineID, leads, c.now)
+		c.relay.recordDirect(machineID, leads, c.now)
 	}
 	switch {
 	case !leads:
 		a := c.redirectToLeader()
 		if m.relayed {
-			a.relay = "" // a heartbeat is relayed once
+			a.relayTo = "" // a heartbeat is relayed once
 		}
 		m.reply <- a
-	case !c.leading.ready || !c.auth.IsValid(c.now):
+	case !c.leading.ready || !c.authority.IsValid(c.now):
 		m.reply <- workerUnavailable()
 	case m.relayed && c.relay.askToReturn(machineID, c.now):
-		m.reply <- redirectTo(c.set.NodeName)
+		m.reply <- redirectTo(c.settings.NodeName)
 	default:
 		c.leading.handleHeartbeat(m)
 	}
@@ -203,7 +203,7 @@
 		return http.StatusBadRequest, userapi.Error(http.StatusBadRequest, err.Error(), 0).Body
 	}
 	reply := make(chan workerAnswer, 1)
-	a, ok := ask(f.mail, msgHeartbeat{heartbeat: heartbeat, reply: reply, relayed: true}, reply, relayTimeout)
+	a, ok := ask(f.mailbox, msgHeartbeat{heartbeat: heartbeat, reply: reply, relayed: true}, reply, relayTimeout)
 	if !ok {
 		a = workerUnavailable()
 	}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -8,10 +8,10 @@
 
 // Limits of the sweeps that release unusable machines.
 const (
-	sweepGap         = 500 * model.Millisecond
-	silenceMargin    = 5 * model.Second  // beyond a lease's expiry, before a lost machine is released
-	minBootLimit     = 60 * model.Second // even a machine that boots fast gets this long
-	unreachableShare = 4                 // one part of the fleet in so many may be unreachable
+	sweepInterval      = 500 * model.Millisecond
+	lostMachineMargin  = 5 * model.Second  // beyond a lease's expiry, before a lost machine is released
+	minBootTimeout     = 60 * model.Second // even a machine that boots fast gets this long
+	unreachableDivisor = 4                 // one part of the fleet in so many may be unreachable
 )
 
 // releaseUnusableMachines releases machines that are of no use, and sends deletions.
@@ -22,23 +22,23 @@
 			l.releaseMachine(machine, reason)
 		}
 	}
-	l.inventory.forgetDeleted(l.c.now)
+	l.inventory.forgetDeleted(l.controller.now)
 	l.sendDeletions()
 }
 
 // unusableReason is why a machine is to be released, "" if it is not. Unreachable
 // machines are released only if there are few of them.
 func (l *leader) unusableReason(machine *model.Machine, fewUnreachable bool) string {
-	now := l.c.now
+	now := l.controller.now
 	silence := now - max(machine.LastHeartbeat, machine.RentedAt)
 	switch {
 	case machine.Deleting:
 		return ""
 	case machine.Failed:
 		return "failed"
-	case l.goneFromLists(machine) && silence > l.shard.ReportOverdue():
+	case l.goneFromLists(machine) && silence > l.shard.MaxHeartbeatGap():
 		return "not listed any more"
-	case machine.Up && machine.Lost && silence > l.shard.LeaseExpiry()+silenceMargin:
+	case machine.Up && machine.Lost && silence > l.shard.LeaseExpiry()+lostMachineMargin:
 		return "silent"
 	case fewUnreachable && l.shard.Unreachable(machine, now):
 		return "does not hear"
@@ -58,7 +58,7 @@
 		return false
 	}
 	bootLimit := model.Seconds(machineType.BootS * l.provisioner.Params.FailedAfterBoots)
-	return silence > max(bootLimit, minBootLimit)
+	return silence > max(bootLimit, minBootTimeout)
 }
 
 // fewUnreachable reports whether few machines do not receive our answers. When many
@@ -71,7 +71,7 @@
 			unreachable++
 		}
 	}
-	return unreachable <= max(1, len(l.shard.Machines)/unreachableShare)
+	return unreachable <= max(1, len(l.shard.Machines)/unreachableDivisor)
 }
 
 // releaseMachine decides that a machine is deleted. There is no way back: a deletion
@@ -87,19 +87,19 @@
 
 // sendDeletions requests the deletions that are due, or writes intents for them.
 func (l *leader) sendDeletions() {
-	machineIDs := l.inventory.takeDueDeletions(l.c.now)
+	machineIDs := l.inventory.takeDueDeletions(l.controller.now)
 	switch {
 	case len(machineIDs) == 0:
-	case l.c.actsThroughIntents():
-		l.decideReturn(machineIDs)
+	case l.controller.usesIntents():
+		l.queueReturn(machineIDs)
 	default:
-		l.c.io.deleteMachines(msgDeleted{machineIDs: machineIDs, token: l.token})
+		l.controller.io.deleteMachines(msgDeleted{machineIDs: machineIDs, token: l.token})
 	}
 }
 
 // deleted takes the cloud's answer to a deletion.
 func (c *controller) deleted(m msgDeleted) {
-	if m.intent != "" {
+	if m.intentKey != "" {
 		c.duties.deleted(m)
 		return
 	}
@@ -116,12 +116,12 @@
 	for _, machineID := range m.machineIDs {
 		l.machineDeleted(machineID)
 	}
-	l.schedule.runSoon()
+	l.provisioning.runSoon()
 }
 
 // machineDeleted takes a confirmed deletion.
 func (l *leader) machineDeleted(machineID string) {
-	l.inventory.confirmDeletion(machineID, l.c.now)
-	l.shard.MachineDeleted(machineID, "deleted", l.c.now)
+	l.inventory.confirmDeletion(machineID, l.controller.now)
+	l.shard.MachineDeleted(machineID, "deleted", l.controller.now)
 	slog.Info("deleted", "machine", machineID)
 }
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -13,25 +13,25 @@
 // rent requests machines from the cloud, or writes intents for them. Unplaced is the
 // number of waiting tasks without a place, for the log.
 func (l *leader) rent(rental autoscaler.Rental, unplaced int) {
-	throughIntents := l.c.actsThroughIntents()
+	throughIntents := l.controller.usesIntents()
 	batch := rental.Count
 	if throughIntents {
-		batch = duty.RentAtMost(l.c.maxValue())
+		batch = duty.RentAtMost(l.controller.maxValueBytes())
 	}
 	for left := rental.Count; left > 0; left -= batch {
 		count := min(left, batch)
-		if throughIntents && l.extendRental(rental, count) {
+		if throughIntents && l.extendQueuedRental(rental, count) {
 			continue
 		}
 		request := cloud.Rental{RequestID: l.nextRequestID(), MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot, Count: count}
 		l.inventory.pendingRentals[request.RequestID] = request
 		slog.Info("rent", "request", request.RequestID, "type", rental.MachineType, "zone", rental.Zone, "spot", rental.Spot, "count", count, "unplaced", unplaced)
 		if throughIntents {
-			l.decideRental(request)
+			l.queueRental(request)
 			continue
 		}
 		offer := autoscaler.Offer{MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot}
-		l.c.io.rentMachines(msgRented{rental: request, offer: offer, token: l.token})
+		l.controller.io.rentMachines(msgRented{rental: request, offer: offer, token: l.token})
 	}
 }
 
@@ -44,7 +44,7 @@
 
 // rented takes the cloud's answer to a rental request.
 func (c *controller) rented(m msgRented) {
-	if m.intent != "" {
+	if m.intentKey != "" {
 		c.duties.rented(m)
 		return
 	}
@@ -53,28 +53,28 @@
 		return
 	}
 	delete(l.inventory.pendingRentals, m.rental.RequestID)
-	l.schedule.runSoon()
+	l.provisioning.runSoon()
 	if m.err != nil {
 		if !errors.Is(m.err, cloud.ErrNoCapacity) {
 			l.cloudHealth.failed(c.now)
 		}
 		slog.Info("rent refused", "type", m.rental.MachineType, "zone", m.rental.Zone, "spot", m.rental.Spot, "err", m.err)
-		l.refuseOffer(m.offer)
+		l.offerRefused(m.offer)
 		return
 	}
 	l.cloudHealth.succeeded(c.now)
 	if len(m.machines) < m.rental.Count {
-		l.refuseOffer(m.offer)
+		l.offerRefused(m.offer)
 	}
 	slog.Info("rented", "type", m.rental.MachineType, "zone", m.rental.Zone, "spot", m.rental.Spot, "machines", m.machines)
 	l.addRentedMachines(m.machines, m.offer)
 }
 
-// refuseOffer records that the cloud had too little capacity of an offer, so that it is
+// offerRefused records that the cloud had too little capacity of an offer, so that it is
 // not requested again at once.
-func (l *leader) refuseOffer(offer autoscaler.Offer) {
-	l.spill.refused[offer] = l.c.now
-	l.provisioner.Refuse(offer, l.c.now)
+func (l *leader) offerRefused(offer autoscaler.Offer) {
+	l.spill.refusedOffers[offer] = l.controller.now
+	l.provisioner.OfferRefused(offer, l.controller.now)
 }
 
 // addRentedMachines adds the machines of a rental to the fleet. One that has been
@@ -82,7 +82,7 @@
 func (l *leader) addRentedMachines(machineIDs []string, offer autoscaler.Offer) {
 	for _, machineID := range machineIDs {
 		if !l.inventory.isDeleted(machineID) {
-			l.shard.AddMachine(machineID, offer.MachineType, offer.Zone, offer.Spot, l.c.now)
+			l.shard.AddMachine(machineID, offer.MachineType, offer.Zone, offer.Spot, l.controller.now)
 		}
 	}
 }
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -42,24 +42,24 @@
 	mailboxSize = 16384
 	// tickInterval is how often the controller actor looks for what is due.
 	tickInterval = 50 * time.Millisecond
-	// abandonedSessions is how many sessions may wait to be ended.
-	abandonedSessions = 8
+	// maxAbandonedSessions is how many sessions may wait to be ended.
+	maxAbandonedSessions = 8
 )
 
 // Limits of the HTTP server.
 const (
-	maxRequestBytes  = 64 << 10
-	readBufferBytes  = 4096
-	readTimeout      = 30 * time.Second
-	writeTimeout     = 10 * time.Second
-	minIdleTimeout   = 30 * time.Second
-	idleHeartbeats   = 6  // heartbeat intervals after which a connection is idle
-	minConcurrency   = 64 // requests at a time, where connections are limited
-	concurrencyShare = 9  // tenths of the connection limit
+	maxRequestBytes   = 64 << 10
+	readBufferBytes   = 4096
+	readTimeout       = 30 * time.Second
+	writeTimeout      = 10 * time.Second
+	minIdleTimeout    = 30 * time.Second
+	idleHeartbeats    = 6  // heartbeat intervals after which a connection is idle
+	minConcurrency    = 64 // requests at a time, where connections are limited
+	concurrencyTenths = 9  // tenths of the connection limit
 )
 
 // Run serves until the context ends or a listener fails.
-func Run(ctx context.Context, set *config.Settings, op *config.Operator) error {
+func Run(ctx context.Context, set *config.Settings, op *config.OperatorSettings) error {
 	listener, err := net.Listen("tcp4", set.ServeOn)
 	if err != nil {
 		return err
@@ -87,7 +87,7 @@
 
 // process is a controller with all that it runs: the actors and the servers.
 type process struct {
-	mail         chan any
+	mailbox      chan any
 	controller   *controller
 	session      *session
 	frontend     *frontend
@@ -97,7 +97,7 @@
 }
 
 // newProcess sets a controller up, without starting anything.
-func newProcess(ctx context.Context, set *config.Settings, op *config.Operator) (*process, error) {
+func newProcess(ctx context.Context, set *config.Settings, op *config.OperatorSettings) (*process, error) {
 	clock, leaseTimes := SteadyClock(), set.LeaseTimes(op)
 	mail := make(chan any, mailboxSize)
 	stateClient := state.NewClient(set.Services.State)
@@ -105,16 +105,16 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &process{mail: mail, frontend: &frontend{mail: mail, peers: peers, state: stateClient, ctx: ctx}}
+	p := &process{mailbox: mail, frontend: &frontend{mailbox: mail, peers: peers, state: stateClient, ctx: ctx}}
 	p.http = newHTTPServer(set, p.frontend)
-	if p.peerListener, err = net.Listen("tcp4", set.Back); err != nil {
+	if p.peerListener, err = net.Listen("tcp4", set.PeerAddress); err != nil {
 		return nil, err
 	}
-	abandon := make(chan uint64, abandonedSessions)
-	io := &inputOutput{mail: mail, clock: clock, state: stateClient, cloud: cloud.NewClient(set.Services.Cloud), peers: peers, name: set.NodeName, ctx: ctx,
+	abandon := make(chan uint64, maxAbandonedSessions)
+	io := &asyncEffects{mailbox: mail, clock: clock, state: stateClient, cloud: cloud.NewClient(set.Services.Cloud), peers: peers, name: set.NodeName, ctx: ctx,
 		abandon: abandon}
 	p.controller = newController(set, op, leaseTimes, clock, io)
-	p.session = &session{state: stateClient, clock: clock, mail: mail, name: set.NodeName, serve: set.ServeOn, ttl: leaseTimes.TTL, duties: op.Duties != nil, spills: op.Spill != nil, abandon: abandon}
+	p.session = &session{state: stateClient, clock: clock, mailbox: mail, name: set.NodeName, serveAddress: set.ServeOn, ttl: leaseTimes.TTL, mayHoldDuties: op.Duties != nil, spills: op.Spill != nil, abandon: abandon}
 	if op.Spill == nil {
 		return p, nil
 	}
@@ -126,9 +126,9 @@
 // start starts the actors and the servers.
 func (p *process) start(ctx context.Context, group *errgroup.Group, listener net.Listener) {
 	group.Go(func() error { return peer.Serve(ctx, p.peerListener, p.frontend, p.peerServices...) })
-	group.Go(func() error { return p.controller.run(ctx, p.mail) })
+	group.Go(func() error { return p.controller.run(ctx, p.mailbox) })
 	group.Go(func() error { return p.session.run(ctx) })
-	group.Go(func() error { return tick(ctx, p.mail) })
+	group.Go(func() error { return tick(ctx, p.mailbox) })
 	group.Go(func() error { return p.http.Serve(listener) })
 	group.Go(func() error { <-ctx.Done(); return p.http.Shutdown() })
 }
@@ -151,7 +151,7 @@
 		ReadBufferSize: readBufferBytes, IdleTimeout: idleTimeout(set), ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
 		Logger: discardLogger{}, NoDefaultContentType: true, DisablePreParseMultipartForm: true}
 	if limit := set.Params.Quota.FDLimit; limit > 0 {
-		server.Concurrency = max(minConcurrency, limit*concurrencyShare/10)
+		server.Concurrency = max(minConcurrency, limit*concurrencyTenths/10)
 	}
 	return server
 }
@@ -197,8 +197,8 @@
 	if e.Task != "" {
 		args = append(args, "task", e.Task, "attempt", e.Attempt)
 	}
-	if e.Why != "" {
-		args = append(args, "why", e.Why)
+	if e.Reason != "" {
+		args = append(args, "why", e.Reason)
 	}
 	slog.Info(string(e.Kind), args...)
 }
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -15,29 +15,29 @@
 // Timeouts of the requests that keep the session: a part of its time to live, within a
 // maximum.
 const (
-	sessionTimeoutPart = 5
-	maxSessionTimeout  = 2 * model.Second
+	sessionTimeoutDivisor = 5
+	maxSessionTimeout     = 2 * model.Second
 )
 
 // session is the actor that keeps this process's session with the state service, whose
 // end deletes the keys bound to it: it makes the requests that leadership.Session decides.
 type session struct {
-	state *state.Client
-	clock Clock
-	mail  chan<- any
-	name  string
-	serve string
-	ttl   model.Micros
-	// duties tells that this process may hold duties without leading.
-	duties bool
+	state        *state.Client
+	clock        Clock
+	mailbox      chan<- any
+	name         string
+	serveAddress string
+	ttl          model.Micros
+	// mayHoldDuties tells that this process may hold duties without leading.
+	mayHoldDuties bool
 	// spills tells that this process is set up to spill.
 	spills bool
 	// abandon takes sessions that are to be ended instead of renewed.
 	abandon chan uint64
 }
 
-// pause waits, and returns whether the context still stands.
-func pause(ctx context.Context, d model.Micros) bool {
+// sleep waits, and returns whether the context still stands.
+func sleep(ctx context.Context, d model.Micros) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -56,7 +56,7 @@
 	core := leadership.NewSession(s.ttl)
 	for {
 		call := core.Next()
-		if !pause(ctx, call.After) {
+		if !sleep(ctx, call.After) {
 			return nil
 		}
 		select {
@@ -78,7 +78,7 @@
 			slog.Info("session", "id", change.LeaseID)
 		}
 		select {
-		case s.mail <- msgSession{change.LeaseID, change.SentAt}:
+		case s.mailbox <- msgSession{change.LeaseID, change.SentAt}:
 		case <-ctx.Done():
 			return nil
 		}
@@ -87,7 +87,7 @@
 
 // execute makes a request to the state service.
 func (s *session) execute(call leadership.Call) (r leadership.Reply, err error) {
-	timeout := min(s.ttl/sessionTimeoutPart, maxSessionTimeout)
+	timeout := min(s.ttl/sessionTimeoutDivisor, maxSessionTimeout)
 	switch call.Kind {
 	case leadership.CallRead:
 		r, err = s.readNode(timeout)
@@ -129,7 +129,7 @@
 
 // putNode writes this process's record, unless another has written it meanwhile.
 func (s *session) putNode(call leadership.Call, timeout model.Micros) (r leadership.Reply, err error) {
-	record := state.NodeRecord{Session: call.LeaseID, Serve: s.serve, Layout: state.Layout(s.spills), Duties: s.duties}
+	record := state.NodeRecord{Session: call.LeaseID, ServeAddress: s.serveAddress, Layout: state.Layout(s.spills), MayHoldDuties: s.mayHoldDuties}
 	res, err := s.state.Commit(&state.Txn{
 		Conditions: []state.Condition{{Path: s.nodeKey(), Revision: call.Revision}},
 		Then:       []state.Op{{Set: s.nodeKey(), Value: record, LeaseID: call.LeaseID}}}, timeout)
--- a/internal/controller/spill_changes.go
+++ b/internal/controller/spill_changes.go
@@ -15,24 +15,24 @@
 	jobID string // a job of this cell that must not have changed, "": none
 }
 
-// want has a change made durable, in the place of an earlier one of the same record.
-func (s *spiller) want(key string, change spillChange) { s.changes[key] = change }
+// queueChange has a change made durable, in the place of an earlier one of the same record.
+func (s *spillManager) queueChange(key string, change spillChange) { s.pendingChanges[key] = change }
 
-// write sends the changes that are due, one transaction at a time. Each is guarded by the
+// writeChanges sends the changes that are due, one transaction at a time. Each is guarded by the
 // grant and by the record's own revision, and a lending by that of the job: a job that
 // has ended is never lent.
-func (s *spiller) write() {
-	c := s.l.c
-	if !c.lanes.free(laneSpill, c.now) || s.resync || len(s.changes) == 0 {
+func (s *spillManager) writeChanges() {
+	c := s.leader.controller
+	if !c.lanes.isFree(laneSpill, c.now) || s.resync || len(s.pendingChanges) == 0 {
 		return
 	}
-	limit := min(c.limits.TxnOps, c.budget.Left(c.now))
-	txn := &state.Txn{Conditions: []state.Condition{{Path: grantKey, Revision: s.l.token}}}
-	for _, key := range sortedKeys(s.changes) {
-		change := s.changes[key]
-		if s.settled(key, change) {
-			delete(s.changes, key)
-			s.recordNews(key)
+	limit := min(c.limits.TxnOps, c.writeBudget.Left(c.now))
+	txn := &state.Txn{Conditions: []state.Condition{{Path: grantKey, Revision: s.leader.token}}}
+	for _, key := range sortedKeys(s.pendingChanges) {
+		change := s.pendingChanges[key]
+		if s.isSettled(key, change) {
+			delete(s.pendingChanges, key)
+			s.recordChanged(key)
 			continue
 		}
 		if len(txn.Then) >= limit {
@@ -49,24 +49,24 @@
 		}
 	}
 	if len(txn.Then) > 0 {
-		c.send(laneSpill, msgCommitted{txn: txn, token: s.l.token})
+		c.send(laneSpill, msgCommitted{txn: txn, token: s.leader.token})
 	}
 }
 
-// settled tells that a change stands in the view, or that it is pointless.
-func (s *spiller) settled(key string, change spillChange) bool {
-	view := s.l.c.view
+// isSettled tells that a change stands in the view, or that it is pointless.
+func (s *spillManager) isSettled(key string, change spillChange) bool {
+	view := s.leader.controller.view
 	if change.jobID != "" {
-		if _, ended := view.Final(change.jobID); ended {
+		if _, ended := view.EffectiveEnd(change.jobID); ended {
 			return true
 		}
 	}
 	switch value := change.value.(type) {
 	case spill.OutRecord:
-		record := view.LentOut[strings.TrimPrefix(key, spill.OutPrefix)]
+		record := view.LentJobs[strings.TrimPrefix(key, spill.OutPrefix)]
 		return record != nil && *record == value
 	case spill.InRecord:
-		record := view.LentIn[key]
+		record := view.BorrowedJobs[key]
 		return record != nil && record.Token == value.Token && record.State == value.State
 	default:
 		_, exists := view.Revisions[key]
@@ -75,16 +75,16 @@
 }
 
 // committed takes the end of a transaction of spill records.
-func (s *spiller) committed(m msgCommitted) {
-	c := s.l.c
-	if m.err == nil && m.res.OK {
-		c.view.Apply(m.txn, m.res.Revision)
+func (s *spillManager) committed(m msgCommitted) {
+	c := s.leader.controller
+	if m.err == nil && m.result.OK {
+		c.view.Apply(m.txn, m.result.Revision)
 		for _, op := range m.txn.Then {
 			key := op.Set + op.Drop // one of them is empty
-			if change, pending := s.changes[key]; pending && s.settled(key, change) {
-				delete(s.changes, key)
+			if change, pending := s.pendingChanges[key]; pending && s.isSettled(key, change) {
+				delete(s.pendingChanges, key)
 			}
-			s.recordNews(key)
+			s.recordChanged(key)
 		}
 		return
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -18,22 +18,22 @@
 	defaultWaitingReads = 1024
 )
 
-// healthy reports whether the load balancer should send users to this controller. A
+// isHealthy reports whether the load balancer should send users to this controller. A
 // controller that alone lost the state service can have siblings answer. When no
 // controller reaches the state service, leaving the load balancer would only delay the
 // return.
-func (c *controller) healthy() bool {
-	if !c.loaded {
+func (c *controller) isHealthy() bool {
+	if !c.viewLoaded {
 		return false
 	}
-	return c.now-c.sync.succeededAt < healthySyncAge || c.siblings.alive > 0 && c.siblings.fresh(c.now)
+	return c.now-c.sync.succeededAt < healthySyncAge || c.siblings.alive > 0 && c.siblings.isFresh(c.now)
 }
 
 // stateUnreachable is the answer to a user when the state service is not reached. It
 // names a sibling that can answer instead, if one is known.
 func (c *controller) stateUnreachable() userapi.Answer {
 	a := userapi.Error(http.StatusServiceUnavailable, "state not reachable", 1)
-	a.Helper = c.siblings.pickServing(c.now)
+	a.ForwardTo = c.siblings.pickServing(c.now)
 	return a
 }
 
@@ -57,7 +57,7 @@
 // so reads stay linearizable at a cost that does not grow with their number. Reads
 // beyond the limit are refused at once.
 func (c *controller) readStatus(m msgStatusRequest) {
-	switch _, ended := c.view.Final(m.jobID); {
+	switch _, ended := c.view.EffectiveEnd(m.jobID); {
 	case ended:
 		// A final status never changes, so no read barrier is needed.
 		m.reply <- c.statusAnswer(m.jobID)
@@ -84,7 +84,7 @@
 // connection, and while the state service is slow they must leave enough of them to the
 // workers' heartbeats.
 func (c *controller) maxWaitingReads() int {
-	if limit := c.set.Params.Quota.FDLimit; limit > 0 {
+	if limit := c.settings.Params.Quota.FDLimit; limit > 0 {
 		return max(minWaitingReads, limit/4)
 	}
 	return defaultWaitingReads
@@ -97,7 +97,7 @@
 	if !known {
 		return noSuchJob()
 	}
-	return userapi.State(jobID, status, done, running, c.failedMachines(jobID))
+	return userapi.JobStatus(jobID, status, done, running, c.failedMachines(jobID))
 }
 
 func noSuchJob() userapi.Answer { return userapi.Error(http.StatusNotFound, "no such job", 0) }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -14,7 +14,7 @@
 // submit answers a submission, or queues it to be made durable. Submissions are
 // idempotent: one of a known job is answered with that job's status.
 func (c *controller) submit(m msgSubmit) {
-	if status, ended := c.view.Final(m.jobID); ended {
+	if status, ended := c.view.EffectiveEnd(m.jobID); ended {
 		m.reply <- userapi.Accepted(http.StatusOK, m.jobID, status)
 		return
 	}
@@ -23,14 +23,14 @@
 		return
 	}
 	if c.view.Known(m.jobID) {
-		c.withReadBarrier(m.reply, func() { m.reply <- c.repeatedSubmission(m.jobID) })
+		c.withReadBarrier(m.reply, func() { m.reply <- c.repeatedSubmissionAnswer(m.jobID) })
 		return
 	}
 	c.submitNew(m)
 }
 
-// repeatedSubmission is the answer to a submission of a job that is known already.
-func (c *controller) repeatedSubmission(jobID string) userapi.Answer {
+// repeatedSubmissionAnswer is the answer to a submission of a job that is known already.
+func (c *controller) repeatedSubmissionAnswer(jobID string) userapi.Answer {
 	status, _, _, _ := c.view.Status(jobID)
 	return userapi.Accepted(http.StatusOK, jobID, status)
 }
@@ -45,11 +45,11 @@
 		m.reply <- userapi.Error(http.StatusServiceUnavailable, "machine types not known yet", 1)
 		return
 	}
-	if reason := m.submission.Job(0).CanEverRun(c.teams, c.view.MachineTypes); reason != "" {
+	if reason := m.submission.Job(0).InfeasibleReason(c.teams, c.view.MachineTypes); reason != "" {
 		c.refuseUnlessKnown(m, http.StatusUnprocessableEntity, reason)
 		return
 	}
-	if !c.fits(shard.JobRecord{Spec: m.submission, End: model.JobCancelled}) {
+	if !c.fitsValue(shard.JobRecord{Spec: m.submission, End: model.JobCancelled}) {
 		c.refuseUnlessKnown(m, http.StatusUnprocessableEntity, "too large")
 		return
 	}
@@ -94,13 +94,13 @@
 	if c.userWrites.joinSubmission(m.jobID, m.reply) {
 		return
 	}
-	m.submission.AcceptedMs = c.wall()
+	m.submission.AcceptedMs = c.wallClockMs()
 	c.userWrites.append(userWrite{jobID: m.jobID, submission: m.submission, replies: []chan<- userapi.Answer{m.reply}, deadline: c.now + userWriteDeadline})
 }
 
 // maxQueuedSubmissions limits the queue to about a second's worth of writes: more could
 // not be written in time, and are refused at once.
-func (c *controller) maxQueuedSubmissions() int { return max(4, int(c.budget.Rate())) }
+func (c *controller) maxQueuedSubmissions() int { return max(4, int(c.writeBudget.Rate())) }
 
 // refuseUnlessKnown refuses a submission, unless its job turns out to be known: a
 // repeated submission of a known job never gets a client error, whatever it says.
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -30,8 +30,8 @@
 )
 
 const (
-	// writePause is how long a lane waits after a transaction that failed.
-	writePause = 100 * model.Millisecond
+	// writeRetryPause is how long a lane waits after a transaction that failed.
+	writeRetryPause = 100 * model.Millisecond
 	// shardName names the only shard: the leader owns it.
 	shardName = state.FirstShard
 )
@@ -45,8 +45,8 @@
 	pausedUntil [laneCount]model.Micros
 }
 
-// free reports whether a lane may send a transaction.
-func (t *transactionLanes) free(l lane, now model.Micros) bool {
+// isFree reports whether a lane may send a transaction.
+func (t *transactionLanes) isFree(l lane, now model.Micros) bool {
 	return !t.busy[l] && now >= t.pausedUntil[l]
 }
 
@@ -54,8 +54,8 @@
 // the pause of the first of them.
 func (t *transactionLanes) pauseUntil(l lane, until model.Micros) { t.pausedUntil[l] = until }
 
-// freeUserLane finds a lane for users' writes.
-func (t *transactionLanes) freeUserLane(now model.Micros) (free lane, ok bool) {
+// findFreeUserLane finds a lane for users' writes.
+func (t *transactionLanes) findFreeUserLane(now model.Micros) (free lane, ok bool) {
 	i := slices.Index(t.busy[laneUsers:], false)
 	if i < 0 || now < t.pausedUntil[laneUsers] {
 		return 0, false
@@ -67,7 +67,7 @@
 func (c *controller) send(on lane, m msgCommitted) {
 	m.lane = on
 	c.lanes.busy[on] = true
-	c.budget.Spend(len(m.txn.Then), c.now)
+	c.writeBudget.Spend(len(m.txn.Then), c.now)
 	c.io.commit(m)
 }
 
@@ -76,7 +76,7 @@
 	c.lanes.busy[m.lane] = false
 	switch {
 	case m.lane == laneElection:
-		c.elected(m)
+		c.electionCommitted(m)
 	case m.lane >= laneUsers:
 		c.userWritesCommitted(m)
 	case m.lane == laneDuty:
@@ -93,9 +93,9 @@
 // transaction without an answer may have been executed, and one whose condition did not
 // hold was based on an outdated view.
 func (c *controller) writeFailed(m msgCommitted) (syncFirst bool) {
-	c.lanes.pauseUntil(m.lane, c.now+writePause)
+	c.lanes.pauseUntil(m.lane, c.now+writeRetryPause)
 	if errors.Is(m.err, state.ErrBusy) {
-		c.budget.Drain(c.now)
+		c.writeBudget.Drain(c.now)
 		return false
 	}
 	return true
@@ -104,7 +104,7 @@
 // lostGrant reports whether a transaction was refused because another controller has
 // the grant by now.
 func (m *msgCommitted) lostGrant() bool {
-	return m.err == nil && slices.Contains(m.res.Failed, grantKey)
+	return m.err == nil && slices.Contains(m.result.Failed, grantKey)
 }
 
 // needSync sets resync, which keeps a lane's owner from writing, and requests the
--- a/internal/controller/user_writes.go
+++ b/internal/controller/user_writes.go
@@ -87,9 +87,9 @@
 	return &userBatch{txn: &state.Txn{}, jobIDs: map[string]bool{}}
 }
 
-// accepts reports whether a write fits. No batch has two writes to the same job, as the
+// hasRoomFor reports whether a write fits. No batch has two writes to the same job, as the
 // condition of the second would not hold.
-func (b *userBatch) accepts(jobID string, size, limit int) bool {
+func (b *userBatch) hasRoomFor(jobID string, size, limit int) bool {
 	return len(b.writes) < limit && b.bytes+size <= maxUserTxnBytes && !b.jobIDs[jobID]
 }
 
@@ -103,17 +103,17 @@
 	b.bytes += size + userWriteOverhead
 }
 
-// writeUserChanges sends the next transaction of queued user writes, if a lane is free.
-func (c *controller) writeUserChanges() {
+// sendUserWrites sends the next transaction of queued user writes, if a lane is free.
+func (c *controller) sendUserWrites() {
 	if len(c.userWrites.queue) == 0 {
 		return
 	}
 	c.userWrites.expire(c.now)
-	free, ok := c.lanes.freeUserLane(c.now)
+	free, ok := c.lanes.findFreeUserLane(c.now)
 	if !ok {
 		return
 	}
-	limit := min(len(c.userWrites.queue), c.limits.TxnOps, c.budget.Left(c.now))
+	limit := min(len(c.userWrites.queue), c.limits.TxnOps, c.writeBudget.Left(c.now))
 	if limit <= 0 {
 		return
 	}
@@ -121,7 +121,7 @@
 	if len(batch.writes) == 0 {
 		return
 	}
-	c.send(free, msgCommitted{txn: batch.txn, users: batch.writes})
+	c.send(free, msgCommitted{txn: batch.txn, userWrites: batch.writes})
 }
 
 // takeUserBatch moves as many queued writes as fit into a batch. Writes that need no
@@ -130,7 +130,7 @@
 	batch := newUserBatch()
 	var rest []userWrite
 	for _, w := range c.userWrites.queue {
-		if end, ended := c.view.Final(w.jobID); ended && w.isCancellation() {
+		if end, ended := c.view.EffectiveEnd(w.jobID); ended && w.isCancellation() {
 			// The job ended while its cancellation was queued. The condition would hold
 			// against the end, which the view has by now, and the end would be overwritten.
 			w.answer(userapi.Accepted(http.StatusOK, w.jobID, end))
@@ -141,7 +141,7 @@
 			w.answer(userapi.Error(http.StatusBadRequest, err.Error(), 0))
 			continue
 		}
-		if !batch.accepts(w.jobID, size, limit) {
+		if !batch.hasRoomFor(w.jobID, size, limit) {
 			rest = append(rest, w)
 			continue
 		}
@@ -176,18 +176,18 @@
 func (c *controller) userWritesCommitted(m msgCommitted) {
 	switch {
 	case errors.Is(m.err, state.ErrBusy):
-		c.budget.Drain(c.now)
-		c.lanes.pauseUntil(laneUsers, c.now+writePause)
-		c.userWrites.prepend(m.users...)
+		c.writeBudget.Drain(c.now)
+		c.lanes.pauseUntil(laneUsers, c.now+writeRetryPause)
+		c.userWrites.prepend(m.userWrites...)
 	case errors.Is(m.err, state.ErrTooBig):
 		c.lowerStateLimits(m.err)
-		c.userWrites.prepend(m.users...)
+		c.userWrites.prepend(m.userWrites...)
 	case m.err != nil:
-		c.lanes.pauseUntil(laneUsers, c.now+writePause)
-		for i := range m.users {
-			m.users[i].answer(userapi.Error(http.StatusServiceUnavailable, "state not reachable", 1))
+		c.lanes.pauseUntil(laneUsers, c.now+writeRetryPause)
+		for i := range m.userWrites {
+			m.userWrites[i].answer(userapi.Error(http.StatusServiceUnavailable, "state not reachable", 1))
 		}
-	case m.res.OK:
+	case m.result.OK:
 		c.userWritesDurable(m)
 	default:
 		c.userWritesConflicted(m)
@@ -196,10 +196,10 @@
 
 // userWritesDurable takes durable writes into the view, and answers them.
 func (c *controller) userWritesDurable(m msgCommitted) {
-	for i := range m.users {
-		w := &m.users[i]
+	for i := range m.userWrites {
+		w := &m.userWrites[i]
 		op := m.txn.Then[i]
-		c.view.Put(op.Set, op.Value, m.res.Revision)
+		c.view.Put(op.Set, op.Value, m.result.Revision)
 		if w.isCancellation() {
 			w.answer(userapi.Accepted(http.StatusOK, w.jobID, model.JobCancelled))
 		} else {
@@ -214,10 +214,10 @@
 // service has, after a read barrier.
 func (c *controller) userWritesConflicted(m msgCommitted) {
 	conflicted := map[string]bool{}
-	for _, path := range m.res.Failed {
+	for _, path := range m.result.Failed {
 		conflicted[strings.TrimPrefix(path, state.JobPrefix)] = true
 	}
-	for _, w := range m.users {
+	for _, w := range m.userWrites {
 		if !conflicted[w.jobID] {
 			c.userWrites.append(w)
 			continue
@@ -230,7 +230,7 @@
 // it again if the change does not decide the answer.
 func (c *controller) resolveConflict(w userWrite, synced bool) {
 	status, _, _, known := c.view.Status(w.jobID)
-	_, ended := c.view.Final(w.jobID)
+	_, ended := c.view.EffectiveEnd(w.jobID)
 	switch {
 	case !synced:
 		w.answer(c.stateUnreachable())
--- a/internal/controller/view_sync.go
+++ b/internal/controller/view_sync.go
@@ -20,10 +20,10 @@
 	slowSync             = 300 * model.Millisecond // one in progress for longer may fail
 )
 
-// syncShare is the share of the requests that the state service sustains which the
+// syncRequestShare is the share of the requests that the state service sustains which the
 // synchronizations of all controllers together may take; transactions and sessions need
 // the rest.
-const syncShare = 0.6
+const syncRequestShare = 0.6
 
 // viewSync schedules the synchronization of the view with the state service. A
 // synchronization is a linearizable read barrier as well: once it has succeeded, the view
@@ -36,22 +36,22 @@
 	notBefore   model.Micros // pause after a failure
 	failed      bool         // the last one failed: the state service is not reached
 	needsList   bool         // the next one lists everything instead of reading changes
-	// waiting runs after a synchronization that is not started yet; current after the
+	// nextWaiters runs after a synchronization that is not started yet; current after the
 	// one in progress.
-	waiting []func(ok bool)
-	current []func(ok bool)
+	nextWaiters    []func(ok bool)
+	currentWaiters []func(ok bool)
 }
 
 // newViewSync limits synchronizations to this controller's part of the requests that
 // the state service sustains.
 func newViewSync(controllers int, requestsPerSecond float64) viewSync {
-	interval := model.Seconds(float64(controllers) / (syncShare * requestsPerSecond))
+	interval := model.Seconds(float64(controllers) / (syncRequestShare * requestsPerSecond))
 	return viewSync{minInterval: max(minSyncInterval, interval), needsList: true}
 }
 
 // afterReadBarrier runs f once a synchronization that starts after this call has ended.
 // It tells f whether that one succeeded.
-func (s *viewSync) afterReadBarrier(f func(ok bool)) { s.waiting = append(s.waiting, f) }
+func (s *viewSync) afterReadBarrier(f func(ok bool)) { s.nextWaiters = append(s.nextWaiters, f) }
 
 // request has a synchronization start as soon as possible.
 func (s *viewSync) request() { s.afterReadBarrier(func(bool) {}) }
@@ -66,20 +66,20 @@
 
 func (s *viewSync) begin(now model.Micros) {
 	s.inProgress, s.startedAt = true, now
-	s.current, s.waiting = s.waiting, nil
+	s.currentWaiters, s.nextWaiters = s.nextWaiters, nil
 }
 
 // end ends the synchronization in progress, and returns who waited for it.
 func (s *viewSync) end(err error) (waiters []func(ok bool)) {
 	s.inProgress = false
 	s.failed = err != nil && !errors.Is(err, state.ErrCompacted) && !errors.Is(err, state.ErrBusy)
-	waiters, s.current = s.current, nil
+	waiters, s.currentWaiters = s.currentWaiters, nil
 	return waiters
 }
 
-// suspect reports whether the state service may be unreachable: the last
+// suspectsOutage reports whether the state service may be unreachable: the last
 // synchronization failed, or the one in progress takes long.
-func (s *viewSync) suspect(now model.Micros) bool {
+func (s *viewSync) suspectsOutage(now model.Micros) bool {
 	return s.failed || s.inProgress && now-s.startedAt > slowSync
 }
 
@@ -101,7 +101,7 @@
 	if !c.sync.allowed(c.now) {
 		return
 	}
-	if len(c.sync.waiting) == 0 && c.loaded && c.now-c.sync.startedAt < c.syncInterval() {
+	if len(c.sync.nextWaiters) == 0 && c.viewLoaded && c.now-c.sync.startedAt < c.syncInterval() {
 		return
 	}
 	c.sync.begin(c.now)
@@ -113,30 +113,30 @@
 	waiters := c.sync.end(m.err)
 	err := m.err
 	if err == nil {
-		err = c.takeSynced(m)
+		err = c.applySynced(m)
 	}
 	if err != nil {
 		c.syncFailed(err)
 	} else {
-		c.syncSucceeded(m.sent)
+		c.syncSucceeded(m.sentAt)
 	}
 	for _, f := range waiters {
 		f(err == nil)
 	}
 }
 
-// takeSynced takes a listing or changes into the view.
-func (c *controller) takeSynced(m msgSynced) error {
+// applySynced takes a listing or changes into the view.
+func (c *controller) applySynced(m msgSynced) error {
 	if m.view == nil {
 		for i := range m.changes.Events {
-			if err := c.apply(&m.changes.Events[i]); err != nil {
+			if err := c.applyEvent(&m.changes.Events[i]); err != nil {
 				return err
 			}
 		}
 		c.view.Revision = max(c.view.Revision, m.changes.Revision)
 		return nil
 	}
-	c.view, c.loaded, c.sync.needsList = m.view, true, false
+	c.view, c.viewLoaded, c.sync.needsList = m.view, true, false
 	c.view.TakeChangedJobs() // reload handles all jobs
 	if c.leading != nil {
 		c.leading.reload()
@@ -148,7 +148,7 @@
 // service says.
 func (c *controller) syncSucceeded(sent model.Micros) {
 	c.sync.succeededAt = sent
-	c.auth.ViewSynced(sent)
+	c.authority.ViewSynced(sent)
 	if l := c.leading; l != nil {
 		if c.view.Leader == nil || c.view.Leader.Session != c.session || c.view.Revisions[grantKey] != l.token {
 			c.stepDown(reasonOtherLeader)
@@ -167,7 +167,7 @@
 	case errors.Is(err, state.ErrLayout):
 		// Whoever wrote that knows of jobs or bindings that we would miss.
 		slog.Error("the state service holds what this version can't read; not serving", "err", err)
-		c.loaded, c.sync.needsList, c.sync.failed = false, true, true
+		c.viewLoaded, c.sync.needsList, c.sync.failed = false, true, true
 		c.sync.notBefore = c.now + unreadableSyncPause
 		c.stepDown(reasonUnreadable)
 	case errors.Is(err, state.ErrCompacted):
@@ -177,8 +177,8 @@
 	}
 }
 
-// apply takes a change into the view, and tells the leader's scheduler what concerns it.
-func (c *controller) apply(e *state.Event) error {
+// applyEvent takes a change into the view, and tells the leader's scheduler what concerns it.
+func (c *controller) applyEvent(e *state.Event) error {
 	if e.Drop != "" {
 		c.view.Drop(e.Drop, e.Revision)
 		c.spillRecordChanged(e.Drop)
@@ -197,7 +197,7 @@
 // spillRecordChanged tells the leader's spiller of a changed record, if it is one of its.
 func (c *controller) spillRecordChanged(key string) {
 	if strings.HasPrefix(key, state.SpillPrefix) && c.leading != nil && c.leading.ready {
-		c.leading.spill.recordNews(key)
+		c.leading.spill.recordChanged(key)
 	}
 }
 
--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -16,7 +16,7 @@
 	LateAfterBoots    float64 // boot times after which a machine is no longer counted on
 	FailedAfterBoots  float64 // boot times after which a machine that was never up is released
 	RefusedPause      model.Micros
-	MinHeld           model.Micros // the shortest time that is charged
+	MinBilled         model.Micros // the shortest time that is charged
 	MaxPriceRatio     float64      // waiting beats a machine that costs this many times the cheapest
 	IdleHold          model.Micros // how long placeholders alone keep the cheapest machine
 }
@@ -29,7 +29,7 @@
 		LateAfterBoots:    2.5,
 		FailedAfterBoots:  4,
 		RefusedPause:      6 * model.Second,
-		MinHeld:           60 * model.Second,
+		MinBilled:         60 * model.Second,
 		MaxPriceRatio:     5,
 		IdleHold:          60 * model.Second,
 	}
@@ -49,13 +49,13 @@
 	MachineTypes map[string]*model.MachineType
 	// Sizes of tasks that are requested now or were lately, and of those of them that
 	// need ordinary machines and that may use spot machines.
-	Sizes, OrdinarySizes, FlexibleSizes []model.Resources
-	// OrdinaryPriority is the lowest priority of unfinished jobs that need ordinary
+	Sizes, OnDemandSizes, SpotTolerantSizes []model.Resources
+	// OnDemandPriority is the lowest priority of unfinished jobs that need ordinary
 	// machines. Work of lower priority that may use spot machines yields to them.
-	OrdinaryPriority model.Priority
-	// OrdinaryMaxWait is how long at most such a job waits before others are stopped to
+	OnDemandPriority model.Priority
+	// OnDemandMaxWait is how long at most such a job waits before others are stopped to
 	// make room for it.
-	OrdinaryMaxWait model.Micros
+	OnDemandMaxWait model.Micros
 	// Spread tells that some of these jobs have to be spread over zones.
 	Spread bool
 	// CloudOK tells that the cloud answers: what can't be rented again is kept.
@@ -76,26 +76,28 @@
 
 // Provisioner runs the rounds and keeps the placeholders between them.
 type Provisioner struct {
-	Params       Params
-	placeholders []*placeholder
-	refused      map[Offer]model.Micros // until when an offer is not requested again
-	lastDrain    model.Micros
-	zoneMachines map[string]int // ordinary machines by zone, nil unless jobs have to be spread
+	Params         Params
+	placeholders   []*placeholder
+	refusedUntil   map[Offer]model.Micros // until when an offer is not requested again
+	lastDrain      model.Micros
+	onDemandByZone map[string]int // ordinary machines by zone, nil unless jobs have to be spread
 }
 
 // New makes a provisioner without placeholders; a new leader starts with this.
-func New(p Params) *Provisioner { return &Provisioner{Params: p, refused: map[Offer]model.Micros{}} }
+func New(p Params) *Provisioner {
+	return &Provisioner{Params: p, refusedUntil: map[Offer]model.Micros{}}
+}
 
-// Refuse notes that an offer had no (or too little) capacity.
-func (l *Provisioner) Refuse(offer Offer, now model.Micros) {
-	l.refused[offer] = now + l.Params.RefusedPause
+// OfferRefused notes that an offer had no (or too little) capacity.
+func (l *Provisioner) OfferRefused(offer Offer, now model.Micros) {
+	l.refusedUntil[offer] = now + l.Params.RefusedPause
 }
 
 // Round decides once what to rent, release and drain.
 func (l *Provisioner) Round(in *Input) Output {
 	candidates := l.candidates(in)
-	l.countZones(in, candidates)
-	first, second := in.split()
+	l.countOnDemandByZone(in, candidates)
+	first, second := in.splitWaiting()
 
 	// Waiting tasks take room first: they push placeholders out.
 	unplaced := placeWaiting(candidates, first, false)
@@ -103,7 +105,7 @@
 	l.assignZones()
 	unplacedPlaceholders := l.placePlaceholders(l.keepPlaceholders(candidates, false), candidates)
 	l.markSurplus(in, candidates)
-	unplacedFlexible := l.placeFlexible(in, candidates, second)
+	unplacedFlexible := l.placeSpotTolerant(in, candidates, second)
 	unplacedPlaceholders = append(unplacedPlaceholders, l.placePlaceholders(l.keepPlaceholders(candidates, true), candidates)...)
 
 	// Machines are rented for what is unplaced now.
@@ -115,7 +117,7 @@
 	out := Output{Rent: groupRentals(toRent), Unplaced: countTasks(unplaced) + countTasks(unplacedFlexible)}
 	if in.CloudOK {
 		out.ScaleIn = l.scaleIn(in, candidates)
-		if len(unplaced) == 0 && !slices.ContainsFunc(toRent, (*candidateMachine).ordinary) {
+		if len(unplaced) == 0 && !slices.ContainsFunc(toRent, (*candidateMachine).isOnDemand) {
 			out.Drain = l.drain(in, candidates)
 		}
 	}
@@ -124,6 +126,6 @@
 			out.Surplus = append(out.Surplus, candidate.machine)
 		}
 	}
-	l.detachFromUnknown(candidates)
+	l.detachFromUnlisted(candidates)
 	return out
 }
