--- a/internal/core/shard/suspend.go
+++ b/internal/core/shard/suspend.go
@@ -28,36 +28,36 @@
 	}
 }
 
-// Reserve counts the resources that a team uses in other cells towards its limit here.
-func (s *State) Reserve(team string, amount model.Resources) {
+// ReserveQuota counts the resources that a team uses in other cells towards its limit here.
+func (s *State) ReserveQuota(team string, amount model.Resources) {
 	s.Used[team] = s.Used[team].Plus(amount)
 }
 
-// Release ends a reservation.
-func (s *State) Release(team string, amount model.Resources) {
+// ReleaseQuota ends a reservation.
+func (s *State) ReleaseQuota(team string, amount model.Resources) {
 	s.Used[team] = s.Used[team].Minus(amount)
 	s.NeedsPlacement = true
 }
 
 // AddGuest adds a job of another cell, suspended at first. Its home cell stores its
 // finished tasks and its end.
-func (s *State) AddGuest(spec *model.Job, home string, done model.Set, now model.Micros) *model.JobState {
+func (s *State) AddGuest(spec *model.Job, home string, done model.TaskSet, now model.Micros) *model.JobState {
 	job := &model.JobState{Job: spec, Done: done, Bindings: map[int][]*model.Binding{}, DoneVersions: make([]model.Versions, 1),
 		ReadySince: now, IdleSince: now, HomeCell: home, Suspended: true}
-	job.Confirmed = model.SetOf(done.Bytes())
+	job.Confirmed = model.TaskSetFromBytes(done.Bytes())
 	for i := range spec.Tasks {
 		if !done.Has(i) {
 			job.Waiting = append(job.Waiting, i)
 		}
 	}
 	s.Jobs[spec.ID] = job
-	s.Log(Event{Kind: EventJob, Task: spec.ID, Why: spec.Class + " of " + spec.Team + ", lent by " + home})
+	s.Log(Event{Kind: EventJob, Task: spec.ID, Reason: spec.Class + " of " + spec.Team + ", lent by " + home})
 	return job
 }
 
-// Confirm notes the finished tasks of a guest job that its home cell has stored.
+// ConfirmCompletions notes the finished tasks of a guest job that its home cell has stored.
 // Workers may now clear them.
-func (s *State) Confirm(job *model.JobState, stored []byte) {
+func (s *State) ConfirmCompletions(job *model.JobState, stored []byte) {
 	job.Confirmed.Merge(stored, 0)
 	for i := range job.Tasks {
 		if job.Confirmed.Has(i) && job.Done.Add(i) {
@@ -73,17 +73,17 @@
 	}
 }
 
-// CompleteElsewhere notes the tasks that are done in another cell: single tasks of an
+// RecordRemoteCompletions notes the tasks that are done in another cell: single tasks of an
 // array, or a gang as a whole. A completion counts whichever cell had the right to run
 // the job.
-func (s *State) CompleteElsewhere(job *model.JobState, done []byte, whole bool, now model.Micros) {
+func (s *State) RecordRemoteCompletions(job *model.JobState, done []byte, whole bool, now model.Micros) {
 	if job.Kind == model.Gang {
 		if whole {
 			s.recordCompletion(model.TaskID{Job: job.ID}, nil, now)
 		}
 		return
 	}
-	reported := model.SetOf(done)
+	reported := model.TaskSetFromBytes(done)
 	if reported.Len() == 0 {
 		return
 	}
@@ -94,12 +94,12 @@
 	}
 }
 
-// StoredDone returns the set of a job's finished tasks that are durable.
-func (s *State) StoredDone(job *model.JobState) []byte {
-	if !slices.ContainsFunc(job.DoneVersions, func(v model.Versions) bool { return v.Stored < v.Now }) {
+// DurableCompletions returns the set of a job's finished tasks that are durable.
+func (s *State) DurableCompletions(job *model.JobState) []byte {
+	if !slices.ContainsFunc(job.DoneVersions, func(v model.Versions) bool { return v.Stored < v.Current }) {
 		return slices.Clone(job.Done.Bytes())
 	}
-	var stored model.Set
+	var stored model.TaskSet
 	for i := range job.Tasks {
 		if job.Done.Has(i) && isCompletionDurable(job, i) {
 			stored.Add(i)
--- a/internal/core/shard/writes.go
+++ b/internal/core/shard/writes.go
@@ -13,7 +13,7 @@
 	Slot       int    // slot of a bundle, noSlot for a job's end
 	Value      any
 	versions   map[string]uint64 // the entries of the bundle, with their versions
-	knownNames map[string]bool   // names in the tables of the dense encoding
+	tableNames map[string]bool   // names in the tables of the dense encoding
 	size       int               // bytes of the value at most
 	// unanswered means that the same write got no answer before, and may yet be
 	// carried out late.
@@ -40,14 +40,16 @@
 	s.enqueue(MachineEntry + m.ID)
 }
 
-// Queued returns the number of records that wait to be written.
-func (s *State) Queued() int { return len(s.pendingEnds) + len(s.queue) + len(s.unanswered) }
+// PendingWrites returns the number of records that wait to be written.
+func (s *State) PendingWrites() int {
+	return len(s.pendingEnds) + len(s.queue) + len(s.unansweredWrites)
+}
 
 // include adds the present value of an entry to a bundle.
 func (s *State) include(write *Write, entry string) {
 	bundle, _ := write.Value.(BundleRecord)
-	bundle.Dense = s.Params.Dense
-	size := s.entryBytesIn(entry, write.knownNames)
+	bundle.Dense = s.Params.DenseBundles
+	size := s.entryBytesIn(entry, write.tableNames)
 	included := false
 	if machineID, ok := strings.CutPrefix(entry, MachineEntry); ok {
 		included = s.includeMachine(write, &bundle, machineID)
@@ -59,7 +61,7 @@
 	}
 	write.Value = bundle
 	write.size += size
-	s.addNames(entry, write.knownNames)
+	s.addTableNames(entry, write.tableNames)
 }
 
 // includeMachine adds the record of a machine to a bundle, nil if the machine is gone.
@@ -94,7 +96,7 @@
 // are needed, as the job has not ended.
 func (s *State) includeFinished(write *Write, bundle *BundleRecord, entry string) bool {
 	job, part := s.partOf(entry)
-	if job == nil || job.Ended != "" {
+	if job == nil || job.FinalStatus != "" {
 		return false
 	}
 	if bundle.Done == nil {
@@ -106,7 +108,7 @@
 	}
 	bundle.Done[strings.TrimPrefix(entry, DoneEntry)], write.versions[entry] = slices.Clone(bits), 0
 	if v := finishedVersions(job, part); v != nil {
-		write.versions[entry] = v.Now
+		write.versions[entry] = v.Current
 	}
 	return true
 }
@@ -116,12 +118,12 @@
 
 // transaction collects the writes of one transaction, within its limits.
 type transaction struct {
-	maxWrites  int
-	bytesLeft  int
-	writes     []*Write
-	bundle     *Write          // the last bundle, to which entries are added while they fit
-	takenSlots map[int]bool    // slots of the bundles
-	written    map[string]bool // entries of the bundles
+	maxWrites int
+	bytesLeft int
+	writes    []*Write
+	bundle    *Write          // the last bundle, to which entries are added while they fit
+	usedSlots map[int]bool    // slots of the bundles
+	written   map[string]bool // entries of the bundles
 }
 
 // Writes takes changes from the queue, in order, as many as fit into a transaction of
@@ -131,12 +133,12 @@
 // written again, a late copy of them could revert entries that were since written to
 // other bundles.
 func (s *State) Writes(ops, bytes int) []Write {
-	if n := min(ops, len(s.unanswered)); n > 0 {
-		writes := s.unanswered[:n:n]
-		s.unanswered = s.unanswered[n:]
+	if n := min(ops, len(s.unansweredWrites)); n > 0 {
+		writes := s.unansweredWrites[:n:n]
+		s.unansweredWrites = s.unansweredWrites[n:]
 		return writes
 	}
-	txn := &transaction{maxWrites: ops, bytesLeft: bytes, takenSlots: map[int]bool{}, written: map[string]bool{}}
+	txn := &transaction{maxWrites: ops, bytesLeft: bytes, usedSlots: map[int]bool{}, written: map[string]bool{}}
 	// Ends of jobs go first, as users and dependent jobs wait for them. Their order among
 	// the bundles does not matter: all tasks of these jobs are done.
 	s.addEnds(txn)
@@ -149,7 +151,7 @@
 	for len(s.pendingEnds) > 0 && len(txn.writes) < txn.maxWrites && txn.bytesLeft >= maxEndBytes {
 		jobID := s.pendingEnds[0]
 		s.pendingEnds = s.pendingEnds[1:]
-		if job := s.Jobs[jobID]; job != nil && job.Ended == "" {
+		if job := s.Jobs[jobID]; job != nil && job.FinalStatus == "" {
 			txn.bytesLeft -= maxEndBytes
 			record := JobRecord{End: model.JobDone, Tasks: job.Tasks}
 			txn.writes = append(txn.writes, &Write{Key: jobKeyPrefix + jobID, Slot: noSlot, Value: record})
@@ -169,7 +171,7 @@
 			// versions in one transaction counts.
 		case s.isStoredInParts(entry):
 			// The parts are queued themselves.
-		case s.exceedsValue(entry):
+		case s.exceedsMaxValue(entry):
 			postponed = append(postponed, entry)
 		default:
 			if !s.addEntry(txn, entry) {
@@ -201,11 +203,11 @@
 	return job != nil && finishedVersions(job, part) == nil
 }
 
-// exceedsValue tells whether the record of a machine is too large for a bundle, as an
+// exceedsMaxValue tells whether the record of a machine is too large for a bundle, as an
 // earlier owner with a higher limit has bound too many tasks to it. The machine gets no
 // new tasks, so its record will fit. Until then, a new owner finds tasks in the old
 // record that are gone, and has to get its own proof of that.
-func (s *State) exceedsValue(entry string) bool {
+func (s *State) exceedsMaxValue(entry string) bool {
 	return strings.HasPrefix(entry, MachineEntry) && s.bundleBytes()+s.entryBytes(entry) > s.Params.MaxValue
 }
 
@@ -214,7 +216,7 @@
 func (s *State) addEntry(txn *transaction, entry string) bool {
 	size := 0
 	if txn.bundle != nil {
-		size = s.entryBytesIn(entry, txn.bundle.knownNames)
+		size = s.entryBytesIn(entry, txn.bundle.tableNames)
 	}
 	if txn.bundle == nil || txn.bundle.size+size > s.Params.MaxValue {
 		size = s.entryBytes(entry)
@@ -238,7 +240,7 @@
 
 // addBundle adds a bundle for an entry of the given size.
 func (s *State) addBundle(txn *transaction, size int) {
-	txn.bundle = s.newBundle(txn.takenSlots, size)
+	txn.bundle = s.newBundle(txn.usedSlots, size)
 	for entry := range txn.bundle.versions {
 		txn.written[entry] = true
 	}
@@ -271,7 +273,7 @@
 			entries = append(entries, entry)
 			s.markDurable(entry, version)
 		}
-		s.LoadSlot(write.Slot, entries)
+		s.SetSlotEntries(write.Slot, entries)
 	}
 }
 
@@ -325,7 +327,7 @@
 			head = append(head, entry)
 		}
 	}
-	s.unanswered = append(again, s.unanswered...)
+	s.unansweredWrites = append(again, s.unansweredWrites...)
 	s.pendingEnds = append(ends, s.pendingEnds...)
 	slices.Sort(head)
 	// Entries that have changed again since move to the front.
--- a/internal/duty/cleaner.go
+++ b/internal/duty/cleaner.go
@@ -22,51 +22,51 @@
 	Revision uint64
 }
 
-// Unneeded is a key that could be removed, were it to stay as it is.
-type Unneeded struct {
+// UnneededKey is a key that could be removed, were it to stay as it is.
+type UnneededKey struct {
 	Removal
 	Retain model.Micros
 }
 
 // UnneededIntent makes the slot of a finished intent a candidate for removal.
-func UnneededIntent(key string, revision uint64) Unneeded {
-	return Unneeded{Removal{key, revision}, retainIntent}
+func UnneededIntent(key string, revision uint64) UnneededKey {
+	return UnneededKey{Removal{key, revision}, retainIntent}
 }
 
 // UnneededBundle makes an unused bundle a candidate for removal.
-func UnneededBundle(key string, revision uint64) Unneeded {
-	return Unneeded{Removal{key, revision}, retainBundle}
+func UnneededBundle(key string, revision uint64) UnneededKey {
+	return UnneededKey{Removal{key, revision}, retainBundle}
 }
 
-// firstSight is when a candidate was first seen in its present revision.
-type firstSight struct {
+// firstSeen is when a candidate was first seen in its present revision.
+type firstSeen struct {
 	revision uint64
 	at       model.Micros
 }
 
 // Cleaner chooses which keys to remove. It remembers only what it has seen itself, so a
 // new holder of the duty begins to count anew.
-type Cleaner struct{ seen map[string]firstSight }
+type Cleaner struct{ firstSeen map[string]firstSeen }
 
 // NewCleaner makes a cleaner that has seen nothing.
-func NewCleaner() *Cleaner { return &Cleaner{seen: map[string]firstSight{}} }
+func NewCleaner() *Cleaner { return &Cleaner{firstSeen: map[string]firstSeen{}} }
 
 // Plan chooses at most so many of the keys that have stood unneeded for long enough, the
 // longest known first.
-func (c *Cleaner) Plan(now model.Micros, unneeded []Unneeded, limit int) []Removal {
-	seen := make(map[string]firstSight, len(unneeded))
+func (c *Cleaner) Plan(now model.Micros, unneeded []UnneededKey, limit int) []Removal {
+	seen := make(map[string]firstSeen, len(unneeded))
 	var removals []Removal
 	for _, u := range unneeded {
-		first, known := c.seen[u.Key]
+		first, known := c.firstSeen[u.Key]
 		if !known || first.revision != u.Revision {
-			first = firstSight{u.Revision, now}
+			first = firstSeen{u.Revision, now}
 		}
 		seen[u.Key] = first
 		if now-first.at >= u.Retain {
 			removals = append(removals, u.Removal)
 		}
 	}
-	c.seen = seen
+	c.firstSeen = seen
 	slices.SortFunc(removals, func(a, b Removal) int {
 		return cmp.Or(cmp.Compare(seen[a.Key].at, seen[b.Key].at), cmp.Compare(a.Key, b.Key))
 	})
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -64,8 +64,8 @@
 	Trace         string               `json:"trace,omitempty"` // trace context, see package tracing
 }
 
-// Held is a lease as it stands in the state service.
-type Held struct {
+// StoredLease is a lease as it stands in the state service.
+type StoredLease struct {
 	Lease
 	Token uint64 // the revision of its key, 0: vacant
 }
@@ -131,13 +131,13 @@
 
 // RentAtMost is how many machines a rental intent may ask for, so that their names fit
 // into a value of the state service.
-func RentAtMost(valueBytes int) int { return namesThatFit(valueBytes, maxRental) }
+func RentAtMost(valueBytes int) int { return maxMachineNames(valueBytes, maxRental) }
 
 // ReturnAtMost is how many machines a return intent may name.
-func ReturnAtMost(valueBytes int) int { return namesThatFit(valueBytes, maxReturn) }
+func ReturnAtMost(valueBytes int) int { return maxMachineNames(valueBytes, maxReturn) }
 
-// namesThatFit is how many machines' names fit into a value, one at least.
-func namesThatFit(valueBytes, limit int) int {
+// maxMachineNames is how many machines' names fit into a value, one at least.
+func maxMachineNames(valueBytes, limit int) int {
 	return max(1, min(limit, (valueBytes-intentOverhead)/machineNameBytes))
 }
 
--- a/internal/duty/keeper.go
+++ b/internal/duty/planner.go
@@ -9,10 +9,10 @@
 
 // Times of a keeper.
 const (
-	acquireStagger  = 500 * model.Millisecond // each further controller of the order waits so much longer
-	cloudFailure    = 10 * model.Second       // without an answer of the cloud before a first hand-over
-	maxDoublings    = 5                       // of cloudFailure and of the policy's cooldown
-	avoidanceMemory = 10                      // in cooldowns: failures after that count from one again
+	acquireStagger              = 500 * model.Millisecond // each further controller of the order waits so much longer
+	cloudFailureTimeout         = 10 * model.Second       // without an answer of the cloud before a first hand-over
+	maxDoublings                = 5                       // of cloudFailure and of the policy's cooldown
+	avoidanceRetentionCooldowns = 10                      // in cooldowns: failures after that count from one again
 )
 
 // Node is a live controller.
@@ -25,8 +25,8 @@
 	Candidate bool
 }
 
-// Situation is what a keeper looks at.
-type Situation struct {
+// Snapshot is what a keeper looks at.
+type Snapshot struct {
 	Now    model.Micros
 	WallMs int64 // time of day
 	Self   string
@@ -38,7 +38,7 @@
 	// answers, or was not asked.
 	CloudFailingSince model.Micros
 	Nodes             map[string]Node
-	Leases            map[Name]Held
+	Leases            map[Name]StoredLease
 }
 
 // ActionKind tells what a keeper proposes.
@@ -61,28 +61,28 @@
 	Successor Node
 }
 
-// Keeper proposes, for one controller, when to acquire duties and when to hand them over.
-type Keeper struct {
+// LeasePlanner proposes, for one controller, when to acquire duties and when to hand them over.
+type LeasePlanner struct {
 	policy      *Policy
 	vacantSince map[Name]model.Micros
 	heldSince   map[Name]model.Micros
 	heldToken   map[Name]uint64
-	last        map[Name]Held // the last lease that was seen of each duty
+	lastLeases  map[Name]StoredLease // the last lease that was seen of each duty
 }
 
-// NewKeeper makes a keeper that holds nothing.
-func NewKeeper(policy *Policy) *Keeper {
-	return &Keeper{
+// NewLeasePlanner makes a keeper that holds nothing.
+func NewLeasePlanner(policy *Policy) *LeasePlanner {
+	return &LeasePlanner{
 		policy:      policy,
 		vacantSince: map[Name]model.Micros{},
 		heldSince:   map[Name]model.Micros{},
 		heldToken:   map[Name]uint64{},
-		last:        map[Name]Held{},
+		lastLeases:  map[Name]StoredLease{},
 	}
 }
 
 // Holds tells whether this controller holds a duty, and under which token.
-func (s *Situation) Holds(name Name) (token uint64, ok bool) {
+func (s *Snapshot) Holds(name Name) (token uint64, ok bool) {
 	held := s.Leases[name]
 	if held.Token == 0 || s.Session == 0 || held.Holder != s.Self || held.Session != s.Session {
 		return 0, false
@@ -92,7 +92,7 @@
 
 // Decide proposes the next write, if any is due. At most one is proposed, as its outcome
 // may change what else is to be done.
-func (k *Keeper) Decide(s *Situation) (Action, bool) {
+func (k *LeasePlanner) Decide(s *Snapshot) (Action, bool) {
 	var found Action
 	ok := false
 	for _, name := range Movable {
@@ -110,7 +110,7 @@
 }
 
 // observe notes since when a duty is vacant or held.
-func (k *Keeper) observe(s *Situation, name Name) {
+func (k *LeasePlanner) observe(s *Snapshot, name Name) {
 	held := s.Leases[name]
 	if held.Token == 0 {
 		if _, known := k.vacantSince[name]; !known {
@@ -119,14 +119,14 @@
 		return
 	}
 	delete(k.vacantSince, name)
-	k.last[name] = held
+	k.lastLeases[name] = held
 	if k.heldToken[name] != held.Token {
 		k.heldToken[name], k.heldSince[name] = held.Token, s.Now
 	}
 }
 
 // candidates are the live controllers that may hold a duty.
-func (s *Situation) candidates() []string {
+func (s *Snapshot) candidates() []string {
 	var names []string
 	for name, node := range s.Nodes {
 		if node.Candidate || name == s.Leader {
@@ -136,15 +136,15 @@
 	return names
 }
 
-// order lists the candidates for a duty; those to be avoided come last.
-func (k *Keeper) order(s *Situation, name Name, avoid map[string]Avoidance) []string {
+// candidateOrder lists the candidates for a duty; those to be avoided come last.
+func (k *LeasePlanner) candidateOrder(s *Snapshot, name Name, avoid map[string]Avoidance) []string {
 	order := k.policy.Order(name, s.candidates(), s.Leader)
-	slices.SortStableFunc(order, func(a, b string) int { return avoided(s, avoid, a) - avoided(s, avoid, b) })
+	slices.SortStableFunc(order, func(a, b string) int { return avoidanceRank(s, avoid, a) - avoidanceRank(s, avoid, b) })
 	return order
 }
 
-// avoided ranks controllers: 1 if one is to be avoided now, else 0.
-func avoided(s *Situation, avoid map[string]Avoidance, node string) int {
+// avoidanceRank ranks controllers: 1 if one is to be avoided now, else 0.
+func avoidanceRank(s *Snapshot, avoid map[string]Avoidance, node string) int {
 	if s.WallMs < avoid[node].UntilMs {
 		return 1
 	}
@@ -152,13 +152,13 @@
 }
 
 // acquire proposes to take a vacant duty when it is this controller's turn.
-func (k *Keeper) acquire(s *Situation, name Name) (Action, bool) {
-	last := k.last[name]
-	rank := slices.Index(k.order(s, name, last.Avoid), s.Self)
+func (k *LeasePlanner) acquire(s *Snapshot, name Name) (Action, bool) {
+	last := k.lastLeases[name]
+	rank := slices.Index(k.candidateOrder(s, name, last.Avoid), s.Self)
 	if s.Session == 0 || rank < 0 || s.Now-k.vacantSince[name] < model.Micros(rank)*acquireStagger {
 		return Action{}, false
 	}
-	lease := Lease{Holder: s.Self, Session: s.Session, SinceMs: s.WallMs, Avoid: k.stillAvoided(s, last.Avoid)}
+	lease := Lease{Holder: s.Self, Session: s.Session, SinceMs: s.WallMs, Avoid: k.relevantAvoidances(s, last.Avoid)}
 	if last.Token != 0 {
 		lease.Previous, lease.PreviousToken, lease.Why = last.Holder, last.Token, ReasonSessionOver
 	}
@@ -166,10 +166,10 @@
 }
 
 // unfitReason is why this controller can't perform a duty that it holds, ReasonNone if it can.
-func (k *Keeper) unfitReason(s *Situation, name Name) Reason {
+func (k *LeasePlanner) unfitReason(s *Snapshot, name Name) Reason {
 	if name.NeedsCloud() && s.CloudFailingSince != 0 {
 		failing := s.Now - max(s.CloudFailingSince, k.heldSince[name])
-		if failing >= k.cloudPatience(s, s.Leases[name].Avoid) {
+		if failing >= k.cloudTimeout(s, s.Leases[name].Avoid) {
 			return ReasonNoCloud
 		}
 	}
@@ -180,11 +180,11 @@
 }
 
 // handOver proposes to pass a duty on to a controller that can or should hold it.
-func (k *Keeper) handOver(s *Situation, name Name) (Action, bool) {
+func (k *LeasePlanner) handOver(s *Snapshot, name Name) (Action, bool) {
 	held := s.Leases[name]
 	why := k.unfitReason(s, name)
-	for _, node := range k.order(s, name, held.Avoid) {
-		if avoided(s, held.Avoid, node) != 0 {
+	for _, node := range k.candidateOrder(s, name, held.Avoid) {
+		if avoidanceRank(s, held.Avoid, node) != 0 {
 			break
 		}
 		if node == s.Self {
@@ -197,26 +197,26 @@
 		if why == ReasonNone && !settled {
 			continue
 		}
-		return k.passTo(s, name, s.Nodes[node], why), true
+		return k.handOverTo(s, name, s.Nodes[node], why), true
 	}
 	return Action{}, false
 }
 
-// cloudPatience is how long a holder waits for the cloud before it hands over: longer
+// cloudTimeout is how long a holder waits for the cloud before it hands over: longer
 // with each hand-over not long ago, as it may be that the cloud answers nobody.
-func (k *Keeper) cloudPatience(s *Situation, avoid map[string]Avoidance) model.Micros {
+func (k *LeasePlanner) cloudTimeout(s *Snapshot, avoid map[string]Avoidance) model.Micros {
 	times := 0
-	for _, a := range k.stillAvoided(s, avoid) {
+	for _, a := range k.relevantAvoidances(s, avoid) {
 		times += a.Times
 	}
-	return cloudFailure << min(times, maxDoublings)
+	return cloudFailureTimeout << min(times, maxDoublings)
 }
 
-// passTo is the hand-over to a successor. A holder that could not perform the duty is
+// handOverTo is the hand-over to a successor. A holder that could not perform the duty is
 // avoided for a while.
-func (k *Keeper) passTo(s *Situation, name Name, successor Node, why Reason) Action {
+func (k *LeasePlanner) handOverTo(s *Snapshot, name Name, successor Node, why Reason) Action {
 	held := s.Leases[name]
-	avoid := k.stillAvoided(s, held.Avoid)
+	avoid := k.relevantAvoidances(s, held.Avoid)
 	if why == ReasonNone {
 		why = ReasonPreferred
 	} else {
@@ -239,10 +239,10 @@
 	return Action{Kind: HandOver, Name: name, Token: held.Token, Successor: successor, Lease: lease}
 }
 
-// stillAvoided are the avoidances that still matter: those in force, and those so recent
+// relevantAvoidances are the avoidances that still matter: those in force, and those so recent
 // that another failure is to be avoided for longer.
-func (k *Keeper) stillAvoided(s *Situation, avoid map[string]Avoidance) map[string]Avoidance {
-	memory := avoidanceMemory * int64(k.policy.Cooldown/model.Millisecond)
+func (k *LeasePlanner) relevantAvoidances(s *Snapshot, avoid map[string]Avoidance) map[string]Avoidance {
+	memory := avoidanceRetentionCooldowns * int64(k.policy.Cooldown/model.Millisecond)
 	left := maps.Clone(avoid)
 	maps.DeleteFunc(left, func(_ string, a Avoidance) bool { return s.WallMs > a.UntilMs+memory })
 	return left
--- a/internal/duty/policy.go
+++ b/internal/duty/policy.go
@@ -19,8 +19,8 @@
 	PlaceListed Place = "listed" // as listed, then all others
 )
 
-// Entry is what the operators say of one duty.
-type Entry struct {
+// Placement is what the operators say of one duty.
+type Placement struct {
 	Name   string   `xml:"name,attr"`
 	Place  string   `xml:"place,attr"`
 	Prefer []string `xml:"prefer"`
@@ -28,12 +28,12 @@
 
 // Settings is the operators' duties file.
 type Settings struct {
-	XMLName       xml.Name `xml:"duties"`
-	Duties        []Entry  `xml:"duty"`
-	SettleS       float64  `xml:"settle-s"`
-	CooldownS     float64  `xml:"cooldown-s"`
-	LeaseS        float64  `xml:"lease-s"`
-	TraceEndpoint string   `xml:"trace-endpoint"`
+	XMLName       xml.Name    `xml:"duties"`
+	Duties        []Placement `xml:"duty"`
+	SettleS       float64     `xml:"settle-s"`
+	CooldownS     float64     `xml:"cooldown-s"`
+	LeaseS        float64     `xml:"lease-s"`
+	TraceEndpoint string      `xml:"trace-endpoint"`
 }
 
 // Defaults and bounds of the duties file.
@@ -79,7 +79,7 @@
 	}
 	policy := LeaderOnly()
 	policy.TraceEndpoint = strings.TrimSpace(s.TraceEndpoint)
-	if err := s.checkTimes(longest); err != nil {
+	if err := s.checkDurations(longest); err != nil {
 		return nil, err
 	}
 	policy.Settle, policy.Cooldown, policy.Lease = model.Seconds(s.SettleS), model.Seconds(s.CooldownS), model.Seconds(s.LeaseS)
@@ -97,8 +97,8 @@
 	return policy, nil
 }
 
-// checkTimes checks the times of the file.
-func (s *Settings) checkTimes(longest model.Micros) error {
+// checkDurations checks the times of the file.
+func (s *Settings) checkDurations(longest model.Micros) error {
 	switch {
 	case !(s.SettleS >= 1 && s.SettleS <= maxSettleS):
 		return &FieldError{"settle-s", fmt.Sprintf("%v is not between 1 and %v", s.SettleS, maxSettleS)}
@@ -115,7 +115,7 @@
 }
 
 // add checks what the file says of a duty and adds it to the policy.
-func (p *Policy) add(entry *Entry, nodes []string) error {
+func (p *Policy) add(entry *Placement, nodes []string) error {
 	field, name := "duty "+entry.Name, Name(entry.Name)
 	if name == Reclaiming {
 		return &FieldError{field, "stays with the holder of the machines' block and can't be placed"}
@@ -142,7 +142,7 @@
 }
 
 // place is the place that the file gives or implies.
-func (e *Entry) place() Place {
+func (e *Placement) place() Place {
 	switch {
 	case e.Place != "":
 		return Place(e.Place)
@@ -153,7 +153,7 @@
 }
 
 // checkPlace checks that a duty's place is known and agrees with the preferred controllers.
-func (e *Entry) checkPlace(field string, place Place) error {
+func (e *Placement) checkPlace(field string, place Place) error {
 	switch place {
 	case PlaceLeader, PlaceSpread:
 		if len(e.Prefer) > 0 {
--- a/internal/duty/status.go
+++ b/internal/duty/status.go
@@ -16,7 +16,7 @@
 }
 
 // StatusOf describes a lease.
-func StatusOf(name Name, held Held) Status {
+func StatusOf(name Name, held StoredLease) Status {
 	if held.Token == 0 {
 		return Status{Name: name}
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -116,15 +116,15 @@
 
 // Status is what another controller tells of itself.
 type Status struct {
-	ReachesState  bool // it has reached the state service recently
-	Workers       int  // that have recently sent heartbeats to it
-	RelaysReports bool // it relays heartbeats to the leader
+	ReachesState     bool // it has reached the state service recently
+	Workers          int  // that have recently sent heartbeats to it
+	RelaysHeartbeats bool // it relays heartbeats to the leader
 }
 
 // Ping asks the other controller for its status. self is the name of the caller.
 func (c *Client) Ping(ctx context.Context, self string) (Status, error) {
 	a, err := c.rpc.Ping(ctx, &PingRequest{Node: self})
-	return Status{ReachesState: a.GetStateReached(), Workers: int(a.GetWorkers()), RelaysReports: a.GetRelays()}, err
+	return Status{ReachesState: a.GetStateReached(), Workers: int(a.GetWorkers()), RelaysHeartbeats: a.GetRelays()}, err
 }
 
 // Report has the other controller, which leads, answer a worker's heartbeat.
--- a/internal/spill/messages.go
+++ b/internal/spill/messages.go
@@ -37,7 +37,7 @@
 	NoRoom     Refusal = "no room"
 	OwnJob     Refusal = "known as a job of this cell"
 	Stale      Refusal = "an older lending is not gone yet, or a newer one is known"
-	Never      Refusal = "can't run here"
+	CannotRun  Refusal = "can't run here"
 	Disabled   Refusal = "not spilling"
 )
 
@@ -53,9 +53,9 @@
 // Renewal is a guest cell's question for the right to run what a home cell has lent to
 // it, with what it knows of these jobs.
 type Renewal struct {
-	Guest       string
-	WorkerLease model.Micros
-	Jobs        []JobReport
+	ExecutionCell string
+	WorkerLease   model.Micros
+	Jobs          []JobReport
 }
 
 // JobReport is what a guest tells of a lent job.
--- a/internal/spill/settings.go
+++ b/internal/spill/settings.go
@@ -18,7 +18,7 @@
 	defaultMostLent   = 64
 	maxSeconds        = 3600
 	minLeaseS         = 3 // a shorter right does not outlive one lost question
-	maxLentLimit      = 100_000
+	maxMostLent       = 100_000
 	maxCellNameLength = 63
 	cellNameAlphabet  = "abcdefghijklmnopqrstuvwxyz0123456789-"
 )
@@ -61,17 +61,17 @@
 
 // Policy is a checked spill file.
 type Policy struct {
-	Cell       string
-	Neighbours []Neighbour
-	Wait       model.Micros // how long a job has to have waited before it is lent
-	Lease      model.Micros // of a guest's right to run a job
-	Stay       model.Micros // how long what has come back stays
-	Start      model.Micros // how long a guest keeps what has not started
-	MostLent   int          // jobs lent at the same time
+	Cell         string
+	Neighbours   []Neighbour
+	MinWait      model.Micros // how long a job has to have waited before it is lent
+	Lease        model.Micros // of a guest's right to run a job
+	MinStay      model.Micros // how long what has come back stays
+	StartTimeout model.Micros // how long a guest keeps what has not started
+	MaxLent      int          // jobs lent at the same time
 }
 
-// Knows tells whether a cell is a neighbour.
-func (p *Policy) Knows(cell string) bool {
+// HasNeighbour tells whether a cell is a neighbour.
+func (p *Policy) HasNeighbour(cell string) bool {
 	for i := range p.Neighbours {
 		if p.Neighbours[i].Cell == cell {
 			return true
@@ -127,7 +127,7 @@
 			return &FieldError{field, "unknown element " + n.Unknown[0].XMLName.Local}
 		case n.Cell == p.Cell:
 			return &FieldError{field, "a cell can't be its own neighbour"}
-		case p.Knows(n.Cell):
+		case p.HasNeighbour(n.Cell):
 			return &FieldError{field, "named twice"}
 		case len(n.Controllers) == 0:
 			return &FieldError{field, "no controller"}
@@ -155,11 +155,11 @@
 		span             *model.Micros
 		count            *float64
 	}{
-		{"wait-s", s.WaitS, defaultWaitS, 1, maxSeconds, &p.Wait, nil},
+		{"wait-s", s.WaitS, defaultWaitS, 1, maxSeconds, &p.MinWait, nil},
 		{"lease-s", s.LeaseS, defaultLeaseS, minLeaseS, maxSeconds, &p.Lease, nil},
-		{"stay-s", s.StayS, defaultStayS, 1, maxSeconds, &p.Stay, nil},
-		{"start-s", s.StartS, defaultStartS, 1, maxSeconds, &p.Start, nil},
-		{"most-lent", s.MostLent, defaultMostLent, 1, maxLentLimit, nil, &mostLent},
+		{"stay-s", s.StayS, defaultStayS, 1, maxSeconds, &p.MinStay, nil},
+		{"start-s", s.StartS, defaultStartS, 1, maxSeconds, &p.StartTimeout, nil},
+		{"most-lent", s.MostLent, defaultMostLent, 1, maxMostLent, nil, &mostLent},
 	}
 	for _, n := range numbers {
 		if len(n.values) > 1 {
@@ -177,6 +177,6 @@
 			*n.count = n.value
 		}
 	}
-	p.MostLent = int(mostLent)
+	p.MaxLent = int(mostLent)
 	return nil
 }
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -65,7 +65,7 @@
 // that is repeated gets the machines that it got before.
 func (c *Cloud) Rent(r *cloud.Rental) ([]string, error) {
 	if c.Down {
-		return nil, cloud.ErrTrouble
+		return nil, cloud.ErrUnavailable
 	}
 	if old, ok := c.rentals[r.RequestID]; ok {
 		return old, nil
@@ -138,7 +138,7 @@
 // Delete gives machines back: POST /rentals/delete. Those that are gone are passed over.
 func (c *Cloud) Delete(refs []string) error {
 	if c.Down {
-		return cloud.ErrTrouble
+		return cloud.ErrUnavailable
 	}
 	named := make(map[string]bool, len(refs))
 	for _, ref := range refs {
@@ -161,7 +161,7 @@
 // List returns the rented machines as they were some time ago: GET /rentals.
 func (c *Cloud) List() ([]cloud.Machine, error) {
 	if c.Down {
-		return nil, cloud.ErrTrouble
+		return nil, cloud.ErrUnavailable
 	}
 	at := c.sim.Now - c.sim.Between(c.Lag/2, 2*c.Lag)
 	var out []cloud.Machine
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -69,9 +69,9 @@
 	switch r := op.Value.(type) {
 	case state.LeaderRecord:
 		switch {
-		case !r.Duties && h.intentsFrom >= 0:
+		case !r.UsesIntents && h.intentsFrom >= 0:
 			h.broken("%.3f %s leads without intents", w.At.Seconds(), w.Node)
-		case r.Duties && h.intentsFrom < 0:
+		case r.UsesIntents && h.intentsFrom < 0:
 			h.intentsFrom = w.At + callsOver
 		}
 	case duty.Lease:
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -2,8 +2,8 @@
 
 import "woadweir/internal/core/model"
 
-// rateRecovery is the part of the highest rate by which the rate grows back in a second.
-const rateRecovery = 0.1
+// rateRecoveryPerSecond is the part of the highest rate by which the rate grows back in a second.
+const rateRecoveryPerSecond = 0.1
 
 // minBurst is how many requests a budget may always save up.
 const minBurst = 2
@@ -13,7 +13,7 @@
 // the service rejects nothing, it may use up to the highest rate. A Budget must not be
 // used by several goroutines.
 type Budget struct {
-	share, highest float64 // per second
+	share, maxRate float64 // per second
 	rate           float64 // at present, per second
 	tokens         float64
 	updatedAt      model.Micros
@@ -22,14 +22,14 @@
 // NewBudget makes a full budget.
 func NewBudget(share, highest float64) *Budget {
 	highest = max(share, highest)
-	return &Budget{share: share, highest: highest, rate: highest, tokens: highest}
+	return &Budget{share: share, maxRate: highest, rate: highest, tokens: highest}
 }
 
 // SetRate changes the share and the highest rate.
 func (b *Budget) SetRate(share, highest float64, now model.Micros) {
 	b.refill(now)
-	b.share, b.highest = share, max(share, highest)
-	b.rate = b.highest
+	b.share, b.maxRate = share, max(share, highest)
+	b.rate = b.maxRate
 	b.tokens = min(b.tokens, b.burst())
 }
 
@@ -44,7 +44,7 @@
 	}
 	elapsed := (now - b.updatedAt).Seconds()
 	b.tokens = min(b.burst(), b.tokens+b.rate*elapsed)
-	b.rate = min(b.highest, b.rate+b.highest*rateRecovery*elapsed)
+	b.rate = min(b.maxRate, b.rate+b.maxRate*rateRecoveryPerSecond*elapsed)
 	b.updatedAt = now
 }
 
--- a/internal/state/bundles.go
+++ b/internal/state/bundles.go
@@ -13,8 +13,8 @@
 // bundleView is what the view knows of a bundle: one key that holds the records of many
 // machines and jobs.
 type bundleView struct {
-	revision uint64
-	names    []string // of its entries, see shard.BundleRecord.Names
+	revision   uint64
+	entryNames []string // of its entries, see shard.BundleRecord.Names
 }
 
 // entryView is the latest version of a bundle's entry: the record of a machine, nil if
@@ -51,7 +51,7 @@
 	})
 	for _, b := range bundles {
 		slots = append(slots, b.slot)
-		names = append(names, b.bundle.names)
+		names = append(names, b.bundle.entryNames)
 	}
 	return slots, names
 }
@@ -67,19 +67,19 @@
 
 // Done is the set of a job's finished tasks. A large job is stored in parts; an entry of
 // the whole job counts too, until all parts have replaced it.
-func (v *View) Done(jobID string) model.Set {
-	var done model.Set
+func (v *View) Done(jobID string) model.TaskSet {
+	var done model.TaskSet
 	job := v.Jobs[jobID]
 	if job == nil || job.Submission == nil {
 		return done
 	}
 	if entry := v.entries[shard.DoneEntry+jobID]; entry != nil {
-		done = model.SetOf(entry.done)
+		done = model.TaskSetFromBytes(entry.done)
 	}
 	if job.Submission.Tasks <= model.TasksPerPart {
 		return done
 	}
-	for part := range model.Parts(job.Submission.Tasks) {
+	for part := range model.PartCount(job.Submission.Tasks) {
 		if entry := v.entries[shard.PartEntry(jobID, part)]; entry != nil {
 			done.Merge(entry.done, part*model.TasksPerPart)
 		}
@@ -93,13 +93,13 @@
 func (v *View) UnusedBundles(visit func(key string, revision uint64)) {
 	copies := map[string]int{}
 	for _, bundle := range v.bundles {
-		for _, name := range bundle.names {
+		for _, name := range bundle.entryNames {
 			copies[name]++
 		}
 	}
 	for key, bundle := range v.bundles {
 		needed := func(name string) bool { return v.needsEntry(name, key, copies[name]) }
-		if !slices.ContainsFunc(bundle.names, needed) {
+		if !slices.ContainsFunc(bundle.entryNames, needed) {
 			visit(key, bundle.revision)
 		}
 	}
@@ -120,19 +120,19 @@
 // putBundle applies a bundle, and drops the entries that only its former version had.
 func (v *View) putBundle(key string, record *shard.BundleRecord, revision uint64) {
 	if record.Dense {
-		v.Newest = LayoutDense
+		v.NewestLayout = LayoutDense
 	}
 	for machineID, machine := range record.Machines {
 		v.putEntry(shard.MachineEntry+machineID, entryView{machine: machine, bundle: key}, revision)
 	}
 	for name, done := range record.Done {
-		jobID, _, _ := strings.Cut(name, shard.PartMark)
+		jobID, _, _ := strings.Cut(name, shard.PartSeparator)
 		if job := v.Jobs[jobID]; job == nil || job.End == "" {
 			v.putEntry(shard.DoneEntry+name, entryView{done: done, bundle: key}, revision)
 		}
 	}
 	if former := v.bundles[key]; former != nil {
-		for _, name := range former.names {
+		for _, name := range former.entryNames {
 			if !record.Has(name) {
 				v.dropEntry(name, key)
 			}
@@ -147,7 +147,7 @@
 	if bundle == nil {
 		return
 	}
-	for _, name := range bundle.names {
+	for _, name := range bundle.entryNames {
 		v.dropEntry(name, key)
 	}
 	delete(v.bundles, key)
@@ -188,7 +188,7 @@
 	if tasks <= model.TasksPerPart {
 		return
 	}
-	for part := range model.Parts(tasks) {
+	for part := range model.PartCount(tasks) {
 		delete(v.entries, shard.PartEntry(jobID, part))
 	}
 }
@@ -201,8 +201,8 @@
 		return
 	}
 	for jobID, tasks := range entry.machine.Tasks {
-		if v.bound[jobID] += sign * len(tasks); v.bound[jobID] == 0 {
-			delete(v.bound, jobID)
+		if v.boundTasks[jobID] += sign * len(tasks); v.boundTasks[jobID] == 0 {
+			delete(v.boundTasks, jobID)
 		}
 	}
 }
--- a/internal/state/decode.go
+++ b/internal/state/decode.go
@@ -10,7 +10,7 @@
 	"woadweir/internal/spill"
 )
 
-const emptyRecord = "is empty"
+const emptyRecordDetail = "is empty"
 
 // decode reads the typed record of a key. A controller's own key is not among them: see
 // View.setNode.
@@ -52,7 +52,7 @@
 func decodeJob(key string, value json.RawMessage) (shard.JobRecord, error) {
 	record, err := decodeAs[shard.JobRecord](key, value)
 	if err == nil && record.Spec == nil && record.End == "" {
-		err = &RecordError{Key: key, Detail: emptyRecord}
+		err = &RecordError{Key: key, Detail: emptyRecordDetail}
 	}
 	return record, err
 }
@@ -68,7 +68,7 @@
 func decodeSpillIn(key string, value json.RawMessage) (spill.InRecord, error) {
 	record, err := decodeAs[spill.InRecord](key, value)
 	if err == nil && record.Spec == nil {
-		err = &RecordError{Key: key, Detail: emptyRecord}
+		err = &RecordError{Key: key, Detail: emptyRecordDetail}
 	}
 	return record, err
 }
--- a/internal/state/dependencies.go
+++ b/internal/state/dependencies.go
@@ -8,7 +8,7 @@
 // written. No task of such a job can be on a machine, as it begins only when all that it
 // depends on is done, and an end is written once.
 type dependencies struct {
-	pending             int      // jobs that it depends on and that are not known to be done
+	pendingDependencies int      // jobs that it depends on and that are not known to be done
 	dependencyCancelled bool     // a job that it depends on, directly or through others, is cancelled
 	dependents          []string // jobs that await it, as long as it has no end
 	endMs               int64    // time of day of its end, 0: not recorded
@@ -19,7 +19,7 @@
 }
 
 // Ready tells whether all that a job depends on is done, so that it may begin.
-func (j *JobView) Ready() bool { return j.pending == 0 && !j.dependencyCancelled }
+func (j *JobView) Ready() bool { return j.pendingDependencies == 0 && !j.dependencyCancelled }
 
 // IsIndependent tells that a job neither awaits others nor is awaited.
 func (j *JobView) IsIndependent() bool {
@@ -76,7 +76,7 @@
 			job.dependencyCancelled = true
 		default:
 			awaited.dependents = append(awaited.dependents, jobID)
-			job.pending++
+			job.pendingDependencies++
 		}
 	}
 	if job.dependencyCancelled {
@@ -111,8 +111,8 @@
 	for _, dependentID := range job.dependents {
 		dependent := v.Jobs[dependentID]
 		dependent.dependencyDone(job, revision)
-		dependent.pending--
-		if dependent.pending == 0 {
+		dependent.pendingDependencies--
+		if dependent.pendingDependencies == 0 {
 			v.changedJobs = append(v.changedJobs, dependentID)
 		}
 	}
@@ -166,7 +166,7 @@
 	if dependent.deadlineMs != 0 && awaited.lowerDeadline(dependent.deadlineMs-dependent.estimateMs()) {
 		changed = true
 	}
-	if changed && awaited.Submission != nil && awaited.pending == 0 {
+	if changed && awaited.Submission != nil && awaited.pendingDependencies == 0 {
 		v.changedJobs = append(v.changedJobs, awaitedID)
 	}
 	return changed
--- a/internal/state/duty_status.go
+++ b/internal/state/duty_status.go
@@ -17,7 +17,7 @@
 		if err != nil {
 			return nil, err
 		}
-		statuses = append(statuses, duty.StatusOf(name, duty.Held{Lease: lease, Token: revision}))
+		statuses = append(statuses, duty.StatusOf(name, duty.StoredLease{Lease: lease, Token: revision}))
 	}
 	var grant GrantRecord
 	revision, err := c.readRecord(GrantKey(FirstShard), &grant, timeout)
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -4,12 +4,12 @@
 
 // NodeRecord is the value of a controller's own key, attached to its session lease.
 type NodeRecord struct {
-	Session uint64 `json:"session"`
-	Serve   string `json:"serve"`
+	Session      uint64 `json:"session"`
+	ServeAddress string `json:"serve"`
 	// Layout is the newest record layout that the process can read, see Layout.
 	Layout int `json:"layout,omitempty"`
-	// Duties is set if the process may hold single-holder duties without leading.
-	Duties bool `json:"duties,omitempty"`
+	// MayHoldDuties is set if the process may hold single-holder duties without leading.
+	MayHoldDuties bool `json:"duties,omitempty"`
 }
 
 // Versions of the record layout. They are stored in NodeRecord, so that mixed versions
@@ -34,9 +34,9 @@
 type LeaderRecord struct {
 	Node    string `json:"node"`
 	Session uint64 `json:"session"`
-	// Duties is set if the leader rents and returns machines through intents, so that
+	// UsesIntents is set if the leader rents and returns machines through intents, so that
 	// other controllers may hold duties.
-	Duties bool `json:"duties,omitempty"`
+	UsesIntents bool `json:"duties,omitempty"`
 }
 
 // GrantRecord says which controller may schedule a shard, and with what team credit.
--- a/internal/state/view.go
+++ b/internal/state/view.go
@@ -14,7 +14,7 @@
 	Submission *model.Submission // nil once it is done
 	Revision   uint64            // of its acceptance
 	End        string            // as it is written; see Final
-	EndTasks   int
+	DoneTasks  int
 	dependencies
 }
 
@@ -28,23 +28,23 @@
 	MachineTypes []model.MachineType
 	// Layouts are the record layouts that the controllers have announced. Newest is the
 	// layout of the newest record seen: all controllers could read it when it was written.
-	Layouts map[string]int
-	Newest  int
+	Layouts      map[string]int
+	NewestLayout int
 	// Nodes are the live controllers, Duties the leases of duties, Rentals and Returns
 	// the intents, by key.
 	Nodes   map[string]*NodeRecord
 	Duties  map[duty.Name]*duty.Lease
 	Rentals map[string]*duty.Rental
 	Returns map[string]*duty.Return
-	// LentOut are the records of jobs that are or were lent to other cells, by job, and
+	// LentJobs are the records of jobs that are or were lent to other cells, by job, and
 	// LentIn those of jobs that others have lent to this one, by key. UnreadableSpill
 	// is a key of these that this version can't read: spilling stops then.
-	LentOut         map[string]*spill.OutRecord
-	LentIn          map[string]*spill.InRecord
+	LentJobs        map[string]*spill.OutRecord
+	BorrowedJobs    map[string]*spill.InRecord
 	UnreadableSpill string
 
 	entries     map[string]*entryView // by name, see shard.BundleRecord.Names
-	bound       map[string]int        // number of bound tasks by job
+	boundTasks  map[string]int        // number of bound tasks by job
 	bundles     map[string]*bundleView
 	changedJobs []string // see TakeChangedJobs
 }
@@ -52,19 +52,19 @@
 // NewView makes an empty view.
 func NewView() *View {
 	return &View{
-		Revisions: map[string]uint64{},
-		Jobs:      map[string]*JobView{},
-		Grants:    map[string]*GrantRecord{},
-		Layouts:   map[string]int{},
-		Nodes:     map[string]*NodeRecord{},
-		Duties:    map[duty.Name]*duty.Lease{},
-		Rentals:   map[string]*duty.Rental{},
-		Returns:   map[string]*duty.Return{},
-		LentOut:   map[string]*spill.OutRecord{},
-		LentIn:    map[string]*spill.InRecord{},
-		entries:   map[string]*entryView{},
-		bound:     map[string]int{},
-		bundles:   map[string]*bundleView{},
+		Revisions:    map[string]uint64{},
+		Jobs:         map[string]*JobView{},
+		Grants:       map[string]*GrantRecord{},
+		Layouts:      map[string]int{},
+		Nodes:        map[string]*NodeRecord{},
+		Duties:       map[duty.Name]*duty.Lease{},
+		Rentals:      map[string]*duty.Rental{},
+		Returns:      map[string]*duty.Return{},
+		LentJobs:     map[string]*spill.OutRecord{},
+		BorrowedJobs: map[string]*spill.InRecord{},
+		entries:      map[string]*entryView{},
+		boundTasks:   map[string]int{},
+		bundles:      map[string]*bundleView{},
 	}
 }
 
@@ -108,7 +108,7 @@
 func (v *View) putUnreadableSpill(key string, revision uint64) {
 	v.UnreadableSpill = key
 	if isSpillOutKey(key) {
-		v.LentOut[lentJobID(key)] = &spill.OutRecord{State: spill.Unreadable}
+		v.LentJobs[lentJobID(key)] = &spill.OutRecord{State: spill.Unreadable}
 	}
 	v.Revisions[key] = revision
 }
@@ -149,9 +149,9 @@
 	case duty.Return:
 		v.Returns[key] = &record
 	case spill.OutRecord:
-		v.LentOut[lentJobID(key)] = &record
+		v.LentJobs[lentJobID(key)] = &record
 	case spill.InRecord:
-		v.LentIn[key] = &record
+		v.BorrowedJobs[key] = &record
 	default:
 		panic("state: no such record: " + key)
 	}
@@ -178,9 +178,9 @@
 }
 
 func (v *View) setJobEnd(jobID string, job *JobView, record *shard.JobRecord) {
-	job.End, job.endMs = record.End, record.AtMs
+	job.End, job.endMs = record.End, record.EndedMs
 	if record.End == model.JobDone {
-		job.EndTasks = record.Tasks
+		job.DoneTasks = record.Tasks
 	}
 	tasks := record.Tasks
 	if record.Spec != nil {
@@ -226,8 +226,8 @@
 }
 
 func (v *View) dropSpill(key string) {
-	delete(v.LentOut, lentJobID(key))
-	delete(v.LentIn, key)
+	delete(v.LentJobs, lentJobID(key))
+	delete(v.BorrowedJobs, key)
 	if v.UnreadableSpill == key {
 		v.UnreadableSpill = ""
 	}
@@ -244,23 +244,23 @@
 	if !v.Known(jobID) {
 		return "", 0, 0, false
 	}
-	if end, ended := v.Final(jobID); ended {
-		return end, v.Jobs[jobID].EndTasks, 0, true
+	if end, ended := v.EffectiveEnd(jobID); ended {
+		return end, v.Jobs[jobID].DoneTasks, 0, true
 	}
 	finished := v.Done(jobID)
 	done = finished.Len()
-	if bound := v.bound[jobID]; bound > 0 {
+	if bound := v.boundTasks[jobID]; bound > 0 {
 		return model.JobRunning, done, bound, true
 	}
-	if lent := v.LentOut[jobID]; lent != nil && lent.State == spill.Lent && lent.Running > 0 {
+	if lent := v.LentJobs[jobID]; lent != nil && lent.State == spill.Lent && lent.Running > 0 {
 		return model.JobRunning, done, lent.Running, true
 	}
 	return model.JobPending, done, 0, true
 }
 
-// Final tells a job's end if it is known: the recorded one, or that it is cancelled
+// EffectiveEnd tells a job's end if it is known: the recorded one, or that it is cancelled
 // because a job that it depends on was.
-func (v *View) Final(jobID string) (end string, ended bool) {
+func (v *View) EffectiveEnd(jobID string) (end string, ended bool) {
 	job := v.Jobs[jobID]
 	switch {
 	case job == nil:
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -12,9 +12,9 @@
 	Code       int
 	Body       []byte
 	RetryAfter int // seconds, 0: no header
-	// Helper names another controller that can answer instead, when this one does not
+	// ForwardTo names another controller that can answer instead, when this one does not
 	// reach the state service.
-	Helper string
+	ForwardTo string
 }
 
 // Error makes the response to a request that failed. retryAfter is the number of seconds
@@ -30,9 +30,9 @@
 	return encode(code, jobBody{ID: jobID, Status: status})
 }
 
-// State makes the response to a poll. failedMachines is the number of machines on which a
+// JobStatus makes the response to a poll. failedMachines is the number of machines on which a
 // job has failed that fails everywhere; users that do not know the field ignore it.
-func State(jobID, status string, done, running, failedMachines int) Answer {
+func JobStatus(jobID, status string, done, running, failedMachines int) Answer {
 	return encode(http.StatusOK, jobBody{ID: jobID, Status: status, Done: &done, Running: &running, FailedMachines: failedMachines})
 }
 
@@ -66,11 +66,11 @@
 
 // The users' requests.
 const (
-	None   Route = iota // no such request
-	Submit              // a new job
-	Poll                // the state of a job
-	Cancel              // the cancellation of a job
-	Up                  // the load balancer's health check
+	None        Route = iota // no such request
+	Submit                   // a new job
+	Poll                     // the state of a job
+	Cancel                   // the cancellation of a job
+	HealthCheck              // the load balancer's health check
 )
 
 // The paths of the users' protocol, where work is a job and withdraw cancels it.
@@ -85,7 +85,7 @@
 func Parse(method, path string) (route Route, jobID string) {
 	switch {
 	case path == healthPath && method == http.MethodGet:
-		return Up, ""
+		return HealthCheck, ""
 	case path == jobsPath && method == http.MethodPost:
 		return Submit, ""
 	}
--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -9,48 +9,48 @@
 	"woadweir/internal/core/shard"
 )
 
-type wireReport struct {
-	Host    string      `json:"host"`
-	Address string      `json:"address"`
-	Build   string      `json:"build"`
-	Yard    string      `json:"yard"`
-	Loaners bool        `json:"loaners"`
-	Tenure  uint64      `json:"tenure"`
-	Tally   uint64      `json:"tally"`
-	Warrant uint64      `json:"warrant"`
-	RecallS *float64    `json:"recallS"`
-	Pieces  []wirePiece `json:"pieces"`
+type wireHeartbeat struct {
+	MachineID    string     `json:"host"`
+	Address      string     `json:"address"`
+	MachineType  string     `json:"build"`
+	Zone         string     `json:"yard"`
+	Spot         bool       `json:"loaners"`
+	Incarnation  uint64     `json:"tenure"`
+	Sequence     uint64     `json:"tally"`
+	Token        uint64     `json:"warrant"`
+	ReclaimedInS *float64   `json:"recallS"`
+	Tasks        []wireTask `json:"pieces"`
 }
 
-type wirePiece struct {
-	Piece  string `json:"piece"`
-	Try    uint64 `json:"try"`
-	Status string `json:"status"`
-	Cause  string `json:"cause"`
-	Stored bool   `json:"stored"`
+type wireTask struct {
+	TaskID  string `json:"piece"`
+	Attempt uint64 `json:"try"`
+	Status  string `json:"status"`
+	Cause   string `json:"cause"`
+	Stored  bool   `json:"stored"`
 }
 
 // ParseHeartbeat reads a check-in.
 func ParseHeartbeat(body []byte) (*shard.Heartbeat, error) {
-	var w wireReport
+	var w wireHeartbeat
 	if err := json.Unmarshal(body, &w); err != nil {
 		return nil, err
 	}
-	if w.Host == "" || w.Tenure == 0 {
+	if w.MachineID == "" || w.Incarnation == 0 {
 		return nil, errors.New("host or tenure is missing")
 	}
-	r := &shard.Heartbeat{Machine: w.Host, Addr: w.Address, MachineType: w.Build, Zone: w.Yard, Spot: w.Loaners,
-		Incarnation: w.Tenure, Sequence: w.Tally, Token: w.Warrant, Tasks: make([]shard.TaskStatus, 0, len(w.Pieces))}
-	if w.RecallS != nil {
-		r.SpotNotice, r.ReclaimedIn = true, model.Seconds(*w.RecallS)
+	r := &shard.Heartbeat{Machine: w.MachineID, Addr: w.Address, MachineType: w.MachineType, Zone: w.Zone, Spot: w.Spot,
+		Incarnation: w.Incarnation, Sequence: w.Sequence, Token: w.Token, Tasks: make([]shard.TaskStatus, 0, len(w.Tasks))}
+	if w.ReclaimedInS != nil {
+		r.SpotNotice, r.ReclaimedIn = true, model.Seconds(*w.ReclaimedInS)
 	}
-	for i := range w.Pieces {
-		p := &w.Pieces[i]
-		id, ok := model.ParseTaskID(p.Piece)
+	for i := range w.Tasks {
+		p := &w.Tasks[i]
+		id, ok := model.ParseTaskID(p.TaskID)
 		if !ok {
 			continue
 		}
-		r.Tasks = append(r.Tasks, shard.TaskStatus{ID: id, Attempt: p.Try, Status: taskStatuses[p.Status], Cause: exitCauseOf(p.Cause), Stored: p.Stored})
+		r.Tasks = append(r.Tasks, shard.TaskStatus{ID: id, Attempt: p.Attempt, Status: taskStatuses[p.Status], Cause: parseExitCause(p.Cause), StateSaved: p.Stored})
 	}
 	return r, nil
 }
@@ -67,41 +67,41 @@
 	"in_use":     shard.CauseOtherAttempt,
 }
 
-// exitCauseOf reads the wire form. A word that we do not know is kept for the log.
-func exitCauseOf(word string) shard.ExitCause {
+// parseExitCause reads the wire form. A word that we do not know is kept for the log.
+func parseExitCause(word string) shard.ExitCause {
 	if cause, ok := exitCauses[word]; ok {
 		return cause
 	}
 	return shard.ExitCause(word)
 }
 
-// verbs are the words of the protocol for operations.
-var verbs = map[shard.CommandOp]string{
+// commandVerbs are the words of the protocol for operations.
+var commandVerbs = map[shard.CommandOp]string{
 	shard.StartTask: "start",
 	shard.StopTask:  "stop",
 	shard.ClearTask: "clear",
 }
 
-type wireOrder struct {
+type wireCommand struct {
 	Verb    string   `json:"verb"`
-	Piece   string   `json:"piece"`
-	Try     uint64   `json:"try"`
-	LeewayS *float64 `json:"leewayS,omitempty"`
+	TaskID  string   `json:"piece"`
+	Attempt uint64   `json:"try"`
+	GraceS  *float64 `json:"leewayS,omitempty"`
 }
 
 // Answer renders a response with commands.
 func Answer(token uint64, commands []shard.Command) []byte {
 	out := struct {
-		Warrant uint64      `json:"warrant"`
-		Orders  []wireOrder `json:"orders"`
-	}{token, make([]wireOrder, 0, len(commands))}
+		Token    uint64        `json:"warrant"`
+		Commands []wireCommand `json:"orders"`
+	}{token, make([]wireCommand, 0, len(commands))}
 	for _, o := range commands {
-		w := wireOrder{Verb: verbs[o.Op], Piece: o.Task.String(), Try: o.Attempt}
+		w := wireCommand{Verb: commandVerbs[o.Op], TaskID: o.Task.String(), Attempt: o.Attempt}
 		if o.Op == shard.StopTask {
 			s := o.Grace.Seconds()
-			w.LeewayS = &s
+			w.GraceS = &s
 		}
-		out.Orders = append(out.Orders, w)
+		out.Commands = append(out.Commands, w)
 	}
 	b, err := json.Marshal(out)
 	if err != nil {
@@ -110,8 +110,8 @@
 	return b
 }
 
-// Elsewhere renders the body of a 421.
-func Elsewhere(steward string) []byte {
+// Redirect renders the body of a 421.
+func Redirect(steward string) []byte {
 	if steward == "" {
 		return []byte("{}")
 	}
@@ -124,7 +124,7 @@
 
 // taskStatuses maps the wire's words for the state of a task. Any other word is taken as
 // not reported.
-var taskStatuses = map[string]model.Status{
+var taskStatuses = map[string]model.TaskState{
 	"pulling":   model.Fetching,
 	"gathering": model.WaitingForGang,
 	"running":   model.Running,
