--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -11,35 +11,36 @@
 type Answer struct {
 	Code       int
 	Body       []byte
-	RetryAfter int // seconds, 0: no header
-	// ForwardTo names another controller that can answer instead, when this one does not
-	// reach the state service.
+	RetryAfter int // in seconds, 0 for no Retry-After header
+	// ForwardTo is the name of another controller that can answer instead, if this one does
+	// not reach the state service.
 	ForwardTo string
 }
 
-// Error makes the response to a request that failed. retryAfter is the number of seconds
-// after which the user may retry, 0 to say nothing of it.
+// Error returns the response to a request that failed. retryAfter is the number of seconds
+// after which the user may retry, or 0 to leave it out.
 func Error(code int, reason string, retryAfter int) Answer {
 	answer := encode(code, errorBody{reason})
 	answer.RetryAfter = retryAfter
 	return answer
 }
 
-// Accepted makes the response to a submission or cancellation.
+// Accepted returns the response to a submission or cancellation.
 func Accepted(code int, jobID, status string) Answer {
 	return encode(code, jobBody{ID: jobID, Status: status})
 }
 
-// JobStatus makes the response to a poll. failedMachines is the number of machines on which a
-// job has failed that fails everywhere; users that do not know the field ignore it.
+// JobStatus returns the response to a poll. For a job that fails on every machine,
+// failedMachines is the number of machines on which it has failed, otherwise 0. Clients that
+// do not know this field ignore it.
 func JobStatus(jobID, status string, done, running, failedMachines int) Answer {
 	return encode(http.StatusOK, jobBody{ID: jobID, Status: status, Done: &done, Running: &running, FailedMachines: failedMachines})
 }
 
 // The JSON names below are those of the users' protocol, where a ref is the ID of a job.
 
-// jobBody is what users are told of a job. Done and Running are nil where the numbers of
-// tasks are not told.
+// jobBody is the status of a job in a response. Done and Running are nil in responses
+// without the numbers of tasks.
 type jobBody struct {
 	ID             string `json:"ref"`
 	Status         string `json:"status"`
@@ -52,7 +53,8 @@
 	Error string `json:"error"`
 }
 
-// encode panics if the body can't be encoded, which no value of the types above causes.
+// encode returns a response with a JSON body. It panics if the body can't be encoded, which
+// is impossible for the types above.
 func encode(code int, body any) Answer {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -64,12 +66,12 @@
 // Route is the kind of a user's request.
 type Route uint8
 
-// The users' requests.
+// The routes.
 const (
 	None        Route = iota // no such request
-	Submit                   // a new job
-	Poll                     // the state of a job
-	Cancel                   // the cancellation of a job
+	Submit                   // submits a job
+	Poll                     // reads the status of a job
+	Cancel                   // cancels a job
 	HealthCheck              // the load balancer's health check
 )
 
@@ -81,7 +83,7 @@
 	cancelSuffix = "/withdraw"
 )
 
-// Parse finds the route of a request and, for Poll and Cancel, the ID of the job.
+// Parse returns the route of a request and, for Poll and Cancel, the ID of the job.
 func Parse(method, path string) (route Route, jobID string) {
 	switch {
 	case path == healthPath && method == http.MethodGet:
