--- a/cmd/woadweir/duties.go
+++ b/cmd/woadweir/duties.go
@@ -18,26 +18,26 @@
 type dutiesCmd struct{ files }
 
 func (c *dutiesCmd) Run() error {
-	s, _, err := c.load()
+	settings, _, err := c.loadSettings()
 	if err != nil {
-		return badSettings{err}
+		return settingsError{err}
 	}
-	statuses, err := state.NewClient(s.Services.State).Duties(statusTimeout)
+	statuses, err := state.NewClient(settings.Services.State).Duties(statusTimeout)
 	if err != nil {
 		return err
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(out, "DUTY\tHOLDER\tTOKEN\tSINCE\tPREVIOUS\tITS TOKEN\tWHY IT LOST THE DUTY")
 	for _, d := range statuses {
-		fmt.Fprintln(out, row(d))
+		fmt.Fprintln(out, formatDuty(d))
 	}
 	return out.Flush()
 }
 
-func row(d duty.Status) string {
+func formatDuty(status duty.Status) string {
 	since := "-"
-	if !d.Since.IsZero() {
-		since = d.Since.Format(time.RFC3339)
+	if !status.Since.IsZero() {
+		since = status.Since.Format(time.RFC3339)
 	}
-	return fmt.Sprintf("%s\t%s\t%d\t%s\t%s\t%d\t%s", d.Name, cmp.Or(d.Holder, "-"), d.Token, since, cmp.Or(d.Previous, "-"), d.PreviousToken, cmp.Or(string(d.Why), "-"))
+	return fmt.Sprintf("%s\t%s\t%d\t%s\t%s\t%d\t%s", status.Name, cmp.Or(status.Holder, "-"), status.Token, since, cmp.Or(status.Previous, "-"), status.PreviousToken, cmp.Or(string(status.Why), "-"))
 }
--- a/cmd/woadweir/main.go
+++ b/cmd/woadweir/main.go
@@ -32,43 +32,43 @@
 	Spill    string `placeholder:"PATH" help:"Which other cells jobs are lent to and taken from (XML). Without it, none."`
 }
 
-func (f *files) load() (*config.Settings, *config.OperatorSettings, error) {
-	s, err := config.Load(f.Config)
+func (f *files) loadSettings() (*config.Settings, *config.OperatorSettings, error) {
+	settings, err := config.Load(f.Config)
 	if err != nil {
 		return nil, nil, err
 	}
-	o, err := config.LoadOperatorSettings(f.Operator)
+	operator, err := config.LoadOperatorSettings(f.Operator)
 	if err != nil {
 		return nil, nil, err
 	}
-	if o.Duties, err = config.LoadDuties(f.Duties, s, o); err != nil {
+	if operator.Duties, err = config.LoadDuties(f.Duties, settings, operator); err != nil {
 		return nil, nil, err
 	}
-	o.Spill, err = config.LoadSpill(f.Spill, s)
-	return s, o, err
+	operator.Spill, err = config.LoadSpill(f.Spill, settings)
+	return settings, operator, err
 }
 
 // badSettings is reported with exit status 2.
-type badSettings struct{ error }
+type settingsError struct{ error }
 
 type runCmd struct{ files }
 
 func (c *runCmd) Run() error {
-	s, o, err := c.load()
+	settings, operator, err := c.loadSettings()
 	if err != nil {
-		return badSettings{err}
+		return settingsError{err}
 	}
-	if mb := s.Params.Quota.RAMMB; mb > 0 && os.Getenv("GOMEMLIMIT") == "" {
+	if mb := settings.Params.Quota.RAMMB; mb > 0 && os.Getenv("GOMEMLIMIT") == "" {
 		debug.SetMemoryLimit(int64(mb * 0.7 * 1e6))
 	}
-	return controller.Run(context.Background(), s, o)
+	return controller.Run(context.Background(), settings, operator)
 }
 
 type checkCmd struct{ files }
 
 func (c *checkCmd) Run() error {
-	if _, _, err := c.load(); err != nil {
-		return badSettings{err}
+	if _, _, err := c.loadSettings(); err != nil {
+		return settingsError{err}
 	}
 	fmt.Println("settings are good")
 	return nil
@@ -93,20 +93,20 @@
 
 func main() {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})))
-	var c cli
-	k, err := kong.New(&c, kong.Name("woadweir"), kong.Description("A cluster scheduler: one controller node."))
+	var commands cli
+	parser, err := kong.New(&commands, kong.Name("woadweir"), kong.Description("A cluster scheduler: one controller node."))
 	if err != nil {
 		panic(err)
 	}
-	ctx, err := k.Parse(os.Args[1:])
+	ctx, err := parser.Parse(os.Args[1:])
 	if err == nil {
 		err = ctx.Run()
 	} else {
-		err = badSettings{err}
+		err = settingsError{err}
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "woadweir:", strings.ReplaceAll(err.Error(), "\n", " "))
-		if errors.As(err, new(badSettings)) {
+		if errors.As(err, new(settingsError)) {
 			os.Exit(2)
 		}
 		os.Exit(1)
--- a/cmd/woadweir/spills.go
+++ b/cmd/woadweir/spills.go
@@ -12,22 +12,22 @@
 type spillsCmd struct{ files }
 
 func (c *spillsCmd) Run() error {
-	s, _, err := c.load()
+	settings, _, err := c.loadSettings()
 	if err != nil {
-		return badSettings{err}
+		return settingsError{err}
 	}
-	list, err := state.NewClient(s.Services.State).Spills(statusTimeout)
+	spills, err := state.NewClient(settings.Services.State).Spills(statusTimeout)
 	if err != nil {
 		return err
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(out, "JOB\tHOME\tGUEST\tSTATE\tTOKEN\tSINCE")
-	for _, r := range list {
-		home, guest := "here", r.Cell
-		if !r.Out {
-			home, guest = r.Cell, "here"
+	for _, record := range spills {
+		home, guest := "here", record.Cell
+		if !record.Out {
+			home, guest = record.Cell, "here"
 		}
-		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%s\n", r.Job, home, guest, r.State, r.Token, r.Since.Format(time.RFC3339))
+		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%s\n", record.Job, home, guest, record.State, record.Token, record.Since.Format(time.RFC3339))
 	}
 	return out.Flush()
 }
--- a/internal/standin/sim.go
+++ b/internal/standin/sim.go
@@ -40,9 +40,9 @@
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
 func (q *eventQueue) Pop() any {
 	old := *q
-	e := old[len(old)-1]
+	last := old[len(old)-1]
 	*q = old[:len(old)-1]
-	return e
+	return last
 }
 
 // At has f run at that time, or at once if it has passed.
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -18,12 +18,12 @@
 
 // Limits of what is kept for a collector that does not answer.
 const (
-	exportTimeout = 2 * time.Second
-	exportEvery   = time.Second
-	queueSpans    = 512
+	exportTimeout  = 2 * time.Second
+	exportInterval = time.Second
+	maxQueuedSpans = 512
 )
 
-const traceParent = "traceparent"
+const traceParentKey = "traceparent"
 
 // Setup begins to send spans of this node to a collector, and returns what ends it.
 // Spans that the collector does not take in time are dropped.
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	provider := sdktrace.NewTracerProvider(
-		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(queueSpans), sdktrace.WithBatchTimeout(exportEvery)),
+		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(maxQueuedSpans), sdktrace.WithBatchTimeout(exportInterval)),
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "woadweir"), attribute.String("service.instance.id", node))))
 	otel.SetTracerProvider(provider)
 	return provider.Shutdown, nil
@@ -47,11 +47,11 @@
 
 // Start begins a span. The parent is the Context of a span of any controller, or "".
 func Start(parent, name string, attributes ...attribute.KeyValue) Span {
-	ctx := propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{traceParent: parent})
+	ctx := propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{traceParentKey: parent})
 	ctx, span := otel.Tracer("woadweir").Start(ctx, name, trace.WithAttributes(attributes...))
 	carrier := propagation.MapCarrier{}
 	propagation.TraceContext{}.Inject(ctx, carrier)
-	return Span{span, carrier[traceParent]}
+	return Span{span, carrier[traceParentKey]}
 }
 
 // Context names the span to other controllers, "" if it is not recorded.
