--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -15,10 +15,10 @@
 	"woadweir/internal/state"
 )
 
-// effects is what the controller actor may ask of the world. Every outcome comes back
-// as a message; tests put simulated services in its place.
+// effects are the operations that the controller actor starts outside of itself. Every
+// outcome comes back as a message. Tests replace them by simulated services.
 type effects interface {
-	// sync reads the changes of records after a revision, or lists all records.
+	// sync reads the changes of records since a revision, or lists all records.
 	sync(from uint64, list bool)
 	// commit sends a transaction to the state service.
 	commit(m msgCommitted)
@@ -27,15 +27,15 @@
 	listMachines()
 	rentMachines(m msgRented)
 	deleteMachines(m msgDeleted)
-	// ping asks the siblings what they reach.
+	// ping asks the siblings whether they reach the state service and the workers.
 	ping()
-	// resign has a session ended, by a sibling if one is named.
+	// resign ends a session, through a sibling if one is named.
 	resign(session uint64, sibling string)
 }
 
-// How long a call may take.
+// Timeouts of calls.
 const (
-	syncTimeout       = 800 * model.Millisecond // of changes; a listing may take twice as long
+	syncTimeout       = 800 * model.Millisecond // for changes; a listing may take twice as long
 	commitTimeout     = 1500 * model.Millisecond
 	cloudTimeout      = 5 * model.Second
 	pingTimeout       = 400 * model.Millisecond
@@ -43,14 +43,14 @@
 )
 
 const (
-	rentAttempts   = 5 // of a rental without an answer
+	rentAttempts   = 5 // maximum attempts at a rental that gets no answer
 	rentRetryPause = model.Second
 )
 
-// errTooLate means that a call was not sent, as its authority was over.
-var errTooLate = errors.New("the authority for this call is over")
+// errTooLate means that a call was not sent because its authority had expired.
+var errTooLate = errors.New("request to the cloud not sent: the authority for it has expired")
 
-// asyncEffects executes the effects, each in a goroutine of its own.
+// asyncEffects implements effects. It runs each operation in a goroutine of its own.
 type asyncEffects struct {
 	mailbox chan<- any
 	clock   Clock
@@ -59,89 +59,91 @@
 	peers   []*peer.Client
 	name    string
 	ctx     context.Context
-	// abandon tells the session actor of sessions that are given up.
+	// abandon passes sessions that are given up to the session actor.
 	abandon chan<- uint64
 }
 
 // send sends the outcome of an effect to the controller actor.
-func (io *asyncEffects) send(m any) {
+func (e *asyncEffects) send(m any) {
 	select {
-	case io.mailbox <- m:
-	case <-io.ctx.Done():
+	case e.mailbox <- m:
+	case <-e.ctx.Done():
 	}
 }
 
-func (io *asyncEffects) sync(from uint64, list bool) {
+func (e *asyncEffects) sync(from uint64, list bool) {
 	go func() {
-		m := msgSynced{sentAt: io.clock()}
+		m := msgSynced{sentAt: e.clock()}
 		if list {
-			v := state.NewView()
-			m.view = v
-			v.Revision, m.err = io.state.List(2*syncTimeout, func(e state.Entry) error {
-				_, err := v.Set(e.Path, e.Value, e.Revision)
+			view := state.NewView()
+			m.view = view
+			view.Revision, m.err = e.state.List(2*syncTimeout, func(entry state.Entry) error {
+				_, err := view.Set(entry.Path, entry.Value, entry.Revision)
 				return err
 			})
 		} else {
-			m.changes, m.err = io.state.Watch(from, syncTimeout)
+			m.changes, m.err = e.state.Watch(from, syncTimeout)
 		}
-		io.send(m)
+		e.send(m)
 	}()
 }
 
-func (io *asyncEffects) commit(m msgCommitted) {
+func (e *asyncEffects) commit(m msgCommitted) {
 	go func() {
-		m.result, m.err = io.state.Commit(m.txn, commitTimeout)
-		io.send(m)
+		m.result, m.err = e.state.Commit(m.txn, commitTimeout)
+		e.send(m)
 	}()
 }
 
-func (io *asyncEffects) fetchMachineTypes() {
+func (e *asyncEffects) fetchMachineTypes() {
 	go func() {
-		machineTypes, err := io.cloud.MachineTypes(cloudTimeout)
-		io.send(msgMachineTypes{machineTypes, err})
+		machineTypes, err := e.cloud.MachineTypes(cloudTimeout)
+		e.send(msgMachineTypes{machineTypes, err})
 	}()
 }
 
-func (io *asyncEffects) listMachines() {
+func (e *asyncEffects) listMachines() {
 	go func() {
-		sent := io.clock()
-		machines, err := io.cloud.List(cloudTimeout)
-		io.send(msgListed{sent, machines, err})
+		sentAt := e.clock()
+		machines, err := e.cloud.List(cloudTimeout)
+		e.send(msgListed{sentAt, machines, err})
 	}()
 }
 
-// tooLate reports whether a call must not be sent any more.
-func (io *asyncEffects) tooLate(call intentRef) bool {
-	return call.intentKey != "" && io.clock() >= call.sendBefore
+// tooLate reports whether the authority for a call has expired, so that it must not be
+// sent.
+func (e *asyncEffects) tooLate(call intentRef) bool {
+	return call.intentKey != "" && e.clock() >= call.sendBefore
 }
 
-// rentMachines repeats a rental without an answer under its own name, which rents
-// nothing twice. A rental that carries out an intent is repeated by whoever holds it.
-func (io *asyncEffects) rentMachines(m msgRented) {
+// rentMachines retries a rental that gets no answer with the same request ID, so that
+// nothing is rented twice. A rental that carries out an intent is not retried here but by
+// the holder of the duty that executes the intent.
+func (e *asyncEffects) rentMachines(m msgRented) {
 	go func() {
 		for attempt := 1; ; attempt++ {
-			if io.tooLate(m.intentRef) {
+			if e.tooLate(m.intentRef) {
 				m.err = errTooLate
 				break
 			}
-			m.machines, m.err = io.cloud.Rent(&m.rental, cloudTimeout)
+			m.machines, m.err = e.cloud.Rent(&m.rental, cloudTimeout)
 			if m.err == nil || errors.Is(m.err, cloud.ErrNoCapacity) || attempt == rentAttempts || m.intentKey != "" {
 				break
 			}
-			if !sleep(io.ctx, rentRetryPause) {
+			if !sleep(e.ctx, rentRetryPause) {
 				break
 			}
 		}
-		io.send(m)
+		e.send(m)
 	}()
 }
 
-func (io *asyncEffects) deleteMachines(m msgDeleted) {
+func (e *asyncEffects) deleteMachines(m msgDeleted) {
 	go func() {
-		if m.err = errTooLate; !io.tooLate(m.intentRef) {
-			m.err = io.cloud.Delete(m.machineIDs, cloudTimeout)
+		if m.err = errTooLate; !e.tooLate(m.intentRef) {
+			m.err = e.cloud.Delete(m.machineIDs, cloudTimeout)
 		}
-		io.send(m)
+		e.send(m)
 	}()
 }
 
@@ -152,69 +154,69 @@
 	peer.Status
 }
 
-func (io *asyncEffects) ping() {
+func (e *asyncEffects) ping() {
 	go func() {
-		ctx, cancel := context.WithTimeout(io.ctx, pingTimeout.Duration())
+		ctx, cancel := context.WithTimeout(e.ctx, pingTimeout.Duration())
 		defer cancel()
-		results := make(chan pingResult, len(io.peers))
-		for _, p := range io.peers {
+		results := make(chan pingResult, len(e.peers))
+		for _, sibling := range e.peers {
 			go func() {
-				answer, err := p.Ping(ctx, io.name)
-				results <- pingResult{p.Name, err == nil, answer}
+				status, err := sibling.Ping(ctx, e.name)
+				results <- pingResult{sibling.Name, err == nil, status}
 			}()
 		}
-		io.send(collectPings(results, len(io.peers)))
+		e.send(collectPings(results, len(e.peers)))
 	}()
 }
 
-// collectPings sums up the answers to a round of pings.
+// collectPings combines the answers to a round of pings.
 func collectPings(results <-chan pingResult, pings int) msgPinged {
 	var m msgPinged
 	workers := map[string]int{}
 	for range pings {
-		r := <-results
-		if r.alive {
+		result := <-results
+		if result.alive {
 			m.alive++
 		}
-		m.workers += r.Workers
-		if r.ReachesState {
-			m.serving = append(m.serving, r.name)
+		m.workers += result.Workers
+		if result.ReachesState {
+			m.serving = append(m.serving, result.name)
 		}
-		if r.RelaysHeartbeats {
-			m.relays = append(m.relays, r.name)
-			workers[r.name] = r.Workers
+		if result.RelaysHeartbeats {
+			m.relays = append(m.relays, result.name)
+			workers[result.name] = result.Workers
 		}
 	}
 	slices.SortFunc(m.relays, func(a, b string) int { return cmp.Or(workers[a]-workers[b], strings.Compare(a, b)) })
 	return m
 }
 
-func (io *asyncEffects) resign(session uint64, sibling string) {
+func (e *asyncEffects) resign(session uint64, sibling string) {
 	select {
-	case io.abandon <- session:
-	default: // too many wait to be ended; they expire
+	case e.abandon <- session:
+	default: // too many sessions are queued to be ended; this one expires by itself
 	}
 	go func() {
 		if sibling == "" {
-			if err := io.state.RevokeLease(session, endSessionTimeout); err != nil {
-				slog.Info("resign", "err", err)
+			if err := e.state.RevokeLease(session, endSessionTimeout); err != nil {
+				slog.Info("could not end the own session after resigning", "err", err)
 			}
 			return
 		}
-		io.resignThrough(session, sibling)
+		e.resignThrough(session, sibling)
 	}()
 }
 
-// resignThrough has a sibling end a session.
-func (io *asyncEffects) resignThrough(session uint64, sibling string) {
-	ctx, cancel := context.WithTimeout(io.ctx, resignCallTimeout)
+// resignThrough asks a sibling to end a session.
+func (e *asyncEffects) resignThrough(session uint64, sibling string) {
+	ctx, cancel := context.WithTimeout(e.ctx, resignCallTimeout)
 	defer cancel()
-	for _, p := range io.peers {
-		if p.Name != sibling {
+	for _, client := range e.peers {
+		if client.Name != sibling {
 			continue
 		}
-		if err := p.Resign(ctx, session); err != nil {
-			slog.Info("resign", "helper", sibling, "err", err)
+		if err := client.Resign(ctx, session); err != nil {
+			slog.Info("could not end the own session through a sibling after resigning", "helper", sibling, "err", err)
 		}
 	}
 }
--- a/internal/controller/intent_calls.go
+++ b/internal/controller/intent_calls.go
@@ -14,68 +14,69 @@
 	"woadweir/internal/tracing"
 )
 
-// Limits of the calls by which intents are carried out.
+// Limits of the calls to the cloud that carry out intents.
 const (
-	maxCallsInFlight = 8            // of a duty
+	maxCallsInFlight = 8            // for each duty
 	callRetryDelay   = model.Second // after a call that failed
 )
 
 // intentCall is an open intent that this controller carries out.
 type intentCall struct {
-	revision uint64 // the intent's revision
+	revision uint64 // of the intent's key
 	duty     duty.Name
-	inFlight bool         // a request is on its way
-	retryAt  model.Micros // after a failure
+	inFlight bool         // a request has been sent and has no answer yet
+	retryAt  model.Micros // when a failed request may be repeated
 	outcome  any          // the record to be written, nil: none yet
-	// answeredAt is when the outcome was known, and reported tells that it has waited
-	// for long to be written, which was logged.
+	// answeredAt is when the cloud's answer arrived. slowLogged is true if it was logged
+	// that the outcome has waited long to be written.
 	answeredAt model.Micros
 	slowLogged bool
 	span       tracing.Span
 }
 
 // executeIntents sends the requests of open intents under the duties that this controller
-// holds, and forgets what has become of those it holds no more.
-func (d *dutyManager) executeIntents(s *duty.Snapshot) {
-	v := d.controller.view
+// holds. It drops calls of duties that it no longer holds, and of intents that have changed.
+func (d *dutyManager) executeIntents(snapshot *duty.Snapshot) {
+	view := d.controller.view
 	for key, call := range d.calls {
-		_, mine := s.Holds(call.duty)
-		if !call.inFlight && (!mine || v.Revisions[key] != call.revision) {
+		_, holds := snapshot.Holds(call.duty)
+		if !call.inFlight && (!holds || view.Revisions[key] != call.revision) {
 			call.span.End("")
 			delete(d.calls, key)
 		}
 	}
-	if _, mine := s.Holds(duty.Renting); mine {
-		for _, key := range slices.Sorted(maps.Keys(v.Rentals)) {
-			if rental := v.Rentals[key]; rental.State == duty.Open && d.mayExecute(key, duty.Renting) {
+	if _, holds := snapshot.Holds(duty.Renting); holds {
+		for _, key := range slices.Sorted(maps.Keys(view.Rentals)) {
+			if rental := view.Rentals[key]; rental.State == duty.Open && d.mayExecute(key, duty.Renting) {
 				d.executeRental(key, rental)
 			}
 		}
 	}
-	if _, mine := s.Holds(duty.Returning); mine {
-		for _, key := range slices.Sorted(maps.Keys(v.Returns)) {
-			if ret := v.Returns[key]; ret.State == duty.Open && d.mayExecute(key, duty.Returning) {
-				d.executeReturn(key, ret)
+	if _, holds := snapshot.Holds(duty.Returning); holds {
+		for _, key := range slices.Sorted(maps.Keys(view.Returns)) {
+			if returnIntent := view.Returns[key]; returnIntent.State == duty.Open && d.mayExecute(key, duty.Returning) {
+				d.executeReturn(key, returnIntent)
 			}
 		}
 	}
 }
 
-// mayExecute tells whether the request of an open intent is to be sent now.
+// mayExecute reports whether the request of an open intent may be sent now.
 func (d *dutyManager) mayExecute(key string, name duty.Name) bool {
 	if call := d.calls[key]; call != nil {
 		return !call.inFlight && call.outcome == nil && d.controller.now >= call.retryAt
 	}
-	busy := 0
+	inFlight := 0
 	for _, call := range d.calls {
 		if call.duty == name && call.inFlight {
-			busy++
+			inFlight++
 		}
 	}
-	return busy < maxCallsInFlight
+	return inFlight < maxCallsInFlight
 }
 
-// startCall records that the request of an intent is sent, and returns what it depends on.
+// startCall records that the request of an intent is sent, and returns the reference to the
+// intent that goes with it.
 func (d *dutyManager) startCall(key string, name duty.Name, trace string) intentRef {
 	call := d.calls[key]
 	if call == nil {
@@ -91,20 +92,20 @@
 	d.controller.io.rentMachines(msgRented{rental: requestOf(rental), intentRef: d.startCall(key, duty.Renting, rental.Trace)})
 }
 
-func (d *dutyManager) executeReturn(key string, ret *duty.Return) {
-	d.controller.io.deleteMachines(msgDeleted{machineIDs: ret.Machines, intentRef: d.startCall(key, duty.Returning, ret.Trace)})
+func (d *dutyManager) executeReturn(key string, returnIntent *duty.Return) {
+	d.controller.io.deleteMachines(msgDeleted{machineIDs: returnIntent.Machines, intentRef: d.startCall(key, duty.Returning, returnIntent.Trace)})
 }
 
-// requestOf is the request by which a rental intent is carried out.
+// requestOf returns the rental request that carries out a rental intent.
 func requestOf(rental *duty.Rental) cloud.Rental {
 	return cloud.Rental{RequestID: rental.Request, MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot, Count: rental.Count}
 }
 
-// callEnded takes the end of a request. It returns the intent's call if an outcome is
-// still to be written.
-func (d *dutyManager) callEnded(m intentRef, err error) *intentCall {
-	call := d.calls[m.intentKey]
-	if call == nil || call.revision != m.intentRevision {
+// callEnded handles the end of a request. It returns the intent's call if the request has
+// an outcome that is to be written, else nil.
+func (d *dutyManager) callEnded(ref intentRef, err error) *intentCall {
+	call := d.calls[ref.intentKey]
+	if call == nil || call.revision != ref.intentRevision {
 		return nil
 	}
 	call.inFlight, call.answeredAt = false, d.controller.now
@@ -115,14 +116,14 @@
 	case errors.Is(err, errTooLate):
 		call.retryAt = d.controller.now
 	default:
-		slog.Debug("intent", "key", m.intentKey, "err", err)
+		slog.Debug("call to the cloud for an intent failed", "key", ref.intentKey, "err", err)
 		call.retryAt = d.controller.now + callRetryDelay
 		d.cloudAnswered(err)
 	}
 	return nil
 }
 
-// rented takes the cloud's answer to the request of a rental intent.
+// rented handles the cloud's answer to the request of a rental intent.
 func (d *dutyManager) rented(m msgRented) {
 	call := d.callEnded(m.intentRef, m.err)
 	rental := d.controller.view.Rentals[m.intentKey]
@@ -137,14 +138,14 @@
 	call.outcome = outcome
 }
 
-// deleted takes the cloud's answer to the request of a return intent.
+// deleted handles the cloud's answer to the request of a return intent.
 func (d *dutyManager) deleted(m msgDeleted) {
 	call := d.callEnded(m.intentRef, m.err)
-	ret := d.controller.view.Returns[m.intentKey]
-	if call == nil || ret == nil {
+	returnIntent := d.controller.view.Returns[m.intentKey]
+	if call == nil || returnIntent == nil {
 		return
 	}
-	outcome := *ret
+	outcome := *returnIntent
 	outcome.State = duty.Gone
 	call.outcome = outcome
 }
--- a/internal/controller/intent_results.go
+++ b/internal/controller/intent_results.go
@@ -8,34 +8,34 @@
 	"woadweir/internal/duty"
 )
 
-// takeOverIntents takes over what former leaders have decided: nothing more can be written
+// takeOverIntents takes over the intents of former leaders. Nothing more can be written
 // under their grants.
 func (l *leader) takeOverIntents() {
-	for key, ret := range l.controller.view.Returns {
-		l.takeOverReturn(key, ret)
+	for key, returnIntent := range l.controller.view.Returns {
+		l.takeOverReturn(key, returnIntent)
 	}
 	for key, rental := range l.controller.view.Rentals {
 		l.takeOverRental(key, rental)
 	}
 }
 
-func (l *leader) takeOverReturn(key string, ret *duty.Return) {
-	if ret.State != duty.Open {
-		for _, machineID := range ret.Machines {
+func (l *leader) takeOverReturn(key string, returnIntent *duty.Return) {
+	if returnIntent.State != duty.Open {
+		for _, machineID := range returnIntent.Machines {
 			l.machineDeleted(machineID)
 		}
 		return
 	}
-	for _, machineID := range ret.Machines {
+	for _, machineID := range returnIntent.Machines {
 		l.inventory.pendingDeletions[machineID] = deletionSent
 		if machine := l.shard.Machines[machineID]; machine != nil {
 			machine.Deleting = true
 		} else {
-			// Nothing is bound to it, and nothing may be: its reports are not answered.
+			// Nothing is bound to it, and nothing may be: its heartbeats are not answered.
 			l.inventory.deletedAt[machineID] = l.controller.now
 		}
 	}
-	l.intents.returns[key] = ret.Machines
+	l.intents.returns[key] = returnIntent.Machines
 }
 
 func (l *leader) takeOverRental(key string, rental *duty.Rental) {
@@ -50,12 +50,12 @@
 	l.intents.finishedAt[key] = l.controller.now
 }
 
-// offerOf is what a rental intent rents.
+// offerOf returns the offer that a rental intent is for.
 func offerOf(rental *duty.Rental) autoscaler.Offer {
 	return autoscaler.Offer{MachineType: rental.MachineType, Zone: rental.Zone, Spot: rental.Spot}
 }
 
-// applyOutcomes takes the outcomes that the view shows of the leader's open intents.
+// applyOutcomes applies the outcomes of the leader's open intents that the view shows.
 func (l *leader) applyOutcomes() {
 	view := l.controller.view
 	for request, key := range l.intents.rentals {
@@ -65,9 +65,9 @@
 		}
 	}
 	for key, machineIDs := range l.intents.returns {
-		ret := view.Returns[key]
-		if ret != nil && ret.State != duty.Open && slices.Equal(ret.Machines, machineIDs) {
-			l.applyReturn(key, ret)
+		returnIntent := view.Returns[key]
+		if returnIntent != nil && returnIntent.State != duty.Open && slices.Equal(returnIntent.Machines, machineIDs) {
+			l.applyReturn(key, returnIntent)
 		}
 	}
 }
@@ -77,16 +77,16 @@
 	delete(l.inventory.pendingRentals, rental.Request)
 	l.intents.finishedAt[key] = l.controller.now
 	l.provisioning.runSoon()
-	slog.Info("rented", "request", rental.Request, "state", rental.State, "type", rental.MachineType, "zone", rental.Zone, "spot", rental.Spot, "machines", rental.Machines)
+	slog.Info("rental intent finished", "request", rental.Request, "state", rental.State, "type", rental.MachineType, "zone", rental.Zone, "spot", rental.Spot, "machines", rental.Machines)
 	if rental.State == duty.Refused || len(rental.Machines) < rental.Count {
 		l.offerRefused(offerOf(rental))
 	}
 	l.addRentedMachines(rental.Machines, offerOf(rental))
 }
 
-func (l *leader) applyReturn(key string, ret *duty.Return) {
+func (l *leader) applyReturn(key string, returnIntent *duty.Return) {
 	delete(l.intents.returns, key)
-	for _, machineID := range ret.Machines {
+	for _, machineID := range returnIntent.Machines {
 		l.machineDeleted(machineID)
 	}
 	l.provisioning.runSoon()
--- a/internal/controller/user_writes.go
+++ b/internal/controller/user_writes.go
@@ -16,27 +16,29 @@
 const (
 	// userWriteDeadline is how long a user's write may wait in the queue.
 	userWriteDeadline = 4 * model.Second
-	// maxUserTxnBytes limits the values of a transaction of user writes.
+	// maxUserTxnBytes limits the estimated size of a transaction of user writes.
 	maxUserTxnBytes = 40_000
-	// userWriteOverhead estimates a write's key and condition in a transaction.
+	// userWriteOverhead is the estimated size of a write's key and condition in a
+	// transaction, in bytes.
 	userWriteOverhead = 200
-	// cancellationBytes estimates the record of a cancelled job.
+	// cancellationBytes is the estimated size of the record of a cancelled job.
 	cancellationBytes = 600
 )
 
-// userWrite is an acceptance or a cancellation of a job that waits to be made durable.
+// userWrite is an acceptance or cancellation of a job that waits to be written to the state
+// service.
 type userWrite struct {
 	jobID      string
-	submission *model.Submission // nil: a cancellation
+	submission *model.Submission // nil for a cancellation
 	replies    []chan<- userapi.Answer
 	deadline   model.Micros
 }
 
 func (w *userWrite) isCancellation() bool { return w.submission == nil }
 
-func (w *userWrite) answer(a userapi.Answer) {
+func (w *userWrite) answer(answer userapi.Answer) {
 	for _, reply := range w.replies {
-		reply <- a
+		reply <- answer
 	}
 	w.replies = nil
 }
@@ -55,8 +57,8 @@
 // joinSubmission adds a reply to a queued submission of the same job, if there is one.
 func (q *userWriteQueue) joinSubmission(jobID string, reply chan<- userapi.Answer) bool {
 	for i := range q.queue {
-		if w := &q.queue[i]; w.jobID == jobID && !w.isCancellation() {
-			w.replies = append(w.replies, reply)
+		if write := &q.queue[i]; write.jobID == jobID && !write.isCancellation() {
+			write.replies = append(write.replies, reply)
 			return true
 		}
 	}
@@ -65,17 +67,17 @@
 
 // expire answers and removes the writes whose deadline has passed.
 func (q *userWriteQueue) expire(now model.Micros) {
-	q.queue = slices.DeleteFunc(q.queue, func(w userWrite) bool {
-		if now < w.deadline {
+	q.queue = slices.DeleteFunc(q.queue, func(write userWrite) bool {
+		if now < write.deadline {
 			return false
 		}
-		w.answer(userapi.Error(http.StatusServiceUnavailable, "try again", 1))
+		write.answer(userapi.Error(http.StatusServiceUnavailable, "try again", 1))
 		return true
 	})
 }
 
-// userBatch is a transaction of user writes in the making. The transaction's operations
-// are in the order of the writes.
+// userBatch is a transaction of user writes under construction. The transaction's
+// operations are in the order of the writes.
 type userBatch struct {
 	txn    *state.Txn
 	writes []userWrite
@@ -87,19 +89,19 @@
 	return &userBatch{txn: &state.Txn{}, jobIDs: map[string]bool{}}
 }
 
-// hasRoomFor reports whether a write fits. No batch has two writes to the same job, as the
-// condition of the second would not hold.
+// hasRoomFor reports whether a write can be added. No batch has two writes to the same job,
+// because the condition of the second would not hold.
 func (b *userBatch) hasRoomFor(jobID string, size, limit int) bool {
 	return len(b.writes) < limit && b.bytes+size <= maxUserTxnBytes && !b.jobIDs[jobID]
 }
 
 // add adds a write under the condition that the job's record is at a revision.
-func (b *userBatch) add(w userWrite, record shard.JobRecord, size int, revision uint64) {
-	key := state.JobKey(w.jobID)
+func (b *userBatch) add(write userWrite, record shard.JobRecord, size int, revision uint64) {
+	key := state.JobKey(write.jobID)
 	b.txn.Conditions = append(b.txn.Conditions, state.Condition{Path: key, Revision: revision})
 	b.txn.Then = append(b.txn.Then, state.Op{Set: key, Value: record})
-	b.writes = append(b.writes, w)
-	b.jobIDs[w.jobID] = true
+	b.writes = append(b.writes, write)
+	b.jobIDs[write.jobID] = true
 	b.bytes += size + userWriteOverhead
 }
 
@@ -124,50 +126,50 @@
 	c.send(free, msgCommitted{txn: batch.txn, userWrites: batch.writes})
 }
 
-// takeUserBatch moves as many queued writes as fit into a batch. Writes that need no
-// transaction any more, or can't be encoded, are answered.
+// takeUserBatch moves as many queued writes as fit into a batch. Writes that no longer need
+// a transaction or can't be encoded are answered at once.
 func (c *controller) takeUserBatch(limit int) *userBatch {
 	batch := newUserBatch()
 	var rest []userWrite
-	for _, w := range c.userWrites.queue {
-		if end, ended := c.view.EffectiveEnd(w.jobID); ended && w.isCancellation() {
-			// The job ended while its cancellation was queued. The condition would hold
-			// against the end, which the view has by now, and the end would be overwritten.
-			w.answer(userapi.Accepted(http.StatusOK, w.jobID, end))
+	for _, write := range c.userWrites.queue {
+		if end, ended := c.view.EffectiveEnd(write.jobID); ended && write.isCancellation() {
+			// The job ended while its cancellation was queued. The view already includes
+			// the end, so the condition would hold and the end would be overwritten.
+			write.answer(userapi.Accepted(http.StatusOK, write.jobID, end))
 			continue
 		}
-		record, size, err := c.userRecord(&w)
+		record, size, err := c.userRecord(&write)
 		if err != nil {
-			w.answer(userapi.Error(http.StatusBadRequest, err.Error(), 0))
+			write.answer(userapi.Error(http.StatusBadRequest, err.Error(), 0))
 			continue
 		}
-		if !batch.hasRoomFor(w.jobID, size, limit) {
-			rest = append(rest, w)
+		if !batch.hasRoomFor(write.jobID, size, limit) {
+			rest = append(rest, write)
 			continue
 		}
-		batch.add(w, record, size, c.expectedRevision(&w))
+		batch.add(write, record, size, c.expectedRevision(&write))
 	}
 	c.userWrites.queue = rest
 	return batch
 }
 
-// userRecord returns the job record that a write stores, and about its size in bytes.
-func (c *controller) userRecord(w *userWrite) (record shard.JobRecord, size int, err error) {
-	if w.isCancellation() {
-		return c.cancelledRecord(c.view.Jobs[w.jobID].Submission), cancellationBytes, nil
+// userRecord returns the job record that a write stores, and its approximate size in bytes.
+func (c *controller) userRecord(write *userWrite) (record shard.JobRecord, size int, err error) {
+	if write.isCancellation() {
+		return c.cancelledRecord(c.view.Jobs[write.jobID].Submission), cancellationBytes, nil
 	}
-	raw, err := json.Marshal(w.submission)
+	raw, err := json.Marshal(write.submission)
 	if err != nil {
 		return shard.JobRecord{}, 0, err
 	}
-	return shard.JobRecord{Spec: w.submission}, len(raw), nil
+	return shard.JobRecord{Spec: write.submission}, len(raw), nil
 }
 
-// expectedRevision is the revision that a write requires of the job's record: an
-// acceptance requires that there is none.
-func (c *controller) expectedRevision(w *userWrite) uint64 {
-	if w.isCancellation() {
-		return c.view.Revisions[state.JobKey(w.jobID)]
+// expectedRevision returns the revision that the job's record must have for a write. For an
+// acceptance it is 0: there must be no record yet.
+func (c *controller) expectedRevision(write *userWrite) uint64 {
+	if write.isCancellation() {
+		return c.view.Revisions[state.JobKey(write.jobID)]
 	}
 	return 0
 }
@@ -194,49 +196,49 @@
 	}
 }
 
-// userWritesDurable takes durable writes into the view, and answers them.
+// userWritesDurable applies committed writes to the view, and answers them.
 func (c *controller) userWritesDurable(m msgCommitted) {
 	for i := range m.userWrites {
-		w := &m.userWrites[i]
+		write := &m.userWrites[i]
 		op := m.txn.Then[i]
 		c.view.Put(op.Set, op.Value, m.result.Revision)
-		if w.isCancellation() {
-			w.answer(userapi.Accepted(http.StatusOK, w.jobID, model.JobCancelled))
+		if write.isCancellation() {
+			write.answer(userapi.Accepted(http.StatusOK, write.jobID, model.JobCancelled))
 		} else {
-			w.answer(userapi.Accepted(http.StatusCreated, w.jobID, model.JobPending))
+			write.answer(userapi.Accepted(http.StatusCreated, write.jobID, model.JobPending))
 		}
-		c.jobChanged(w.jobID)
+		c.jobChanged(write.jobID)
 	}
 }
 
-// userWritesConflicted handles a transaction whose conditions did not all hold. Writes
-// whose own condition held are queued again; the others are answered by what the state
-// service has, after a read barrier.
+// userWritesConflicted handles a transaction some of whose conditions did not hold. Writes
+// whose own condition held are queued again; the others are resolved after a read barrier,
+// against the records of the state service.
 func (c *controller) userWritesConflicted(m msgCommitted) {
 	conflicted := map[string]bool{}
 	for _, path := range m.result.Failed {
 		conflicted[strings.TrimPrefix(path, state.JobPrefix)] = true
 	}
-	for _, w := range m.userWrites {
-		if !conflicted[w.jobID] {
-			c.userWrites.append(w)
+	for _, write := range m.userWrites {
+		if !conflicted[write.jobID] {
+			c.userWrites.append(write)
 			continue
 		}
-		c.sync.afterReadBarrier(func(ok bool) { c.resolveConflict(w, ok) })
+		c.sync.afterReadBarrier(func(ok bool) { c.resolveConflict(write, ok) })
 	}
 }
 
-// resolveConflict answers a write whose job another write has changed first, or queues
-// it again if the change does not decide the answer.
-func (c *controller) resolveConflict(w userWrite, synced bool) {
-	status, _, _, known := c.view.Status(w.jobID)
-	_, ended := c.view.EffectiveEnd(w.jobID)
+// resolveConflict answers a write whose job was changed by another write first, or queues
+// it again if that change does not determine the answer.
+func (c *controller) resolveConflict(write userWrite, synced bool) {
+	status, _, _, known := c.view.Status(write.jobID)
+	_, ended := c.view.EffectiveEnd(write.jobID)
 	switch {
 	case !synced:
-		w.answer(c.stateUnreachable())
-	case known && (!w.isCancellation() || ended):
-		w.answer(userapi.Accepted(http.StatusOK, w.jobID, status))
+		write.answer(c.stateUnreachable())
+	case known && (!write.isCancellation() || ended):
+		write.answer(userapi.Accepted(http.StatusOK, write.jobID, status))
 	default:
-		c.userWrites.append(w)
+		c.userWrites.append(write)
 	}
 }
